--- a/servers/pool/agent_state.h
+++ b/servers/pool/agent_state.h
@@ -76,7 +76,7 @@
     Time ordered{};
   };
 
-  void NewLife(int64_t born_ms);
+  void NewLife(int64_t start_time_ms);
   // Forgets orders that no answer on its way can repeat any more.
   void ForgetOldOrders(Time now);
   void SetResult(const RunId& run, StartOutcome outcome, const std::string& reason);
--- a/servers/pool/agent_state_test.cc
+++ b/servers/pool/agent_state_test.cc
@@ -15,7 +15,7 @@
     WorkerAnnouncement announcement;
     announcement.sequence = 1;
     announcement.facts.id = "i";
-    announcement.facts.born_ms = 1;
+    announcement.facts.start_time_ms = 1;
     state.TakeAnnouncement(announcement);
     state.SetMember(true);
     state.RaiseEpoch(1);
@@ -24,7 +24,7 @@
 
   WorkerLists Lists(const std::vector<RunningTask>& running) const {
     WorkerLists lists;
-    lists.born_ms = 1;
+    lists.start_time_ms = 1;
     lists.clock = 1000;
     lists.running = running;
     return lists;
@@ -38,7 +38,7 @@
     orders.epoch = 1;
     orders.lease = milliseconds(4000);
     orders.start_window = milliseconds(1500);
-    orders.worker_born_ms = 1;
+    orders.worker_start_time_ms = 1;
     return orders;
   }
 
@@ -116,7 +116,7 @@
   for (int poll = 0; poll < 12 && !settled; ++poll) {
     agent.now += milliseconds(500);
     for (const RunId& run : agent.state.TakeOrders(orders, agent.now, agent.now).stops) {
-      agent.state.TakeStopAnswer(run, OrderAnswer::kTaken, agent.now);
+      agent.state.TakeStopAnswer(run, OrderAnswer::kAccepted, agent.now);
     }
     if (poll % 2 == 1) {
       agent.Hold(hold_sent, {});
@@ -177,7 +177,7 @@
   WorkerAnnouncement leaving;
   leaving.sequence = 2;
   leaving.facts.id = "i";
-  leaving.facts.born_ms = 1;
+  leaving.facts.start_time_ms = 1;
   leaving.facts.draining = true;
   agent.state.TakeAnnouncement(leaving);
   std::string why;
@@ -192,7 +192,7 @@
   agent.state.TakeOrders(agent.Orders(), agent.now, agent.now);
   const HoldCall call = agent.state.NextHold(Duration::zero(), agent.now);
   ASSERT_TRUE(call.lease_until);
-  agent.state.NoteLease(call.lease_until, OrderAnswer::kAway, agent.now);
+  agent.state.NoteLease(call.lease_until, OrderAnswer::kNotListening, agent.now);
   EXPECT_EQ(agent.state.Report(Duration::zero(), agent.now).lease_left, Duration::zero());
   agent.state.NoteLease(call.lease_until, OrderAnswer::kUnanswered, agent.now);
   EXPECT_GT(agent.state.Report(Duration::zero(), agent.now).lease_left, milliseconds(3900));
@@ -204,12 +204,12 @@
   WorkerAnnouncement reborn;
   reborn.sequence = 1;
   reborn.facts.id = "i2";
-  reborn.facts.born_ms = 2;
+  reborn.facts.start_time_ms = 2;
   agent.state.TakeAnnouncement(reborn);
   WorkerAnnouncement late;
   late.sequence = 9;
   late.facts.id = "i";
-  late.facts.born_ms = 1;
+  late.facts.start_time_ms = 1;
   agent.state.TakeAnnouncement(late);
   EXPECT_EQ(agent.state.worker().id, "i2");
 }
@@ -234,7 +234,7 @@
   agent.state.LeaseSent(call.lease_until);
   agent.state.WorkerFailed(OrderAnswer::kUnanswered);
   EXPECT_GE(agent.state.Report(Duration::zero(), agent.now).lease_left, milliseconds(1600));
-  agent.state.NoteLease(call.lease_until, OrderAnswer::kAway, agent.now);
+  agent.state.NoteLease(call.lease_until, OrderAnswer::kNotListening, agent.now);
   EXPECT_EQ(agent.state.Report(Duration::zero(), agent.now).lease_left, Duration::zero());
 }
 
--- a/servers/pool/job_front.cc
+++ b/servers/pool/job_front.cc
@@ -4,7 +4,7 @@
 #include <thread>
 
 #include "core/logging.h"
-#include "servers/pool/local_port.h"
+#include "servers/pool/local_planner_client.h"
 
 namespace turmericshift::pool {
 namespace {
@@ -19,7 +19,7 @@
 }  // namespace
 
 JobFront::JobFront(const JobFrontOptions& options, const WorkView* work,
-                   const OperatorView* operators, PlannerGate* local, PlannerReach* reach,
+                   const OperatorView* operators, PlannerGate* local, PlannerRouter* reach,
                    MetricsRegistry* metrics)
     : options_(options),
       work_(work),
@@ -153,7 +153,7 @@
     LogEvent(LogLevel::kWarning, "job_refused", {{"job", id}, {"reason", error.what()}});
     return answer;
   }
-  answer = AskPlanner([&](PlannerPort* port, Duration limit) { port->Submit(spec, limit); },
+  answer = AskPlanner([&](PlannerClient* port, Duration limit) { port->Submit(spec, limit); },
                       [&] { return work_->StateOf(id).has_value(); }, JobAnswerKind::kAccepted,
                       now + call.patience - options_.reserve);
   const Time end = LeaseClock().Now();
@@ -186,7 +186,7 @@
     answer.kind = JobAnswerKind::kCancelled;
     return answer;
   }
-  answer = AskPlanner([&](PlannerPort* port, Duration limit) { port->Cancel(id, limit); },
+  answer = AskPlanner([&](PlannerClient* port, Duration limit) { port->Cancel(id, limit); },
                       [&] {
                         const std::optional<JobState> seen = work_->StateOf(id);
                         return seen && IsOver(*seen);
@@ -199,18 +199,18 @@
   return answer;
 }
 
-std::shared_ptr<PlannerPort> JobFront::Port(Duration limit) {
+std::shared_ptr<PlannerClient> JobFront::Port(Duration limit) {
   // This entry may have lost the store and been told of a planner that it can't read of.
   const PlannerRecord read = work_->duty().planner;
   const PlannerRecord told = local_->Successor();
   const PlannerRecord& planner = told.epoch > read.epoch ? told : read;
   if (planner.address.empty()) throw Error(ErrorKind::kUnavailable, Outcome::kNotRun, "no planner");
-  if (planner.node == options_.node) return std::make_shared<LocalPort>(local_);
+  if (planner.node == options_.node) return std::make_shared<LocalPlannerClient>(local_);
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     if (port_ && port_epoch_ == planner.epoch) return port_;
   }
-  std::shared_ptr<PlannerPort> port =
+  std::shared_ptr<PlannerClient> port =
       reach_->Connect(planner, std::min(limit, kConnectLimit), LeaseClock().Now());
   const std::lock_guard<std::mutex> lock(mutex_);
   port_ = port;
@@ -218,12 +218,12 @@
   return port;
 }
 
-void JobFront::DropPort(const std::shared_ptr<PlannerPort>& port) {
+void JobFront::DropPort(const std::shared_ptr<PlannerClient>& port) {
   const std::lock_guard<std::mutex> lock(mutex_);
   if (port_ == port) port_.reset();
 }
 
-JobAnswer JobFront::AskPlanner(const std::function<void(PlannerPort*, Duration)>& ask,
+JobAnswer JobFront::AskPlanner(const std::function<void(PlannerClient*, Duration)>& ask,
                                const std::function<bool()>& known, JobAnswerKind done, Time until) {
   JobAnswer answer;
   bool maybe = false;
@@ -236,7 +236,7 @@
     const Time now = LeaseClock().Now();
     const Time end = std::min(until, answer_by_.load());
     if (end - now < kShortestTry) break;
-    std::shared_ptr<PlannerPort> port;
+    std::shared_ptr<PlannerClient> port;
     try {
       port = Port(end - now);
       ask(port.get(), std::min(end - now, options_.try_limit));
--- a/servers/pool/job_front_test.cc
+++ b/servers/pool/job_front_test.cc
@@ -58,7 +58,7 @@
 };
 
 // Takes everything in.
-class WillingPort : public PlannerPort {
+class WillingPort : public PlannerClient {
  public:
   AgentOrders Exchange(const AgentReport& /*report*/, Duration /*timeout*/) override { return {}; }
   void Submit(const JobSpec& /*spec*/, Duration /*timeout*/) override {}
@@ -70,7 +70,7 @@
 // Reaches the planner at "there".
 class OneNeighbour : public PlannerConnector {
  public:
-  std::shared_ptr<PlannerPort> Connect(const std::string& address, Duration /*limit*/) override {
+  std::shared_ptr<PlannerClient> Connect(const std::string& address, Duration /*limit*/) override {
     if (address != "there") throw Error(ErrorKind::kUnavailable, Outcome::kNotRun, "nobody there");
     return std::make_shared<WillingPort>();
   }
@@ -78,8 +78,8 @@
 
 class NoConnector : public PlannerConnector {
  public:
-  std::shared_ptr<PlannerPort> Connect(const std::string& /*address*/,
-                                       Duration /*limit*/) override {
+  std::shared_ptr<PlannerClient> Connect(const std::string& /*address*/,
+                                         Duration /*limit*/) override {
     throw Error(ErrorKind::kUnavailable, Outcome::kNotRun, "nobody there");
   }
 };
@@ -115,7 +115,7 @@
   std::unique_ptr<PlannerGate> gate;
   std::unique_ptr<PlannerConnector> connector;
   MembersView members{&log, std::chrono::milliseconds(200)};
-  PlannerReach reach{"e1", "a", &members, connector.get()};
+  PlannerRouter reach{"e1", "a", &members, connector.get()};
   MetricsRegistry metrics;
   std::unique_ptr<JobFront> front;
 };
--- a/servers/pool/pool_view.cc
+++ b/servers/pool/pool_view.cc
@@ -65,16 +65,16 @@
   freshness_.asked = asked;
 }
 
-DutyView WorkView::duty() const {
+LeadershipView WorkView::duty() const {
   const std::lock_guard<std::mutex> lock(mutex_);
   return DutyLocked();
 }
 
-DutyView WorkView::DutyLocked() const {
+LeadershipView WorkView::DutyLocked() const {
   return {book_.planner(), end_, freshness_, newest_record_at_};
 }
 
-JobBook WorkView::book(DutyView* duty) const {
+JobBook WorkView::book(LeadershipView* duty) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   *duty = DutyLocked();
   return book_;
