--- a/modules/stand_ins/fake_pool_worker.cc
+++ b/modules/stand_ins/fake_pool_worker.cc
@@ -100,7 +100,7 @@
   if (live.gang && board_->Broken(run)) return EndKind::kGangBroken;
   if (Clock(now) >= lease_until_) return EndKind::kLeaseExpired;
   if (live.gang && !board_->WorksSince(run)) {
-    if (now - live.begun >= options_.gang_wait) return EndKind::kGangIncomplete;
+    if (now - live.begun >= options_.gang_wait) return EndKind::kPartialGang;
     return std::nullopt;
   }
   if (Worked(run, live, now) < live.takes) return std::nullopt;
--- a/servers/pool/agent_state.cc
+++ b/servers/pool/agent_state.cc
@@ -8,12 +8,12 @@
 namespace {
 
 // A worker's steady clock may be 2% slow, so a lease lasts that much longer than it says.
-constexpr double kClockSlack = 1.02;
+constexpr double kClockDriftFactor = 1.02;
 // More ends than this wait for the next report.
-constexpr size_t kMostEndsReported = 200;
+constexpr size_t kMaxEndsPerReport = 200;
 // An order is repeated until its outcome is known to the planner, which takes seconds at most. One
 // that were forgotten sooner could be carried out twice.
-constexpr Duration kRememberOrders = std::chrono::seconds(60);
+constexpr Duration kOrderRetention = std::chrono::seconds(60);
 
 int64_t Millis(Duration duration) {
   return duration_cast<std::chrono::milliseconds>(duration).count();
@@ -21,9 +21,9 @@
 
 // A start that the worker carries out seconds late, two at least, finds its own deadline over and
 // is refused. Leases are kept by holds, which reach further and come each second.
-constexpr Duration kStartValid = std::chrono::milliseconds(1600);
+constexpr Duration kStartValidity = std::chrono::milliseconds(1600);
 
-bool Lists(const std::vector<RunningTask>& running, const RunId& run) {
+bool Contains(const std::vector<RunningTask>& running, const RunId& run) {
   return std::any_of(running.begin(), running.end(),
                      [&](const RunningTask& each) { return each.run == run; });
 }
@@ -34,14 +34,14 @@
                        const std::string& incarnation)
     : node_(node), zone_(zone), incarnation_(incarnation) {}
 
-void AgentState::NewLife(int64_t start_time_ms) {
+void AgentState::ResetForIncarnation(int64_t start_time_ms) {
   LogEvent(
       LogLevel::kInfo, "worker_new_life",
       {{"worker", facts_.id}, {"born_ms", start_time_ms}, {"before_ms", facts_.start_time_ms}});
   facts_ = WorkerFacts();
   facts_.start_time_ms = start_time_ms;
   announced_sequence_ = -1;
-  left_ = false;
+  departed_ = false;
   running_.clear();
   ended_.clear();
   ends_kept_ = 0;
@@ -49,17 +49,17 @@
   stops_.clear();
   stopped_at_.clear();
   results_.clear();
-  clock_.reset();
+  worker_clock_.reset();
   lists_epoch_ = 0;
-  passed_on_until_ = Time{};
-  leases_sent_.clear();
+  granted_lease_expiry_ = Time{};
+  leases_in_flight_.clear();
 }
 
 void AgentState::TakeAnnouncement(const WorkerAnnouncement& announcement) {
   const int64_t born = announcement.facts.start_time_ms;
   // A late word of a life that is over.
   if (born < facts_.start_time_ms) return;
-  if (born > facts_.start_time_ms) NewLife(born);
+  if (born > facts_.start_time_ms) ResetForIncarnation(born);
   if (announcement.sequence <= announced_sequence_) return;
   announced_sequence_ = announcement.sequence;
   const bool reachable = facts_.reachable;
@@ -70,25 +70,25 @@
   facts_.draining = draining;
 }
 
-void AgentState::TakeLeft(const std::string& worker_id) {
+void AgentState::TakeDeparture(const std::string& worker_id) {
   if (worker_id != facts_.id) return;
   facts_.draining = true;
-  left_ = true;
+  departed_ = true;
   running_.clear();
 }
 
 bool AgentState::TakeLists(const WorkerLists& lists, int64_t fence, Time sent, Time now) {
   if (lists.start_time_ms < facts_.start_time_ms) return false;
-  if (lists.start_time_ms > facts_.start_time_ms) NewLife(lists.start_time_ms);
+  if (lists.start_time_ms > facts_.start_time_ms) ResetForIncarnation(lists.start_time_ms);
   // The worker has heard of the highest fence before the later of two answers was made, whichever
   // of them is read first.
   const int64_t lists_epoch = std::max(lists_epoch_, fence);
-  bool news = lists_epoch_ != lists_epoch || !facts_.reachable;
+  bool report_needed = lists_epoch_ != lists_epoch || !facts_.reachable;
   facts_.reachable = true;
   lists_epoch_ = lists_epoch;
   for (const EndedTask& end : lists.ended) {
     if (end.number <= ends_kept_) continue;
-    news = ended_.emplace(end.number, end).second || news;
+    report_needed = ended_.emplace(end.number, end).second || report_needed;
   }
   const auto has_ended = [this](const RunId& run) {
     return std::any_of(ended_.begin(), ended_.end(),
@@ -97,18 +97,18 @@
   // Two looks at the worker may be under way at once, and their answers overtake each other. Taken
   // for news, the older list would bring back a run whose end the planner has taken in; one notices
   // by a task that nobody works on and that never starts again.
-  if (clock_ && lists.clock < *clock_) return news;
-  clock_ = lists.clock;
-  clock_at_ = now;
+  if (worker_clock_ && lists.clock < *worker_clock_) return report_needed;
+  worker_clock_ = lists.clock;
+  worker_clock_read_at_ = now;
   running_ = lists.running;
   // Both answers may be of one millisecond of the worker's clock.
   std::erase_if(running_, [&](const RunningTask& task) { return has_ended(task.run); });
   for (auto& [run, start] : starts_) {
     if (start.phase != StartPhase::kUncertain) continue;
-    if (!Lists(running_, run) && !has_ended(run)) continue;
+    if (!Contains(running_, run) && !has_ended(run)) continue;
     start.phase = StartPhase::kStarted;
     SetResult(run, StartOutcome::kStarted, "");
-    news = true;
+    report_needed = true;
   }
   for (auto stop = stopped_at_.begin(); stop != stopped_at_.end();) {
     if (sent < stop->second) {
@@ -116,14 +116,14 @@
       continue;
     }
     // Neither there nor ended, and the worker will refuse it from now on.
-    if (!Lists(running_, stop->first) && !has_ended(stop->first)) {
+    if (!Contains(running_, stop->first) && !has_ended(stop->first)) {
       SetResult(stop->first, StartOutcome::kNotRun, "stopped before it began");
       starts_[stop->first].phase = StartPhase::kNotRunning;
-      news = true;
+      report_needed = true;
     }
     stop = stopped_at_.erase(stop);
   }
-  return news;
+  return report_needed;
 }
 
 void AgentState::WorkerFailed(OrderAnswer answer) {
@@ -140,19 +140,19 @@
   orders_seen_ = 0;
 }
 
-void AgentState::ForgetOldOrders(Time now) {
+void AgentState::ForgetExpiredOrders(Time now) {
   std::erase_if(starts_, [&](const auto& row) {
-    return now - row.second.ordered > kRememberOrders && !Lists(running_, row.first);
+    return now - row.second.ordered > kOrderRetention && !Contains(running_, row.first);
   });
   std::erase_if(stops_, [this](const RunId& run) {
-    return starts_.count(run) == 0 && stopped_at_.count(run) == 0 && !Lists(running_, run);
+    return starts_.count(run) == 0 && stopped_at_.count(run) == 0 && !Contains(running_, run);
   });
 }
 
 AgentOrders AgentState::TakeOrders(const AgentOrders& orders, Time sent, Time now) {
-  AgentOrders todo;
-  ForgetOldOrders(now);
-  if (orders.epoch < epoch_) return todo;
+  AgentOrders new_orders;
+  ForgetExpiredOrders(now);
+  if (orders.epoch < epoch_) return new_orders;
   RaiseEpoch(orders.epoch);
   orders_seen_ = std::max(orders_seen_, orders.version);
   if (orders.lease > Duration::zero()) {
@@ -164,12 +164,12 @@
   }
   for (const StartOrder& start : orders.starts) {
     if (!starts_.try_emplace(start.run, StartState{StartPhase::kSending, now}).second) continue;
-    todo.starts.push_back(start);
+    new_orders.starts.push_back(start);
   }
   for (const RunId& stop : orders.stops) {
-    if (stops_.insert(stop).second) todo.stops.push_back(stop);
+    if (stops_.insert(stop).second) new_orders.stops.push_back(stop);
   }
-  return todo;
+  return new_orders;
 }
 
 AgentReport AgentState::Report(Duration wait, Time now) {
@@ -182,14 +182,15 @@
   report.orders_seen = orders_seen_;
   report.worker = facts_;
   if (!member_) report.worker.id.clear();
-  Time passed_on_until = passed_on_until_;
-  if (!leases_sent_.empty()) {
-    passed_on_until = std::max(passed_on_until, LeaseOver(*leases_sent_.rbegin(), now));
+  Time granted_lease_expiry = granted_lease_expiry_;
+  if (!leases_in_flight_.empty()) {
+    granted_lease_expiry =
+        std::max(granted_lease_expiry, LeaseExpiry(*leases_in_flight_.rbegin(), now));
   }
-  report.lease_left = std::max(Duration::zero(), passed_on_until - now);
+  report.lease_left = std::max(Duration::zero(), granted_lease_expiry - now);
   report.running = running_;
   for (const auto& [number, end] : ended_) {
-    if (report.ended.size() >= kMostEndsReported) break;
+    if (report.ended.size() >= kMaxEndsPerReport) break;
     report.ended.push_back(end);
   }
   for (const auto& [run, result] : results_) report.results.push_back(result);
@@ -205,13 +206,13 @@
 }
 
 WorkerMillis AgentState::WorkerClock(Time now) const {
-  return clock_ ? *clock_ + Millis(now - clock_at_) : 0;
+  return worker_clock_ ? *worker_clock_ + Millis(now - worker_clock_read_at_) : 0;
 }
 
 std::optional<WorkerMillis> AgentState::LeaseUntil(Time now) const {
-  if (!clock_ || lease_until_ <= now) return std::nullopt;
-  // The worker's clock read `clock_` no later than `clock_at_`, so this ends no later than
-  // `lease_until_` but for the clock's own slack.
+  if (!worker_clock_ || lease_until_ <= now) return std::nullopt;
+  // The worker's clock read `worker_clock_` no later than `worker_clock_read_at_`, so this ends no
+  // later than `lease_until_` but for the clock's own slack.
   return WorkerClock(now) + Millis(lease_until_ - now);
 }
 
@@ -225,36 +226,37 @@
   return call;
 }
 
-Time AgentState::LeaseOver(WorkerMillis lease_until, Time now) const {
+Time AgentState::LeaseExpiry(WorkerMillis lease_until, Time now) const {
   const Duration left = std::chrono::milliseconds(lease_until - WorkerClock(now));
-  return now + Scaled(left, kClockSlack);
+  return now + Scaled(left, kClockDriftFactor);
 }
 
-void AgentState::LeaseSent(std::optional<WorkerMillis> lease_until) {
-  if (lease_until) leases_sent_.insert(*lease_until);
+void AgentState::NoteLeaseSent(std::optional<WorkerMillis> lease_until) {
+  if (lease_until) leases_in_flight_.insert(*lease_until);
 }
 
-void AgentState::NoteLease(std::optional<WorkerMillis> lease_until, OrderAnswer answer, Time now) {
+void AgentState::NoteLeaseAnswered(std::optional<WorkerMillis> lease_until, OrderAnswer answer,
+                                   Time now) {
   if (!lease_until) return;
-  const auto sent = leases_sent_.find(*lease_until);
-  if (sent != leases_sent_.end()) leases_sent_.erase(sent);
+  const auto sent = leases_in_flight_.find(*lease_until);
+  if (sent != leases_in_flight_.end()) leases_in_flight_.erase(sent);
   if (answer == OrderAnswer::kNotListening) return;
-  passed_on_until_ = std::max(passed_on_until_, LeaseOver(*lease_until, now));
+  granted_lease_expiry_ = std::max(granted_lease_expiry_, LeaseExpiry(*lease_until, now));
 }
 
 std::optional<StartCall> AgentState::PrepareStart(const StartOrder& order, Time until,
-                                                  std::string* why, Time now) const {
+                                                  std::string* reason, Time now) const {
   const std::optional<WorkerMillis> lease = LeaseUntil(now);
   if (now >= until) {
-    *why = "the order is too old";
+    *reason = "the order is too old";
   } else if (facts_.draining) {
-    *why = "the worker leaves";
+    *reason = "the worker leaves";
   } else if (stops_.count(order.run) > 0) {
-    *why = "stopped before it was sent";
+    *reason = "stopped before it was sent";
   } else if (!lease) {
-    *why = "no lease";
+    *reason = "no lease";
   } else if (lists_epoch_ != epoch_) {
-    *why = "the worker has not been read under this planner";
+    *reason = "the worker has not been read under this planner";
   } else {
     StartCall call;
     call.worker_id = facts_.id;
@@ -262,7 +264,7 @@
     call.payload = order.payload;
     call.checkpoint = order.checkpoint;
     call.ticket = order.ticket;
-    call.lease_until = std::min(*lease, WorkerClock(now) + Millis(kStartValid));
+    call.lease_until = std::min(*lease, WorkerClock(now) + Millis(kStartValidity));
     call.fence = epoch_;
     return call;
   }
@@ -273,9 +275,9 @@
   results_[run] = {run, outcome, reason};
 }
 
-void AgentState::StartNotSent(const RunId& run, const std::string& why) {
+void AgentState::StartNotSent(const RunId& run, const std::string& reason) {
   starts_[run].phase = StartPhase::kNotRunning;
-  SetResult(run, StartOutcome::kRefused, why);
+  SetResult(run, StartOutcome::kRefused, reason);
 }
 
 void AgentState::TakeStartAnswer(const RunId& run, OrderAnswer answer) {
--- a/servers/pool/agent_state.h
+++ b/servers/pool/agent_state.h
@@ -19,7 +19,7 @@
 
   // The worker.
   void TakeAnnouncement(const WorkerAnnouncement& announcement);
-  void TakeLeft(const std::string& worker_id);
+  void TakeDeparture(const std::string& worker_id);
   // The answer to a hold under `fence` that was sent at `sent`; nothing older can be carried out
   // after it. Returns whether there is anything that the planner should hear at once.
   bool TakeLists(const WorkerLists& lists, int64_t fence, Time sent, Time now);
@@ -42,18 +42,18 @@
   HoldCall NextHold(Duration wait, Time now) const;
   // A call that passes a lease until `lease_until` on is about to be sent: what runs may have it
   // from now on, long before an answer comes.
-  void LeaseSent(std::optional<WorkerMillis> lease_until);
+  void NoteLeaseSent(std::optional<WorkerMillis> lease_until);
   // A call that was to pass a lease until `lease_until` on has been answered so. A worker that
   // refused the connection has not got it.
-  void NoteLease(std::optional<WorkerMillis> lease_until, OrderAnswer answer, Time now);
+  void NoteLeaseAnswered(std::optional<WorkerMillis> lease_until, OrderAnswer answer, Time now);
 
   // Whether a start that was ordered may be carried out now, and with which lease; otherwise why
   // not. `until`: when the order goes out of date.
-  std::optional<StartCall> PrepareStart(const StartOrder& order, Time until, std::string* why,
+  std::optional<StartCall> PrepareStart(const StartOrder& order, Time until, std::string* reason,
                                         Time now) const;
   void TakeStartAnswer(const RunId& run, OrderAnswer answer);
   // A start was not even sent.
-  void StartNotSent(const RunId& run, const std::string& why);
+  void StartNotSent(const RunId& run, const std::string& reason);
   // The worker answered a stop: the run is over, or will show among the ends.
   void TakeStopAnswer(const RunId& run, OrderAnswer answer, Time now);
   // Runs whose start went unanswered and which have not turned up: to be stopped.
@@ -61,9 +61,9 @@
 
   const WorkerFacts& worker() const { return facts_; }
   // Something may come to run at the worker, so that a new planner has to hear of it first.
-  bool may_run() const { return !running_.empty() || (!facts_.id.empty() && !left_); }
+  bool may_host_runs() const { return !running_.empty() || (!facts_.id.empty() && !departed_); }
   // The worker has gone for good and left nothing behind.
-  bool is_over() const { return left_ && running_.empty(); }
+  bool is_gone() const { return departed_ && running_.empty(); }
   // Whether the agent stands among the members. Until then the planner hears of no worker here that
   // it could use.
   void SetMember(bool member) { member_ = member; }
@@ -76,12 +76,12 @@
     Time ordered{};
   };
 
-  void NewLife(int64_t start_time_ms);
+  void ResetForIncarnation(int64_t start_time_ms);
   // Forgets orders that no answer on its way can repeat any more.
-  void ForgetOldOrders(Time now);
+  void ForgetExpiredOrders(Time now);
   void SetResult(const RunId& run, StartOutcome outcome, const std::string& reason);
   // When a lease until `lease_until` has surely run out.
-  Time LeaseOver(WorkerMillis lease_until, Time now) const;
+  Time LeaseExpiry(WorkerMillis lease_until, Time now) const;
   // The worker's clock at `now` is at least this.
   WorkerMillis WorkerClock(Time now) const;
   std::optional<WorkerMillis> LeaseUntil(Time now) const;
@@ -92,7 +92,7 @@
   WorkerFacts facts_;
   int64_t announced_sequence_ = -1;
   // The worker has taken its leave.
-  bool left_ = false;
+  bool departed_ = false;
   bool member_ = false;
 
   int64_t epoch_ = 0;
@@ -102,12 +102,12 @@
   // Runs may go on until then, by this agent's clock.
   Time lease_until_{};
   // Whatever got a lease from this agent has run out by then.
-  Time passed_on_until_{};
+  Time granted_lease_expiry_{};
   // Leases of calls that are under way.
-  std::multiset<WorkerMillis> leases_sent_;
+  std::multiset<WorkerMillis> leases_in_flight_;
   // The worker's clock as of the newest answer, and when that came.
-  std::optional<WorkerMillis> clock_;
-  Time clock_at_{};
+  std::optional<WorkerMillis> worker_clock_;
+  Time worker_clock_read_at_{};
 
   std::vector<RunningTask> running_;
   std::map<int64_t, EndedTask> ended_;
--- a/servers/pool/agent_state_test.cc
+++ b/servers/pool/agent_state_test.cc
@@ -42,7 +42,7 @@
     return orders;
   }
 
-  bool Reports(const RunId& run, StartOutcome outcome) {
+  bool ReportsResult(const RunId& run, StartOutcome outcome) {
     const std::vector<StartResult> results = state.Report(Duration::zero(), now).results;
     return std::any_of(results.begin(), results.end(), [&](const StartResult& result) {
       return result.run == run && result.outcome == outcome;
@@ -50,12 +50,12 @@
   }
 
   // The call of a start that has just been ordered.
-  StartCall Prepared(const RunId& run) {
+  StartCall PrepareCall(const RunId& run) {
     state.TakeOrders(Orders(), now, now);
-    std::string why;
+    std::string reason;
     const std::optional<StartCall> call =
-        state.PrepareStart({run, "", "", ""}, now + milliseconds(1500), &why, now);
-    EXPECT_TRUE(call) << why;
+        state.PrepareStart({run, "", "", ""}, now + milliseconds(1500), &reason, now);
+    EXPECT_TRUE(call) << reason;
     return call.value_or(StartCall());
   }
 
@@ -122,7 +122,7 @@
       agent.Hold(hold_sent, {});
       hold_sent = agent.now - milliseconds(10);
     }
-    settled = agent.Reports(kRun, StartOutcome::kNotRun);
+    settled = agent.ReportsResult(kRun, StartOutcome::kNotRun);
   }
   EXPECT_TRUE(settled);
 }
@@ -139,7 +139,7 @@
   EXPECT_TRUE(agent.state.Report(Duration::zero(), agent.now).results.empty());
   EXPECT_EQ(agent.state.UncertainRuns(), std::vector<RunId>{kRun});
   agent.Hold(agent.now, {{kRun, ""}});
-  EXPECT_TRUE(agent.Reports(kRun, StartOutcome::kStarted));
+  EXPECT_TRUE(agent.ReportsResult(kRun, StartOutcome::kStarted));
 }
 
 TEST(AgentState, CarriesAnOrderOutOnceThoughItIsRepeated) {
@@ -163,12 +163,12 @@
 TEST(AgentState, StartsNothingThatIsOutOfDateOrWithoutALease) {
   Agent agent;
   const StartOrder order = {kRun, "payload", "", ""};
-  std::string why;
-  EXPECT_FALSE(agent.state.PrepareStart(order, agent.now + milliseconds(100), &why, agent.now));
-  EXPECT_EQ(why, "no lease");
+  std::string reason;
+  EXPECT_FALSE(agent.state.PrepareStart(order, agent.now + milliseconds(100), &reason, agent.now));
+  EXPECT_EQ(reason, "no lease");
   agent.state.TakeOrders(agent.Orders(), agent.now, agent.now);
-  EXPECT_TRUE(agent.state.PrepareStart(order, agent.now + milliseconds(100), &why, agent.now));
-  EXPECT_FALSE(agent.state.PrepareStart(order, agent.now, &why, agent.now));
+  EXPECT_TRUE(agent.state.PrepareStart(order, agent.now + milliseconds(100), &reason, agent.now));
+  EXPECT_FALSE(agent.state.PrepareStart(order, agent.now, &reason, agent.now));
 }
 
 TEST(AgentState, StartsNothingOnAWorkerThatLeaves) {
@@ -180,9 +180,9 @@
   leaving.facts.start_time_ms = 1;
   leaving.facts.draining = true;
   agent.state.TakeAnnouncement(leaving);
-  std::string why;
-  EXPECT_FALSE(
-      agent.state.PrepareStart({kRun, "", "", ""}, agent.now + milliseconds(100), &why, agent.now));
+  std::string reason;
+  EXPECT_FALSE(agent.state.PrepareStart({kRun, "", "", ""}, agent.now + milliseconds(100), &reason,
+                                        agent.now));
 }
 
 // A worker refuses connections: it has not got the lease that a call was to bring. Counted as if it
@@ -192,25 +192,25 @@
   agent.state.TakeOrders(agent.Orders(), agent.now, agent.now);
   const HoldCall call = agent.state.NextHold(Duration::zero(), agent.now);
   ASSERT_TRUE(call.lease_until);
-  agent.state.NoteLease(call.lease_until, OrderAnswer::kNotListening, agent.now);
+  agent.state.NoteLeaseAnswered(call.lease_until, OrderAnswer::kNotListening, agent.now);
   EXPECT_EQ(agent.state.Report(Duration::zero(), agent.now).lease_left, Duration::zero());
-  agent.state.NoteLease(call.lease_until, OrderAnswer::kUnanswered, agent.now);
+  agent.state.NoteLeaseAnswered(call.lease_until, OrderAnswer::kUnanswered, agent.now);
   EXPECT_GT(agent.state.Report(Duration::zero(), agent.now).lease_left, milliseconds(3900));
 }
 
 // A heartbeat of a life that is over arrives late.
 TEST(AgentState, IgnoresAnAnnouncementOfAFormerLife) {
   Agent agent;
-  WorkerAnnouncement reborn;
-  reborn.sequence = 1;
-  reborn.facts.id = "i2";
-  reborn.facts.start_time_ms = 2;
-  agent.state.TakeAnnouncement(reborn);
-  WorkerAnnouncement late;
-  late.sequence = 9;
-  late.facts.id = "i";
-  late.facts.start_time_ms = 1;
-  agent.state.TakeAnnouncement(late);
+  WorkerAnnouncement restarted;
+  restarted.sequence = 1;
+  restarted.facts.id = "i2";
+  restarted.facts.start_time_ms = 2;
+  agent.state.TakeAnnouncement(restarted);
+  WorkerAnnouncement delayed;
+  delayed.sequence = 9;
+  delayed.facts.id = "i";
+  delayed.facts.start_time_ms = 1;
+  agent.state.TakeAnnouncement(delayed);
   EXPECT_EQ(agent.state.worker().id, "i2");
 }
 
@@ -219,7 +219,7 @@
 // refuses it; the lease that it would have run on reaches further.
 TEST(AgentState, GivesAStartADeadlineThatALateOneMisses) {
   Agent agent;
-  const StartCall call = agent.Prepared(kRun);
+  const StartCall call = agent.PrepareCall(kRun);
   constexpr WorkerMillis kClock = 1000;
   EXPECT_LT(call.lease_until, kClock + 2000);
   EXPECT_GE(*agent.state.NextHold({}, agent.now).lease_until, kClock + 4000);
@@ -230,11 +230,11 @@
 // another worker while this one begins it.
 TEST(AgentState, CountsTheLeaseOfAStartThatIsStillUnderWay) {
   Agent agent;
-  const StartCall call = agent.Prepared(kRun);
-  agent.state.LeaseSent(call.lease_until);
+  const StartCall call = agent.PrepareCall(kRun);
+  agent.state.NoteLeaseSent(call.lease_until);
   agent.state.WorkerFailed(OrderAnswer::kUnanswered);
   EXPECT_GE(agent.state.Report(Duration::zero(), agent.now).lease_left, milliseconds(1600));
-  agent.state.NoteLease(call.lease_until, OrderAnswer::kNotListening, agent.now);
+  agent.state.NoteLeaseAnswered(call.lease_until, OrderAnswer::kNotListening, agent.now);
   EXPECT_EQ(agent.state.Report(Duration::zero(), agent.now).lease_left, Duration::zero());
 }
 
--- a/servers/pool/local_planner_client.cc
+++ b/servers/pool/local_planner_client.cc
@@ -1,9 +1,9 @@
+#include "servers/pool/local_planner_client.h"
+
 #include <future>
 #include <memory>
 #include <utility>
 
-#include "servers/pool/local_planner_client.h"
-
 namespace turmericshift::pool {
 namespace {
 
--- a/servers/pool/planner_elector.h
+++ b/servers/pool/planner_elector.h
@@ -26,27 +26,27 @@
   int planning_capacity = kAnyPool;
   // A planner that has written nothing for so long is taken for gone. It writes every 0.25 s, and a
   // slow store takes up to 0.4 s for each append and as much for the read that shows it.
-  Duration silence = std::chrono::milliseconds(1200);
+  Duration silence_timeout = std::chrono::milliseconds(1200);
   // Entries wait apart from each other by up to this, so that seldom two claim at once.
-  Duration spread = std::chrono::milliseconds(200);
+  Duration claim_jitter = std::chrono::milliseconds(200);
   // Entries with a VM that is better for this pool have so much time to claim before this one.
-  Duration head_start = std::chrono::milliseconds(600);
+  Duration claim_delay = std::chrono::milliseconds(600);
   // A planner on a weak VM looks this often for a better one that takes the duty over.
-  Duration offer_every = std::chrono::seconds(1);
+  Duration offer_interval = std::chrono::seconds(1);
   // A claim rests on a view that is no older than this.
-  Duration view_limit = std::chrono::milliseconds(1500);
+  Duration max_view_age = std::chrono::milliseconds(1500);
   // Agents that have not been heard for so long are no longer waited for by a successor,
-  Duration forget_agents_after = std::chrono::seconds(6);
+  Duration agent_silence_limit = std::chrono::seconds(6);
   // but only once this planner has held the duty for so long: until then an agent may still obey
   // the planner before.
-  Duration forget_agents_not_before = std::chrono::seconds(16);
+  Duration agent_forget_grace_period = std::chrono::seconds(16);
 };
 
 // Whether an entry whose view is `duty` claims at `now`. `since`: from when on the entry has been
 // in touch with the store without a gap. `patience`: silence to wait for, with this entry's share
-// of the spread. `head_start`: what others have before this one claims.
-bool ShouldClaim(const LeadershipView& duty, Time since, Duration patience, Duration view_limit,
-                 Time now, Duration head_start = Duration::zero());
+// of the spread. `claim_delay`: what others have before this one claims.
+bool ShouldClaim(const LeadershipView& view, Time since, Duration silence_timeout,
+                 Duration max_view_age, Time now, Duration claim_delay = Duration::zero());
 
 class PlannerElector {
  public:
@@ -61,13 +61,13 @@
 
  private:
   void Run();
-  bool Wants(const LeadershipView& duty, Time now) const;
+  bool ShouldClaimNow(const LeadershipView& leadership, Time now) const;
   // Entries whose VMs would carry the pool better than this one, the best first.
-  std::vector<EntryRecord> BetterEntries() const;
+  std::vector<EntryRecord> BetterSuitedEntries() const;
   // Has this entry stand in the store's list of members.
   void EnsureListed(Time now);
   // Gives the duty up in order if a better entry takes it over.
-  void OfferDuty(Time now);
+  void OfferLeadership(Time now);
   // Agents that may have something running, as the store has them now. Throws
   // Error(kLogUnavailable).
   std::set<std::string> ReadAgents() const;
@@ -78,10 +78,10 @@
   // Tells the planner before that it has been followed, so that it plans no more. Without its word
   // inherited work has to wait for as long as an unconfirmed planner may be obeyed, some 15 s; with
   // it for a lease, 5 s, or until all agents have come over.
-  void TellPredecessor();
+  void NotifyPredecessor();
 
   const ElectorOptions options_;
-  const Duration patience_;
+  const Duration silence_timeout_;
   KeyedLog* const log_;
   WorkView* const work_;
   const MembersView* const members_;
@@ -91,16 +91,16 @@
   std::atomic<bool> leaving_{false};
   int64_t announced_epoch_ = 0;
   // An epoch that the store refused as too low although nothing newer could be read.
-  int64_t refused_epoch_ = 0;
-  Time in_touch_since_{};
-  Time agents_checked_{};
-  Time listed_checked_{};
-  Time offered_{};
-  Time duty_since_{};
+  int64_t rejected_epoch_ = 0;
+  Time connected_since_{};
+  Time agents_checked_at_{};
+  Time listed_checked_at_{};
+  Time last_offer_at_{};
+  Time active_since_{};
   // The planner before, until it is known to plan no more.
   std::optional<PlannerRecord> predecessor_;
   // That it can't be told has been logged.
-  bool silence_logged_ = false;
+  bool unreachable_logged_ = false;
   Thread thread_;
 };
 
--- a/servers/pool/planner_elector_test.cc
+++ b/servers/pool/planner_elector_test.cc
@@ -1,3 +1,5 @@
+#include "servers/pool/planner_elector.h"
+
 #include <gtest/gtest.h>
 
 #include <map>
@@ -8,55 +10,54 @@
 #include "modules/stand_ins/memory_keyed_log.h"
 #include "platform/operator_records.h"
 #include "servers/pool/local_planner_client.h"
-#include "servers/pool/planner_elector.h"
 
 namespace turmericshift::pool {
 namespace {
 
 using std::chrono::milliseconds;
 
-constexpr Duration kPatience = milliseconds(1200);
-constexpr Duration kViewLimit = milliseconds(1500);
+constexpr Duration kSilenceTimeout = milliseconds(1200);
+constexpr Duration kMaxViewAge = milliseconds(1500);
 const Time kNow = Time(std::chrono::hours(2));
 
 LeadershipView View(Duration view_age, Duration silence) {
   LeadershipView view;
   view.planner = {4, "other", "10.0.0.1:7000"};
-  view.freshness.asked = kNow - view_age;
+  view.freshness.requested_at = kNow - view_age;
   view.newest_record_at = kNow - silence;
   return view;
 }
 
 TEST(ShouldClaim, LeavesAPlannerThatIsHeardAlone) {
-  EXPECT_FALSE(
-      ShouldClaim(View(milliseconds(100), milliseconds(300)), Time{}, kPatience, kViewLimit, kNow));
+  EXPECT_FALSE(ShouldClaim(View(milliseconds(100), milliseconds(300)), Time{}, kSilenceTimeout,
+                           kMaxViewAge, kNow));
 }
 
 TEST(ShouldClaim, FollowsAPlannerThatFellSilent) {
-  EXPECT_TRUE(ShouldClaim(View(milliseconds(100), milliseconds(1300)), Time{}, kPatience,
-                          kViewLimit, kNow));
+  EXPECT_TRUE(ShouldClaim(View(milliseconds(100), milliseconds(1300)), Time{}, kSilenceTimeout,
+                          kMaxViewAge, kNow));
 }
 
 TEST(ShouldClaim, FollowsAPlannerThatGaveTheDutyUpAtOnce) {
   LeadershipView view = View(milliseconds(100), milliseconds(10));
   view.planner.address.clear();
-  EXPECT_TRUE(ShouldClaim(view, Time{}, kPatience, kViewLimit, kNow));
+  EXPECT_TRUE(ShouldClaim(view, Time{}, kSilenceTimeout, kMaxViewAge, kNow));
 }
 
 // An entry that was cut off hears nothing of a planner that is well. Back in touch, its first look
 // must not end that planner's duty.
 TEST(ShouldClaim, CountsNoSilenceWhileItWasCutOff) {
   const LeadershipView view = View(milliseconds(100), milliseconds(9000));
-  EXPECT_FALSE(ShouldClaim(view, kNow - milliseconds(200), kPatience, kViewLimit, kNow));
+  EXPECT_FALSE(ShouldClaim(view, kNow - milliseconds(200), kSilenceTimeout, kMaxViewAge, kNow));
 }
 
 TEST(ShouldClaim, RestsOnAFreshView) {
-  EXPECT_FALSE(ShouldClaim(View(milliseconds(2000), milliseconds(5000)), Time{}, kPatience,
-                           kViewLimit, kNow));
+  EXPECT_FALSE(ShouldClaim(View(milliseconds(2000), milliseconds(5000)), Time{}, kSilenceTimeout,
+                           kMaxViewAge, kNow));
 }
 
 // Nobody answers.
-class DeafConnector : public PlannerConnector {
+class UnreachableConnector : public PlannerConnector {
  public:
   std::shared_ptr<PlannerClient> Connect(const std::string& /*address*/,
                                          Duration /*limit*/) override {
@@ -65,7 +66,7 @@
 };
 
 // Reaches entries of this process by the addresses that they announce.
-class Neighbours : public PlannerConnector {
+class LocalConnector : public PlannerConnector {
  public:
   std::shared_ptr<PlannerClient> Connect(const std::string& address, Duration /*limit*/) override {
     const auto found = gates_.find(address);
@@ -82,7 +83,8 @@
 struct Candidate {
   Candidate(KeyedLog* log, const std::string& node) : Candidate(log, node, nullptr) {}
   // `neighbours`: whom it reaches; null: nobody.
-  Candidate(KeyedLog* log, const std::string& node, Neighbours* neighbours, int capacity = kAnyPool)
+  Candidate(KeyedLog* log, const std::string& node, LocalConnector* connected_entries,
+            int capacity = kAnyPool)
       : work(log),
         operators(log, std::make_unique<platform::OperatorRecords>()),
         members(log, milliseconds(200)),
@@ -91,19 +93,19 @@
     options.node = node;
     options.address = node + ":1";
     options.planning_capacity = capacity;
-    if (neighbours != nullptr) neighbours->Add(options.address, &service);
+    if (connected_entries != nullptr) connected_entries->Add(options.address, &service);
     PlannerConnector* reached = &connector;
-    if (neighbours != nullptr) reached = neighbours;
-    keeper = std::make_unique<PlannerElector>(options, log, &work, &members, reached, &service);
+    if (connected_entries != nullptr) reached = connected_entries;
+    elector = std::make_unique<PlannerElector>(options, log, &work, &members, reached, &service);
   }
 
   MetricsRegistry metrics;
-  DeafConnector connector;
+  UnreachableConnector connector;
   WorkView work;
   OperatorView operators;
   MembersView members;
   PlannerService service;
-  std::unique_ptr<PlannerElector> keeper;
+  std::unique_ptr<PlannerElector> elector;
 };
 
 template <typename Condition>
@@ -133,14 +135,15 @@
     };
     ASSERT_TRUE(Eventually([&] { return planners() > 0; }));
     ASSERT_TRUE(Eventually([&] {
-      return std::all_of(entries.begin(), entries.end(),
-                         [](const auto& entry) { return entry->work.duty().planner.epoch > 0; });
+      return std::all_of(entries.begin(), entries.end(), [](const auto& entry) {
+        return entry->work.leadership().planner.epoch > 0;
+      });
     }));
     EXPECT_EQ(planners(), 1);
   }
 }
 
-constexpr int kWeak = 1;
+constexpr int kWeakCapacity = 1;
 
 // Two agents are listed, more than a weak entry can plan for.
 void ListAgents(MemoryKeyedLog* log) {
@@ -151,12 +154,12 @@
 
 TEST(ShouldClaim, LeavesABetterVmAHeadStart) {
   LeadershipView view = View(milliseconds(100), milliseconds(1300));
-  EXPECT_FALSE(ShouldClaim(view, Time{}, kPatience, kViewLimit, kNow, milliseconds(600)));
+  EXPECT_FALSE(ShouldClaim(view, Time{}, kSilenceTimeout, kMaxViewAge, kNow, milliseconds(600)));
   view.planner.address.clear();
   view.newest_record_at = kNow - milliseconds(500);
-  EXPECT_FALSE(ShouldClaim(view, Time{}, kPatience, kViewLimit, kNow, milliseconds(600)));
-  EXPECT_TRUE(ShouldClaim(View(milliseconds(100), milliseconds(1900)), Time{}, kPatience,
-                          kViewLimit, kNow, milliseconds(600)));
+  EXPECT_FALSE(ShouldClaim(view, Time{}, kSilenceTimeout, kMaxViewAge, kNow, milliseconds(600)));
+  EXPECT_TRUE(ShouldClaim(View(milliseconds(100), milliseconds(1900)), Time{}, kSilenceTimeout,
+                          kMaxViewAge, kNow, milliseconds(600)));
 }
 
 // A pool of hundreds of workers came to be planned by whichever entry claimed first, and one with
@@ -164,10 +167,10 @@
 TEST(PlannerElector, HandsTheDutyOnToABetterVm) {
   MemoryKeyedLog log;
   ListAgents(&log);
-  Neighbours neighbours;
-  Candidate weak(&log, "a", &neighbours, kWeak);
+  LocalConnector connected_entries;
+  Candidate weak(&log, "a", &connected_entries, kWeakCapacity);
   ASSERT_TRUE(Eventually([&] { return weak.service.epoch() == 1; }));
-  Candidate strong(&log, "b", &neighbours);
+  Candidate strong(&log, "b", &connected_entries);
   ASSERT_TRUE(Eventually([&] { return strong.service.epoch() == 2; }));
   EXPECT_EQ(weak.service.epoch(), 0);
 }
@@ -176,10 +179,10 @@
 TEST(PlannerElector, PlansOnAWeakVmWhereTheBetterOneIsGone) {
   MemoryKeyedLog log;
   ListAgents(&log);
-  const EntryRecord gone = {"gone", "a", "gone:1", kAnyPool};
-  log.Append(kMembersTopic, {{"entry/gone", EncodeEntry(gone), kNoOffset}}, {},
+  const EntryRecord stepped_down = {"gone", "a", "gone:1", kAnyPool};
+  log.Append(kMembersTopic, {{"entry/gone", EncodeEntry(stepped_down), kNoOffset}}, {},
              std::chrono::seconds(1));
-  Candidate weak(&log, "a", nullptr, kWeak);
+  Candidate weak(&log, "a", nullptr, kWeakCapacity);
   ASSERT_TRUE(Eventually([&] { return weak.service.epoch() == 1; }));
   // It is offered to the other in vain.
   ASSERT_TRUE(Eventually([&] { return weak.members.entries().size() == 2; }));
@@ -188,18 +191,18 @@
 }
 
 // The first planner loses the store, and `second` takes the duty over.
-void PassTheDuty(FaultyKeyedLog* way_of_first, const Candidate& second) {
-  way_of_first->SetFaults({true, false});
+void FailOver(FaultyKeyedLog* log_of_first, const Candidate& second) {
+  log_of_first->SetFaults({true, false});
   ASSERT_TRUE(Eventually([&] { return second.service.epoch() == 2; }));
 }
 
 // A log whose list of members can't be read for a while.
-class HiddenMembers : public KeyedLog {
+class UnreadableMembersLog : public KeyedLog {
  public:
-  explicit HiddenMembers(KeyedLog* log) : log_(log) {}
+  explicit UnreadableMembersLog(KeyedLog* log) : log_(log) {}
 
   KeyedPage Newest(const std::string& topic, const std::string& after, Duration timeout) override {
-    if (topic == kMembersTopic && hidden_.load()) {
+    if (topic == kMembersTopic && unreadable_.load()) {
       refused_.fetch_add(1);
       throw Error(ErrorKind::kLogUnavailable, Outcome::kNotRun, "not now");
     }
@@ -213,12 +216,12 @@
     return log_->Append(topic, records, guard, timeout);
   }
 
-  void Show() { hidden_.store(false); }
+  void MakeReadable() { unreadable_.store(false); }
   int refused() const { return refused_.load(); }
 
  private:
   KeyedLog* const log_;
-  std::atomic<bool> hidden_{true};
+  std::atomic<bool> unreadable_{true};
   std::atomic<int> refused_{0};
 };
 
@@ -228,12 +231,13 @@
 TEST(PlannerElector, TakesNoDutyUpBeforeItKnowsTheAgents) {
   MemoryKeyedLog log;
   log.Append(kMembersTopic, {{"agent/x", "a", kNoOffset}}, {}, std::chrono::seconds(1));
-  HiddenMembers hidden(&log);
-  Candidate entry(&hidden, "a");
+  UnreadableMembersLog restricted_log(&log);
+  Candidate entry(&restricted_log, "a");
   constexpr int kTries = 20;
-  ASSERT_TRUE(Eventually([&] { return entry.service.epoch() > 0 || hidden.refused() >= kTries; }));
+  ASSERT_TRUE(
+      Eventually([&] { return entry.service.epoch() > 0 || restricted_log.refused() >= kTries; }));
   EXPECT_EQ(entry.service.epoch(), 0);
-  hidden.Show();
+  restricted_log.MakeReadable();
   EXPECT_TRUE(Eventually([&] { return entry.service.epoch() > 0; }));
 }
 
@@ -241,12 +245,12 @@
 // planner learns of it as soon as the store answers it again.
 TEST(PlannerElector, PassesOnWhenThePlannerLosesTheStore) {
   MemoryKeyedLog log;
-  FaultyKeyedLog way(&log);
-  Candidate first(&way, "a");
+  FaultyKeyedLog faulty_log(&log);
+  Candidate first(&faulty_log, "a");
   ASSERT_TRUE(Eventually([&] { return first.service.epoch() == 1; }));
   Candidate second(&log, "b");
-  PassTheDuty(&way, second);
-  way.SetFaults({});
+  FailOver(&faulty_log, second);
+  faulty_log.SetFaults({});
   ASSERT_TRUE(Eventually([&] { return first.service.epoch() == 0; }));
   EXPECT_EQ(second.service.epoch(), 2);
 }
@@ -256,12 +260,12 @@
 // new planner could neither use their workers nor begin anything again that they might run.
 TEST(PlannerElector, TellsAPlannerWithoutTheStoreThatItHasBeenFollowed) {
   MemoryKeyedLog log;
-  FaultyKeyedLog way(&log);
-  Neighbours neighbours;
-  Candidate first(&way, "a", &neighbours);
+  FaultyKeyedLog faulty_log(&log);
+  LocalConnector connected_entries;
+  Candidate first(&faulty_log, "a", &connected_entries);
   ASSERT_TRUE(Eventually([&] { return first.service.epoch() == 1; }));
-  Candidate second(&log, "b", &neighbours);
-  PassTheDuty(&way, second);
+  Candidate second(&log, "b", &connected_entries);
+  FailOver(&faulty_log, second);
   ASSERT_TRUE(Eventually([&] { return first.service.epoch() == 0; }));
   AgentReport report;
   report.node = "agent";
@@ -275,11 +279,11 @@
 // caller of a cancellation that there is no such job.
 TEST(PlannerElector, LetsNoPlannerWithoutTheStoreSayThatAJobIsUnknown) {
   MemoryKeyedLog log;
-  FaultyKeyedLog way(&log);
-  Candidate first(&way, "a");
+  FaultyKeyedLog faulty_log(&log);
+  Candidate first(&faulty_log, "a");
   ASSERT_TRUE(Eventually([&] { return first.service.epoch() == 1; }));
   Candidate second(&log, "b");
-  PassTheDuty(&way, second);
+  FailOver(&faulty_log, second);
   JobSpec job;
   job.id = "j";
   job.steps.emplace_back();
@@ -296,12 +300,12 @@
 // append again under the same number, and nothing is written twice.
 TEST(PlannerElector, KeepsTheDutyWhileAnswersAreLost) {
   MemoryKeyedLog log;
-  FaultyKeyedLog way(&log);
-  Candidate planner(&way, "a");
+  FaultyKeyedLog faulty_log(&log);
+  Candidate planner(&faulty_log, "a");
   ASSERT_TRUE(Eventually([&] { return planner.service.epoch() == 1; }));
-  way.SetFaults({false, true});
+  faulty_log.SetFaults({false, true});
   std::this_thread::yield();
-  way.SetFaults({});
+  faulty_log.SetFaults({});
   const int64_t appends = log.appends();
   ASSERT_TRUE(Eventually([&] { return log.appends() > appends + 1; }));
   EXPECT_EQ(planner.service.epoch(), 1);
--- a/servers/pool/planner_router.cc
+++ b/servers/pool/planner_router.cc
@@ -1,17 +1,18 @@
+#include "servers/pool/planner_router.h"
+
 #include <algorithm>
 #include <functional>
 
 #include "core/error.h"
 #include "core/logging.h"
-#include "servers/pool/planner_router.h"
 
 namespace turmericshift::pool {
 namespace {
 
-constexpr size_t kRelaysTried = 2;
-constexpr Duration kRelayLimit = std::chrono::milliseconds(300);
+constexpr size_t kMaxRelayAttempts = 2;
+constexpr Duration kRelayTimeout = std::chrono::milliseconds(300);
 // After the straight way has failed it is left alone for so long.
-constexpr Duration kStraightAgainAfter = std::chrono::seconds(3);
+constexpr Duration kDirectRetryInterval = std::chrono::seconds(3);
 
 }  // namespace
 
@@ -19,37 +20,37 @@
                                          const std::map<std::string, EntryRecord>& entries,
                                          const std::string& zone, const std::string& self) {
   const auto planner_entry = entries.find(planner.node);
-  const std::string far_zone = planner_entry == entries.end() ? "" : planner_entry->second.zone;
-  std::vector<EntryRecord> thirds;
+  const std::string planner_zone = planner_entry == entries.end() ? "" : planner_entry->second.zone;
+  std::vector<EntryRecord> third_zones;
   std::vector<EntryRecord> others;
   for (const auto& [node, entry] : entries) {
     if (node == self || node == planner.node) continue;
-    (entry.zone != zone && entry.zone != far_zone ? thirds : others).push_back(entry);
+    (entry.zone != zone && entry.zone != planner_zone ? third_zones : others).push_back(entry);
   }
   const size_t first = std::hash<std::string>()(self);
-  for (std::vector<EntryRecord>* list : {&thirds, &others}) {
+  for (std::vector<EntryRecord>* list : {&third_zones, &others}) {
     if (list->empty()) continue;
     const auto middle = static_cast<std::ptrdiff_t>(first % list->size());
     std::rotate(list->begin(), list->begin() + middle, list->end());
   }
-  thirds.insert(thirds.end(), others.begin(), others.end());
-  return thirds;
+  third_zones.insert(third_zones.end(), others.begin(), others.end());
+  return third_zones;
 }
 
 PlannerRouter::PlannerRouter(const std::string& node, const std::string& zone,
                              const MembersView* members, PlannerConnector* connector)
     : node_(node), zone_(zone), members_(members), connector_(connector) {}
 
-bool PlannerRouter::StraightWasSilent(const PlannerRecord& planner, Time now) const {
+bool PlannerRouter::DirectPathTimedOut(const PlannerRecord& planner, Time now) const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return planner.epoch == silent_epoch_ && now - silent_at_ < kStraightAgainAfter;
+  return planner.epoch == timed_out_epoch_ && now - timed_out_at_ < kDirectRetryInterval;
 }
 
 std::shared_ptr<PlannerClient> PlannerRouter::Connect(const PlannerRecord& planner, Duration limit,
                                                       Time now) {
-  if (StraightWasSilent(planner, now)) {
+  if (DirectPathTimedOut(planner, now)) {
     try {
-      return ConnectThroughOthers(planner, limit);
+      return ConnectThroughRelays(planner, limit);
     } catch (const Error& error) {
       LogEvent(LogLevel::kInfo, "relays_failed",
                {{"epoch", planner.epoch}, {"error", error.what()}});
@@ -63,23 +64,23 @@
     LogEvent(LogLevel::kInfo, "planner_silent",
              {{"epoch", planner.epoch}, {"address", planner.address}, {"error", error.what()}});
     const std::lock_guard<std::mutex> lock(mutex_);
-    silent_epoch_ = planner.epoch;
-    silent_at_ = now;
+    timed_out_epoch_ = planner.epoch;
+    timed_out_at_ = now;
   }
-  return ConnectThroughOthers(planner, limit);
+  return ConnectThroughRelays(planner, limit);
 }
 
-std::shared_ptr<PlannerClient> PlannerRouter::ConnectThroughOthers(const PlannerRecord& planner,
+std::shared_ptr<PlannerClient> PlannerRouter::ConnectThroughRelays(const PlannerRecord& planner,
                                                                    Duration limit) {
   std::vector<EntryRecord> relays = RelayCandidates(planner, members_->entries(), zone_, node_);
-  if (relays.size() > kRelaysTried) relays.resize(kRelaysTried);
+  if (relays.size() > kMaxRelayAttempts) relays.resize(kMaxRelayAttempts);
   std::string failure = "no entry is known that might reach the planner";
   for (const EntryRecord& relay : relays) {
     // Most silent planners are gone, and followed within two seconds.
     if (members_->planner().epoch > planner.epoch) break;
     try {
       std::shared_ptr<PlannerClient> port =
-          connector_->ConnectThrough(relay.address, planner.epoch, std::min(limit, kRelayLimit));
+          connector_->ConnectThrough(relay.address, planner.epoch, std::min(limit, kRelayTimeout));
       LogEvent(LogLevel::kInfo, "planner_reached_through",
                {{"epoch", planner.epoch}, {"relay", relay.node}});
       return port;
--- a/servers/pool/planner_router.h
+++ b/servers/pool/planner_router.h
@@ -33,8 +33,8 @@
   std::shared_ptr<PlannerClient> Connect(const PlannerRecord& planner, Duration limit, Time now);
 
  private:
-  std::shared_ptr<PlannerClient> ConnectThroughOthers(const PlannerRecord& planner, Duration limit);
-  bool StraightWasSilent(const PlannerRecord& planner, Time now) const;
+  std::shared_ptr<PlannerClient> ConnectThroughRelays(const PlannerRecord& planner, Duration limit);
+  bool DirectPathTimedOut(const PlannerRecord& planner, Time now) const;
 
   const std::string node_;
   const std::string zone_;
@@ -42,8 +42,8 @@
   PlannerConnector* const connector_;
   mutable std::mutex mutex_;
   // The newest planner to which the straight way was silent, and when that was tried.
-  int64_t silent_epoch_ = 0;
-  Time silent_at_{};
+  int64_t timed_out_epoch_ = 0;
+  Time timed_out_at_{};
 };
 
 }  // namespace turmericshift::pool
--- a/servers/pool/planner_router_test.cc
+++ b/servers/pool/planner_router_test.cc
@@ -1,3 +1,5 @@
+#include "servers/pool/planner_router.h"
+
 #include <gtest/gtest.h>
 
 #include <set>
@@ -6,7 +8,6 @@
 #include "core/error.h"
 #include "modules/stand_ins/memory_keyed_log.h"
 #include "servers/pool/local_planner_client.h"
-#include "servers/pool/planner_router.h"
 
 namespace turmericshift::pool {
 namespace {
@@ -49,28 +50,28 @@
   EXPECT_EQ(first.size(), 3U);
 }
 
-class FarPlanner : public PlannerConnector {
+class UnreachablePlannerConnector : public PlannerConnector {
  public:
   std::shared_ptr<PlannerClient> Connect(const std::string& /*address*/,
                                          Duration /*limit*/) override {
-    ++straight;
+    ++direct_attempts;
     if (refuses) throw Error(ErrorKind::kUnavailable, Outcome::kNotRun, "nobody listens");
-    if (cut) throw Error(ErrorKind::kDeadlineExceeded, Outcome::kNotRun, "no path");
+    if (direct_path_cut) throw Error(ErrorKind::kDeadlineExceeded, Outcome::kNotRun, "no path");
     return std::make_shared<LocalPlannerClient>(nullptr);
   }
   std::shared_ptr<PlannerClient> ConnectThrough(const std::string& relay, int64_t epoch,
                                                 Duration /*limit*/) override {
     EXPECT_EQ(epoch, kPlanner.epoch);
-    through.push_back(relay);
+    relays_tried.push_back(relay);
     if (relays_cut) throw Error(ErrorKind::kUnavailable, Outcome::kNotRun, "no path either");
     return std::make_shared<LocalPlannerClient>(nullptr);
   }
 
-  bool cut = true;
+  bool direct_path_cut = true;
   bool refuses = false;
   bool relays_cut = false;
-  int straight = 0;
-  std::vector<std::string> through;
+  int direct_attempts = 0;
+  std::vector<std::string> relays_tried;
 };
 
 class PlannerRouterTest : public testing::Test {
@@ -85,31 +86,31 @@
 
   MemoryKeyedLog log_;
   MembersView members_{&log_, milliseconds(200)};
-  FarPlanner connector_;
+  UnreachablePlannerConnector connector_;
   PlannerRouter reach_{"agent", "c", &members_, &connector_};
 };
 
 TEST_F(PlannerRouterTest, GoesStraightWhereItCan) {
-  connector_.cut = false;
+  connector_.direct_path_cut = false;
   reach_.Connect(kPlanner, milliseconds(700), kNow);
-  EXPECT_TRUE(connector_.through.empty());
+  EXPECT_TRUE(connector_.relays_tried.empty());
 }
 
 // Two zones were cut off from each other and a third reached both: the leases of a whole zone ran
 // out although there was a path.
 TEST_F(PlannerRouterTest, GoesThroughAThirdZoneWhereTheStraightWayIsCut) {
   reach_.Connect(kPlanner, milliseconds(700), kNow);
-  ASSERT_EQ(connector_.through.size(), 1U);
-  EXPECT_EQ(connector_.through[0][0], 'b');
+  ASSERT_EQ(connector_.relays_tried.size(), 1U);
+  EXPECT_EQ(connector_.relays_tried[0][0], 'b');
 }
 
 // Each new connection would wait for the dead path first, and callers with it.
 TEST_F(PlannerRouterTest, TriesTheCutWayAgainOnlyAfterAWhile) {
   reach_.Connect(kPlanner, milliseconds(700), kNow);
   reach_.Connect(kPlanner, milliseconds(700), kNow + std::chrono::seconds(1));
-  EXPECT_EQ(connector_.straight, 1);
+  EXPECT_EQ(connector_.direct_attempts, 1);
   reach_.Connect(kPlanner, milliseconds(700), kNow + std::chrono::seconds(10));
-  EXPECT_EQ(connector_.straight, 2);
+  EXPECT_EQ(connector_.direct_attempts, 2);
 }
 
 // The planner's process was killed: 240 agents came to the other entries at once, and to the
@@ -117,11 +118,11 @@
 TEST_F(PlannerRouterTest, AsksNobodyWhereThePlannersVmRefuses) {
   connector_.refuses = true;
   EXPECT_THROW(reach_.Connect(kPlanner, milliseconds(700), kNow), Error);
-  EXPECT_TRUE(connector_.through.empty());
+  EXPECT_TRUE(connector_.relays_tried.empty());
   connector_.refuses = false;
-  connector_.cut = false;
+  connector_.direct_path_cut = false;
   reach_.Connect({kPlanner.epoch + 1, "a1", "a1:1"}, milliseconds(700), kNow);
-  EXPECT_TRUE(connector_.through.empty());
+  EXPECT_TRUE(connector_.relays_tried.empty());
 }
 
 // Looking for a way to a planner that is gone kept agents from its successor.
@@ -131,13 +132,13 @@
               std::chrono::seconds(1));
   while (members_.planner().epoch != successor.epoch) std::this_thread::yield();
   EXPECT_THROW(reach_.Connect(kPlanner, milliseconds(700), kNow), Error);
-  EXPECT_TRUE(connector_.through.empty());
+  EXPECT_TRUE(connector_.relays_tried.empty());
 }
 
 TEST_F(PlannerRouterTest, SaysSoWhenNobodyReachesThePlanner) {
   connector_.relays_cut = true;
   EXPECT_THROW(reach_.Connect(kPlanner, milliseconds(700), kNow), Error);
-  EXPECT_EQ(connector_.through.size(), 2U);
+  EXPECT_EQ(connector_.relays_tried.size(), 2U);
 }
 
 }  // namespace
--- a/servers/pool/planner_service.cc
+++ b/servers/pool/planner_service.cc
@@ -10,14 +10,14 @@
 namespace {
 
 // Leases and limits are looked at this often when nothing else happens.
-constexpr Duration kTick = std::chrono::milliseconds(100);
+constexpr Duration kTickInterval = std::chrono::milliseconds(100);
 // Pause before an append is sent again; doubled each time. A store that turns this VM away is not
 // to be flooded, and one that is back should be noticed soon.
 constexpr Duration kRetryPause = std::chrono::milliseconds(50);
-constexpr Duration kLongestRetryPause = std::chrono::milliseconds(200);
+constexpr Duration kMaxRetryPause = std::chrono::milliseconds(200);
 // After a round of planning the deciding thread rests for so many times as long as it took,
-constexpr int kPauseForRound = 2;
-constexpr Duration kLongestRoundPause = std::chrono::milliseconds(50);
+constexpr int kPausePerRound = 2;
+constexpr Duration kMaxRoundPause = std::chrono::milliseconds(50);
 // but not for one as short as this.
 constexpr Duration kShortRound = std::chrono::milliseconds(1);
 
@@ -32,11 +32,11 @@
       append_failures_(metrics->counter("store_append_failures")),
       append_seconds_(metrics->distribution("store_append_seconds")),
       round_seconds_(metrics->distribution("planner_round_seconds")),
-      late_seconds_(metrics->gauge("planner_late_seconds")),
+      lag_seconds_(metrics->gauge("planner_late_seconds")),
       jobs_(metrics->gauge("planner_jobs")),
       epoch_gauge_(metrics->gauge("planner_epoch")),
-      decider_("decide", [this] { Decide(); }),
-      writer_("write", [this] { Write(); }) {}
+      planning_thread_("decide", [this] { RunPlanningLoop(); }),
+      writer_thread_("write", [this] { RunWriteLoop(); }) {}
 
 PlannerService::~PlannerService() {
   {
@@ -44,43 +44,43 @@
     stopping_ = true;
   }
   changed_.notify_all();
-  to_write_.notify_all();
-  to_ask_.notify_all();
-  End("the process stops");
+  write_ready_.notify_all();
+  advice_ready_.notify_all();
+  StepDown("the process stops");
 }
 
-Error PlannerService::NotPlanning() {
+Error PlannerService::NotActiveError() {
   return {ErrorKind::kConflict, Outcome::kNotRun, "this process does not plan the pool"};
 }
 
-void PlannerService::Begin(int64_t epoch, int64_t sequence, const JobBook& book,
-                           const std::set<std::string>& agents, Time asked) {
+void PlannerService::BecomeActive(int64_t epoch, int64_t sequence, const JobBook& book,
+                                  const std::set<std::string>& agents, Time requested_at) {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     planner_ =
         std::make_unique<PoolPlanner>(options_.planner, epoch, book, agents, LeaseClock().Now());
-    planner_->Confirm(asked);
+    planner_->Confirm(requested_at);
     epoch_gauge_.Set(static_cast<double>(epoch));
     sequence_ = sequence;
     releasing_ = false;
-    last_write_ = asked;
-    writing_since_.reset();
-    dirty_ = true;
+    last_write_ = requested_at;
+    append_started_at_.reset();
+    replan_needed_ = true;
   }
   LogEvent(LogLevel::kInfo, "duty_taken",
            {{"epoch", epoch}, {"jobs", book.jobs().size()}, {"agents", agents.size()}});
   changed_.notify_all();
-  to_write_.notify_all();
+  write_ready_.notify_all();
 }
 
-void PlannerService::EndLocked(const char* why, Replies* replies) {
+void PlannerService::StepDownLocked(const char* reason, Replies* replies) {
   if (!planner_) return;
-  LogEvent(LogLevel::kWarning, "duty_ended", {{"epoch", planner_->epoch()}, {"reason", why}});
+  LogEvent(LogLevel::kWarning, "duty_ended", {{"epoch", planner_->epoch()}, {"reason", reason}});
   planner_.reset();
   epoch_gauge_.Set(0);
-  writing_since_.reset();
+  append_started_at_.reset();
   for (auto& [node, poll] : polls_) {
-    replies->push_back(Failed(std::move(poll.done), NotPlanning()));
+    replies->push_back(Failed(std::move(poll.done), NotActiveError()));
   }
   polls_.clear();
   intake_.End(replies);
@@ -91,13 +91,13 @@
   if (planner_) planner_->PredecessorGone(LeaseClock().Now());
 }
 
-void PlannerService::End(const char* why) {
+void PlannerService::StepDown(const char* reason) {
   Replies replies;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    EndLocked(why, &replies);
+    StepDownLocked(reason, &replies);
   }
-  to_write_.notify_all();
+  write_ready_.notify_all();
   RunAll(replies);
 }
 
@@ -106,7 +106,7 @@
   if (!planner_) return;
   planner_->outbox().Put(kPlannerKey, EncodePlanner({planner_->epoch(), "", ""}));
   releasing_ = true;
-  to_write_.notify_all();
+  write_ready_.notify_all();
   changed_.wait_for(lock, limit, [this] { return !planner_; });
 }
 
@@ -115,23 +115,23 @@
   return planner_ ? planner_->epoch() : 0;
 }
 
-std::vector<std::string> PlannerService::SilentAgents(const std::set<std::string>& agents,
-                                                      Duration limit, Time now) const {
+std::vector<std::string> PlannerService::UnresponsiveAgents(const std::set<std::string>& agents,
+                                                            Duration limit, Time now) const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  std::vector<std::string> silent;
-  if (!planner_) return silent;
+  std::vector<std::string> unresponsive;
+  if (!planner_) return unresponsive;
   for (const std::string& node : agents) {
     const auto known = planner_->workers().find(node);
     if (known != planner_->workers().end() && now - known->second.heard < limit) continue;
-    silent.push_back(node);
+    unresponsive.push_back(node);
   }
-  return silent;
+  return unresponsive;
 }
 
 std::optional<AdviceQuestion> PlannerService::NextQuestion(Duration limit) {
   std::unique_lock<std::mutex> lock(mutex_);
   std::optional<AdviceQuestion> question;
-  to_ask_.wait_for(lock, limit, [&] {
+  advice_ready_.wait_for(lock, limit, [&] {
     if (planner_) question = planner_->advice().Next(LeaseClock().Now());
     return question.has_value() || stopping_;
   });
@@ -139,13 +139,13 @@
 }
 
 void PlannerService::TakeAdvice(const AdviceQuestion& question, const AdviceAnswer& answer,
-                                Time asked) {
+                                Time requested_at) {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     if (!planner_) return;
-    planner_->advice().Take(question, answer, asked);
+    planner_->advice().Take(question, answer, requested_at);
     planner_->NoteAdvice();
-    dirty_ = true;
+    replan_needed_ = true;
   }
   changed_.notify_all();
 }
@@ -159,7 +159,7 @@
                               std::function<void(Attempt<AgentOrders>)> done) {
   const Time now = LeaseClock().Now();
   Replies replies;
-  bool to_plan = false;
+  bool replan = false;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     if (!planner_ && !successor_.address.empty()) {
@@ -168,11 +168,11 @@
       elsewhere.planner_address = successor_.address;
       replies.push_back(Succeeded(std::move(done), elsewhere));
     } else if (!planner_) {
-      replies.push_back(Failed(std::move(done), NotPlanning()));
+      replies.push_back(Failed(std::move(done), NotActiveError()));
     } else {
       const int64_t news = planner_->news();
       planner_->TakeReport(report, LeaseClock().WallMillis(), now);
-      to_plan = planner_->changed() || planner_->news() != news || !planner_->outbox().empty();
+      replan = planner_->changed() || planner_->news() != news || !planner_->outbox().empty();
       const auto earlier = polls_.find(report.node);
       if (earlier != polls_.end() && report.wait > Duration::zero()) {
         // The agent has given that poll up; its connection may be gone.
@@ -186,39 +186,39 @@
         replies.push_back(Succeeded(std::move(done), planner_->Orders(report.node, now)));
         if (report.wait > Duration::zero()) planner_->NoteAnswered(report.node, now);
       }
-      dirty_ = dirty_ || to_plan;
+      replan_needed_ = replan_needed_ || replan;
     }
   }
   // Most polls bring nothing to decide on, and waking a thread costs more than taking them in.
-  if (to_plan) changed_.notify_all();
+  if (replan) changed_.notify_all();
   RunAll(replies);
 }
 
 template <typename Take>
-void PlannerService::TakeIn(JobIntake::OnDone done, Take&& take) {
+void PlannerService::AcceptCall(JobIntake::OnDone done, Take&& take) {
   Replies replies;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     if (!planner_ || releasing_) {
-      replies.push_back(Failed(std::move(done), NotPlanning()));
+      replies.push_back(Failed(std::move(done), NotActiveError()));
     } else {
       take(std::move(done), LeaseClock().Now(), &replies);
-      dirty_ = true;
+      replan_needed_ = true;
     }
   }
-  to_write_.notify_all();
+  write_ready_.notify_all();
   changed_.notify_all();
   RunAll(replies);
 }
 
 void PlannerService::Submit(const JobSpec& spec, std::function<void(Attempt<Done>)> done) {
-  TakeIn(std::move(done), [&](JobIntake::OnDone answer, Time now, Replies* replies) {
-    intake_.Submit(spec, writing_since_, planner_.get(), std::move(answer), now, replies);
+  AcceptCall(std::move(done), [&](JobIntake::OnDone answer, Time now, Replies* replies) {
+    intake_.Submit(spec, append_started_at_, planner_.get(), std::move(answer), now, replies);
   });
 }
 
 void PlannerService::Cancel(const std::string& id, std::function<void(Attempt<Done>)> done) {
-  TakeIn(std::move(done), [&](JobIntake::OnDone answer, Time now, Replies* replies) {
+  AcceptCall(std::move(done), [&](JobIntake::OnDone answer, Time now, Replies* replies) {
     intake_.Cancel(id, LeaseClock().WallMillis(), planner_.get(), std::move(answer), now, replies);
   });
 }
@@ -234,7 +234,7 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     if (successor.epoch > successor_.epoch) successor_ = successor;
     if (planner_ && successor.epoch > planner_->epoch()) {
-      EndLocked("a newer planner has said so", &replies);
+      StepDownLocked("a newer planner has said so", &replies);
     }
     if (planner_) {
       const Error refusal(ErrorKind::kConflict, Outcome::kNotRun,
@@ -244,7 +244,7 @@
       replies.push_back(Succeeded(std::move(done), Done{}));
     }
   }
-  to_write_.notify_all();
+  write_ready_.notify_all();
   RunAll(replies);
 }
 
@@ -262,15 +262,15 @@
   RunAll(replies);
 }
 
-void PlannerService::NoteDuty(const PlannerRecord& planner, bool would_claim) {
+void PlannerService::SetLeadershipView(const PlannerRecord& planner, bool would_claim) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  read_planner_ = planner;
+  stored_planner_ = planner;
   would_claim_ = would_claim;
 }
 
 PlannerRecord PlannerService::KnownPlanner() const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return successor_.epoch > read_planner_.epoch ? successor_ : read_planner_;
+  return successor_.epoch > stored_planner_.epoch ? successor_ : stored_planner_;
 }
 
 PlannerRecord PlannerService::Successor() const {
@@ -290,28 +290,28 @@
   }
 }
 
-void PlannerService::Decide() {
+void PlannerService::RunPlanningLoop() {
   while (true) {
     Replies replies;
     Time begun{};
     {
       std::unique_lock<std::mutex> lock(mutex_);
-      changed_.wait_for(lock, kTick, [this] { return dirty_ || stopping_; });
+      changed_.wait_for(lock, kTickInterval, [this] { return replan_needed_ || stopping_; });
       if (stopping_) return;
-      dirty_ = false;
+      replan_needed_ = false;
       if (!planner_) continue;
       const Time now = LeaseClock().Now();
       begun = now;
       const Freshness read = operators_->freshness();
-      if (read.asked) planner_->SetOperatorState(operators_->state(), *read.asked);
+      if (read.requested_at) planner_->SetOperatorState(operators_->state(), *read.requested_at);
       planner_->NoteKept();
       planner_->Plan(LeaseClock().WallMillis(), now);
       AnswerPolls(now, &replies);
-      intake_.Answer(writing_since_, planner_.get(), now, &replies);
+      intake_.Answer(append_started_at_, planner_.get(), now, &replies);
       jobs_.Set(static_cast<double>(planner_->job_count()));
-      late_seconds_.Set(Seconds(planner_->lag()));
-      if (!planner_->outbox().empty()) to_write_.notify_all();
-      to_ask_.notify_all();
+      lag_seconds_.Set(Seconds(planner_->lag()));
+      if (!planner_->outbox().empty()) write_ready_.notify_all();
+      advice_ready_.notify_all();
     }
     RunAll(replies);
     const Duration took = LeaseClock().Now() - begun;
@@ -324,18 +324,19 @@
 // more news instead of keeping them waiting.
 void PlannerService::PauseAfter(Duration round) {
   if (round < kShortRound) return;
-  std::this_thread::sleep_for(std::min(round * kPauseForRound, kLongestRoundPause));
+  std::this_thread::sleep_for(std::min(round * kPausePerRound, kMaxRoundPause));
 }
 
-void PlannerService::Write() {
+void PlannerService::RunWriteLoop() {
   while (true) {
     std::vector<KeyedRecord> records;
     int64_t epoch = 0;
     int64_t sequence = 0;
     {
       std::unique_lock<std::mutex> lock(mutex_);
-      to_write_.wait_for(lock, options_.beat / 2,
-                         [this] { return stopping_ || (planner_ && !planner_->outbox().empty()); });
+      write_ready_.wait_for(lock, options_.beat / 2, [this] {
+        return stopping_ || (planner_ && !planner_->outbox().empty());
+      });
       if (stopping_) return;
       const Time now = LeaseClock().Now();
       if (!planner_ || (planner_->outbox().empty() && now - last_write_ < options_.beat)) continue;
@@ -343,54 +344,54 @@
       if (records.empty()) records.push_back({kBeatKey, "1", kNoOffset});
       epoch = planner_->epoch();
       sequence = ++sequence_;
-      writing_since_ = now;
+      append_started_at_ = now;
     }
     Duration pause = kRetryPause;
-    Time tried = LeaseClock().Now();
-    while (!WriteOnce(records, epoch, sequence)) {
+    Time start = LeaseClock().Now();
+    while (!AppendOnce(records, epoch, sequence)) {
       // A call that was waited for in vain has been a pause already.
-      if (LeaseClock().Now() - tried < options_.append_timeout) std::this_thread::sleep_for(pause);
-      pause = std::min(2 * pause, kLongestRetryPause);
-      tried = LeaseClock().Now();
+      if (LeaseClock().Now() - start < options_.append_timeout) std::this_thread::sleep_for(pause);
+      pause = std::min(2 * pause, kMaxRetryPause);
+      start = LeaseClock().Now();
       const std::lock_guard<std::mutex> lock(mutex_);
       if (stopping_ || !planner_ || planner_->epoch() != epoch) break;
     }
   }
 }
 
-bool PlannerService::WriteOnce(const std::vector<KeyedRecord>& records, int64_t epoch,
-                               int64_t sequence) {
-  const Time asked = LeaseClock().Now();
+bool PlannerService::AppendOnce(const std::vector<KeyedRecord>& records, int64_t epoch,
+                                int64_t sequence) {
+  const Time requested_at = LeaseClock().Now();
   Replies replies;
   try {
     log_->Append(kWorkTopic, records, {std::nullopt, kPlannerProducer, epoch, sequence},
                  options_.append_timeout);
     appends_.Add();
-    append_seconds_.Record(Seconds(LeaseClock().Now() - asked));
+    append_seconds_.Record(Seconds(LeaseClock().Now() - requested_at));
     const std::lock_guard<std::mutex> lock(mutex_);
     if (!planner_ || planner_->epoch() != epoch) return true;
     planner_->outbox().Kept();
-    planner_->Confirm(asked);
-    writing_since_.reset();
-    last_write_ = asked;
-    dirty_ = true;
+    planner_->Confirm(requested_at);
+    append_started_at_.reset();
+    last_write_ = requested_at;
+    replan_needed_ = true;
     if (releasing_ && planner_->outbox().empty()) {
-      intake_.Answer(std::nullopt, planner_.get(), asked, &replies);
-      EndLocked("given up", &replies);
+      intake_.Answer(std::nullopt, planner_.get(), requested_at, &replies);
+      StepDownLocked("given up", &replies);
     }
   } catch (const Error& error) {
     append_failures_.Add();
     if (error.kind() != ErrorKind::kFenced && error.kind() != ErrorKind::kConflict) {
       // One line for each append that fails; how often is counted.
-      if (failed_sequence_ != sequence) {
+      if (logged_failed_sequence_ != sequence) {
         LogEvent(LogLevel::kWarning, "append_failed",
                  {{"epoch", epoch}, {"sequence", sequence}, {"error", error.what()}});
       }
-      failed_sequence_ = sequence;
+      logged_failed_sequence_ = sequence;
       return false;
     }
     const std::lock_guard<std::mutex> lock(mutex_);
-    if (planner_ && planner_->epoch() == epoch) EndLocked(error.what(), &replies);
+    if (planner_ && planner_->epoch() == epoch) StepDownLocked(error.what(), &replies);
   }
   changed_.notify_all();
   RunAll(replies);
--- a/servers/pool/planner_service.h
+++ b/servers/pool/planner_service.h
@@ -34,7 +34,7 @@
   // When the newest append has gone unanswered for this long, new work is turned away at once: it
   // can't be kept, and callers do better to come back than to wait. Slow stores answer in a
   // quarter of a second.
-  Duration stuck_after = std::chrono::milliseconds(700);
+  Duration append_stall_timeout = std::chrono::milliseconds(700);
 };
 
 class PlannerService : public PlannerGate {
@@ -46,26 +46,26 @@
   PlannerService& operator=(const PlannerService&) = delete;
 
   // Takes the duty up. The claim was written under `sequence`; `book` is all that came before it.
-  void Begin(int64_t epoch, int64_t sequence, const JobBook& book,
-             const std::set<std::string>& agents, Time asked);
+  void BecomeActive(int64_t epoch, int64_t sequence, const JobBook& book,
+                    const std::set<std::string>& agents, Time requested_at);
   // The planner before is known to plan no more.
   void PredecessorGone();
   // Lays the duty down: a newer epoch has been seen.
-  void End(const char* why);
+  void StepDown(const char* reason);
   // Writes what is left and gives the duty up in the store, so that a successor need not wait for
   // the silence; at most `limit`.
   void Release(Duration limit);
   // Waits up to `limit` for something that the advice service should be asked.
   std::optional<AdviceQuestion> NextQuestion(Duration limit);
-  void TakeAdvice(const AdviceQuestion& question, const AdviceAnswer& answer, Time asked);
+  void TakeAdvice(const AdviceQuestion& question, const AdviceAnswer& answer, Time requested_at);
   void AdviceFailed(Time now);
   // What this entry has read of the duty, and whether it would claim it if it were free.
-  void NoteDuty(const PlannerRecord& planner, bool would_claim);
+  void SetLeadershipView(const PlannerRecord& planner, bool would_claim);
   // The epoch while the duty is held; 0 otherwise.
   int64_t epoch() const;
   // Agents that have not been heard for `limit`, of those given.
-  std::vector<std::string> SilentAgents(const std::set<std::string>& agents, Duration limit,
-                                        Time now) const;
+  std::vector<std::string> UnresponsiveAgents(const std::set<std::string>& agents, Duration limit,
+                                              Time now) const;
 
   void Exchange(const AgentReport& report, std::function<void(Attempt<AgentOrders>)> done) override;
   void Submit(const JobSpec& spec, std::function<void(Attempt<Done>)> done) override;
@@ -81,18 +81,18 @@
     Time until{};
   };
 
-  void Decide();
+  void RunPlanningLoop();
   static void PauseAfter(Duration round);
-  void Write();
+  void RunWriteLoop();
   // One append and what follows from its answer; false when the duty is lost.
-  bool WriteOnce(const std::vector<KeyedRecord>& records, int64_t epoch, int64_t sequence);
+  bool AppendOnce(const std::vector<KeyedRecord>& records, int64_t epoch, int64_t sequence);
   // Has `take(done, now, replies)` take a caller's call in if this process plans.
   template <typename Take>
-  void TakeIn(JobIntake::OnDone done, Take&& take);
+  void AcceptCall(JobIntake::OnDone done, Take&& take);
   void AnswerPolls(Time now, Replies* replies);
-  void EndLocked(const char* why, Replies* replies);
+  void StepDownLocked(const char* reason, Replies* replies);
   // The error for a caller when this process does not plan.
-  static Error NotPlanning();
+  static Error NotActiveError();
 
   const PlannerServiceOptions options_;
   KeyedLog* const log_;
@@ -101,33 +101,33 @@
   Counter& append_failures_;
   Distribution& append_seconds_;
   Distribution& round_seconds_;
-  Gauge& late_seconds_;
+  Gauge& lag_seconds_;
   Gauge& jobs_;
   Gauge& epoch_gauge_;
 
   mutable std::mutex mutex_;
   std::condition_variable changed_;
-  std::condition_variable to_write_;
-  std::condition_variable to_ask_;
+  std::condition_variable write_ready_;
+  std::condition_variable advice_ready_;
   std::unique_ptr<PoolPlanner> planner_;
   // The newest planner that has told this process of itself.
   PlannerRecord successor_;
   std::map<std::string, Poll> polls_;
-  JobIntake intake_{options_.stuck_after};
-  PlannerRecord read_planner_;
+  JobIntake intake_{options_.append_stall_timeout};
+  PlannerRecord stored_planner_;
   bool would_claim_ = false;
-  bool dirty_ = false;
+  bool replan_needed_ = false;
   bool releasing_ = false;
   bool stopping_ = false;
   int64_t sequence_ = 0;
   // When the append that is on its way was first sent.
-  std::optional<Time> writing_since_;
+  std::optional<Time> append_started_at_;
   Time last_write_{};
   // The append whose failure has been logged; only the writing thread uses it.
-  int64_t failed_sequence_ = 0;
+  int64_t logged_failed_sequence_ = 0;
   // Last, so that they end before what they use.
-  Thread decider_;
-  Thread writer_;
+  Thread planning_thread_;
+  Thread writer_thread_;
 };
 
 }  // namespace turmericshift::pool
--- a/servers/pool/planner_service_test.cc
+++ b/servers/pool/planner_service_test.cc
@@ -18,11 +18,11 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr Duration kStuckAfter = milliseconds(20);
+constexpr Duration kAppendStallTimeout = milliseconds(20);
 constexpr Duration kAnswerLimit = seconds(30);
 
 // What one try of a caller was told.
-class Told {
+class SubmitResult {
  public:
   std::function<void(Attempt<Done>)> Callback() {
     return [promise = promise_](Attempt<Done> attempt) { promise->set_value(std::move(attempt)); };
@@ -43,13 +43,13 @@
 class PlannerServiceTest : public testing::Test {
  protected:
   PlannerServiceTest() {
-    service_.Begin(1, 1, JobBook(), {}, LeaseClock().Now());
+    service_.BecomeActive(1, 1, JobBook(), {}, LeaseClock().Now());
     WaitForAppends(1);
   }
 
   static PlannerServiceOptions Options() {
     PlannerServiceOptions options;
-    options.stuck_after = kStuckAfter;
+    options.append_stall_timeout = kAppendStallTimeout;
     options.beat = milliseconds(5);
     return options;
   }
@@ -68,25 +68,25 @@
 
   // The store turns the planner away. Returns when an append has been refused, so that whatever is
   // put next stays in the outbox.
-  void LoseStore() {
-    way_.SetFaults({true, false});
+  void BlockStore() {
+    faulty_log_.SetFaults({true, false});
     const int64_t before = failures_.value();
     while (failures_.value() == before) std::this_thread::yield();
   }
 
-  void RegainStore() {
-    way_.SetFaults({});
+  void UnblockStore() {
+    faulty_log_.SetFaults({});
     WaitForAppends(2);
   }
 
-  bool Kept(const std::string& id) {
+  bool InStore(const std::string& id) {
     const KeyedPage page = log_.Newest(kWorkTopic, "", seconds(1));
     return std::any_of(page.records.begin(), page.records.end(),
                        [&](const KeyedRecord& record) { return record.key == kSpecPrefix + id; });
   }
 
   // Whether the planner takes nothing in any more.
-  bool RefusesCalls() {
+  bool RejectsCalls() {
     try {
       LocalPlannerClient(&service_).Cancel("nobody's", kAnswerLimit);
     } catch (const Error& error) {
@@ -96,60 +96,60 @@
   }
 
   MemoryKeyedLog log_;
-  FaultyKeyedLog way_{&log_};
+  FaultyKeyedLog faulty_log_{&log_};
   OperatorView operators_{&log_, std::make_unique<platform::OperatorRecords>()};
   MetricsRegistry metrics_;
   Counter& failures_ = metrics_.counter("store_append_failures");
-  PlannerService service_{Options(), &way_, &operators_, &metrics_};
+  PlannerService service_{Options(), &faulty_log_, &operators_, &metrics_};
 };
 
 // A job that was withdrawn for its first try must not be reported as accepted to the second.
 TEST_F(PlannerServiceTest, AnswersEveryTryOfAWithdrawnJobWithNotRun) {
-  LoseStore();
-  Told first;
-  Told repeat;
+  BlockStore();
+  SubmitResult first;
+  SubmitResult repeat;
   service_.Submit(Job("j"), first.Callback());
   service_.Submit(Job("j"), repeat.Callback());
   EXPECT_EQ(first.Wait(), Outcome::kNotRun);
-  RegainStore();
+  UnblockStore();
   EXPECT_EQ(repeat.Wait(), Outcome::kNotRun);
-  EXPECT_FALSE(Kept("j"));
+  EXPECT_FALSE(InStore("j"));
 }
 
 // A withdrawn job that is sent again once the store is back must be taken in anew.
 TEST_F(PlannerServiceTest, TakesAWithdrawnJobInAnew) {
-  LoseStore();
-  Told first;
+  BlockStore();
+  SubmitResult first;
   service_.Submit(Job("j"), first.Callback());
   EXPECT_EQ(first.Wait(), Outcome::kNotRun);
-  RegainStore();
-  Told again;
+  UnblockStore();
+  SubmitResult again;
   service_.Submit(Job("j"), again.Callback());
   EXPECT_EQ(again.Wait(), Outcome::kRan);
-  EXPECT_TRUE(Kept("j"));
+  EXPECT_TRUE(InStore("j"));
 }
 
 // A job whose record has left may still be kept, so neither try may be told that it never runs.
 TEST_F(PlannerServiceTest, AnswersEveryTryOfAJobThatHasLeftAlike) {
-  way_.SetFaults({false, true});
-  Told first;
-  Told repeat;
+  faulty_log_.SetFaults({false, true});
+  SubmitResult first;
+  SubmitResult repeat;
   service_.Submit(Job("j"), first.Callback());
-  while (!Kept("j")) std::this_thread::yield();
+  while (!InStore("j")) std::this_thread::yield();
   service_.Submit(Job("j"), repeat.Callback());
-  way_.SetFaults({});
+  faulty_log_.SetFaults({});
   EXPECT_EQ(first.Wait(), Outcome::kRan);
   EXPECT_EQ(repeat.Wait(), Outcome::kRan);
 }
 
 // A duty that ends with records in the outbox must leave no try without an answer.
 TEST_F(PlannerServiceTest, AnswersEveryTryWhenTheDutyEnds) {
-  LoseStore();
-  Told first;
-  Told repeat;
+  BlockStore();
+  SubmitResult first;
+  SubmitResult repeat;
   service_.Submit(Job("j"), first.Callback());
   service_.Submit(Job("j"), repeat.Callback());
-  service_.End("test");
+  service_.StepDown("test");
   EXPECT_NE(first.Wait(), Outcome::kRan);
   EXPECT_NE(repeat.Wait(), Outcome::kRan);
 }
@@ -157,14 +157,14 @@
 // A caller whose job is kept together with the planner's last record must not be told "unknown" at
 // a planned stop.
 TEST_F(PlannerServiceTest, AnswersWhatIsKeptWithItsLastRecord) {
-  LoseStore();
-  Told told;
+  BlockStore();
+  SubmitResult told;
   service_.Submit(Job("j"), told.Callback());
   Thread release("release", [this] { service_.Release(kAnswerLimit); });
-  while (!RefusesCalls()) std::this_thread::yield();
-  way_.SetFaults({});
+  while (!RejectsCalls()) std::this_thread::yield();
+  faulty_log_.SetFaults({});
   EXPECT_EQ(told.Wait(), Outcome::kRan);
-  EXPECT_TRUE(Kept("j"));
+  EXPECT_TRUE(InStore("j"));
   release.Join();
 }
 
--- a/servers/pool/pool_agent.cc
+++ b/servers/pool/pool_agent.cc
@@ -10,21 +10,21 @@
 
 constexpr int kOrderThreads = 4;
 // A planner in another zone answers a connect within milliseconds.
-constexpr Duration kConnectLimit = std::chrono::milliseconds(700);
+constexpr Duration kConnectTimeout = std::chrono::milliseconds(700);
 // Pause after the worker or the planner could not be reached.
-constexpr Duration kPause = std::chrono::milliseconds(100);
+constexpr Duration kRetryInterval = std::chrono::milliseconds(100);
 // A worker with ends to list answers a hold at once; no need to ask faster than the store keeps
 // them.
-constexpr Duration kBetweenHolds = std::chrono::milliseconds(20);
-constexpr Duration kHoldPatience = std::chrono::milliseconds(800);
-constexpr Duration kNewsTimeout = std::chrono::milliseconds(700);
-constexpr Duration kCheckMemberEvery = std::chrono::seconds(2);
+constexpr Duration kHoldInterval = std::chrono::milliseconds(20);
+constexpr Duration kHoldGracePeriod = std::chrono::milliseconds(800);
+constexpr Duration kUpdateTimeout = std::chrono::milliseconds(700);
+constexpr Duration kMemberCheckInterval = std::chrono::seconds(2);
 // A way through another entry is given up for the straight one after this, in case that is back.
-constexpr Duration kStraightAgainAfter = std::chrono::seconds(5);
+constexpr Duration kDirectRetryInterval = std::chrono::seconds(5);
 // A late planner is waited for so many times as long as it said, and so long at most: runs go on
 // for 4 s without its word.
-constexpr int kLatePatience = 2;
-constexpr Duration kLongestLatePatience = std::chrono::milliseconds(1300);
+constexpr int kLagTimeoutFactor = 2;
+constexpr Duration kMaxLagTimeout = std::chrono::milliseconds(1300);
 constexpr Duration kAppendTimeout = std::chrono::milliseconds(1200);
 
 }  // namespace
@@ -43,9 +43,9 @@
       router_(options.node, options.zone, &members_, connector),
       state_(options.node, options.zone, options.incarnation),
       orders_("orders", kOrderThreads),
-      worker_thread_("worker", [this] { TalkWithWorker(); }),
-      planner_thread_("planner", [this] { TalkWithPlanner(); }),
-      news_thread_("news", [this] { SendNews(); }) {}
+      worker_thread_("worker", [this] { RunWorkerLoop(); }),
+      planner_thread_("planner", [this] { RunPlannerLoop(); }),
+      update_thread_("news", [this] { RunUpdateLoop(); }) {}
 
 PoolAgent::~PoolAgent() {
   {
@@ -60,36 +60,36 @@
   changed_.wait_for(lock, pause, [this] { return stopping_; });
 }
 
-void PoolAgent::WakeNews() {
+void PoolAgent::RequestUpdate() {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    news_ = true;
+    update_requested_ = true;
   }
   changed_.notify_all();
 }
 
 void PoolAgent::WorkerAnnounced(const WorkerAnnouncement& announcement) {
-  bool news = false;
+  bool report_needed = false;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     const WorkerFacts before = state_.worker();
     state_.TakeAnnouncement(announcement);
     const WorkerFacts& after = state_.worker();
-    news = before.id != after.id || before.start_time_ms != after.start_time_ms ||
-           before.draining != after.draining;
+    report_needed = before.id != after.id || before.start_time_ms != after.start_time_ms ||
+                    before.draining != after.draining;
   }
   // A worker that has just come should not have to wait for the next poll to be of use.
-  if (news) orders_.Submit([this] { EnsureMember(LeaseClock().Now()); });
-  if (news) WakeNews();
+  if (report_needed) orders_.Submit([this] { EnsureMember(LeaseClock().Now()); });
+  if (report_needed) RequestUpdate();
 }
 
 void PoolAgent::WorkerLeft(const std::string& worker_id) {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    state_.TakeLeft(worker_id);
+    state_.TakeDeparture(worker_id);
   }
   orders_.Submit([this] { EnsureMember(LeaseClock().Now()); });
-  WakeNews();
+  RequestUpdate();
 }
 
 bool PoolAgent::HoldOnce(Duration wait) {
@@ -98,13 +98,13 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     const Time now = LeaseClock().Now();
     call = state_.NextHold(wait, now);
-    state_.LeaseSent(call.lease_until);
+    state_.NoteLeaseSent(call.lease_until);
   }
   const Time sent = LeaseClock().Now();
-  const HoldAnswer answer = worker_->Hold(call, wait + kHoldPatience);
+  const HoldAnswer answer = worker_->Hold(call, wait + kHoldGracePeriod);
   const std::lock_guard<std::mutex> lock(mutex_);
   const Time now = LeaseClock().Now();
-  state_.NoteLease(call.lease_until, answer.answer, now);
+  state_.NoteLeaseAnswered(call.lease_until, answer.answer, now);
   if (answer.answer == OrderAnswer::kAccepted) {
     return state_.TakeLists(answer.lists, call.fence, sent, now);
   }
@@ -113,22 +113,22 @@
   return was_reachable;
 }
 
-void PoolAgent::TalkWithWorker() {
+void PoolAgent::RunWorkerLoop() {
   while (true) {
-    bool planned = false;
+    bool has_planner = false;
     std::vector<RunId> uncertain;
     {
       const std::lock_guard<std::mutex> lock(mutex_);
       if (stopping_) return;
-      planned = state_.epoch() > 0;
+      has_planner = state_.epoch() > 0;
     }
     // A worker refuses whatever comes without the newest planner's number.
-    if (!planned) {
-      Pause(kPause);
+    if (!has_planner) {
+      Pause(kRetryInterval);
       continue;
     }
-    const bool news = HoldOnce(options_.hold_wait);
-    if (news) WakeNews();
+    const bool report_needed = HoldOnce(options_.hold_wait);
+    if (report_needed) RequestUpdate();
     bool reachable = false;
     {
       const std::lock_guard<std::mutex> lock(mutex_);
@@ -136,11 +136,11 @@
       reachable = state_.worker().reachable;
     }
     for (const RunId& run : uncertain) orders_.Submit([this, run] { StopOne(run); });
-    Pause(reachable ? kBetweenHolds : kPause);
+    Pause(reachable ? kHoldInterval : kRetryInterval);
   }
 }
 
-void PoolAgent::TalkWithPlanner() {
+void PoolAgent::RunPlannerLoop() {
   int64_t connected_epoch = 0;
   Time connected_at{};
   while (true) {
@@ -155,10 +155,10 @@
     try {
       const Time now = LeaseClock().Now();
       if (port && planner.epoch > connected_epoch) port.reset();
-      if (port && port->relayed() && now - connected_at > kStraightAgainAfter) port.reset();
+      if (port && port->relayed() && now - connected_at > kDirectRetryInterval) port.reset();
       if (!port) {
         if (planner.address.empty()) throw Error(ErrorKind::kUnavailable, "no planner is known");
-        port = router_.Connect(planner, kConnectLimit, now);
+        port = router_.Connect(planner, kConnectTimeout, now);
         connected_at = now;
         connected_epoch = planner.epoch;
         const std::lock_guard<std::mutex> lock(mutex_);
@@ -180,7 +180,7 @@
         LogEvent(LogLevel::kWarning, "planner_lost",
                  {{"epoch", connected_epoch}, {"error", error.what()}});
       }
-      Pause(kPause);
+      Pause(kRetryInterval);
     }
   }
 }
@@ -188,17 +188,17 @@
 PlannerRecord PoolAgent::NewestPlanner() const {
   const PlannerRecord read = members_.planner();
   const std::lock_guard<std::mutex> lock(mutex_);
-  return told_of_.epoch > read.epoch ? told_of_ : read;
+  return redirected_planner_.epoch > read.epoch ? redirected_planner_ : read;
 }
 
-void PoolAgent::SendNews() {
+void PoolAgent::RunUpdateLoop() {
   while (true) {
     std::shared_ptr<PlannerClient> port;
     {
       std::unique_lock<std::mutex> lock(mutex_);
-      changed_.wait(lock, [this] { return stopping_ || news_; });
+      changed_.wait(lock, [this] { return stopping_ || update_requested_; });
       if (stopping_) return;
-      news_ = false;
+      update_requested_ = false;
       port = port_;
     }
     // Without a planner the news goes out with the first poll.
@@ -220,75 +220,77 @@
     sent = LeaseClock().Now();
     report = state_.Report(wait, sent);
   }
-  const AgentOrders orders = port->Exchange(report, AnswerLimit(wait));
+  const AgentOrders orders = port->Exchange(report, ExchangeTimeout(wait));
   if (!orders.planner_address.empty()) {
     const std::lock_guard<std::mutex> lock(mutex_);
-    if (orders.planner_epoch > told_of_.epoch) {
-      told_of_ = {orders.planner_epoch, "", orders.planner_address};
+    if (orders.planner_epoch > redirected_planner_.epoch) {
+      redirected_planner_ = {orders.planner_epoch, "", orders.planner_address};
     }
     throw Error(ErrorKind::kConflict, Outcome::kNotRun, "the pool is planned elsewhere now");
   }
-  AgentOrders todo;
+  AgentOrders new_orders;
   bool new_planner = false;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     const int64_t before = state_.epoch();
     state_.ReportTaken(report);
-    todo = state_.TakeOrders(orders, sent, LeaseClock().Now());
-    planner_late_ = orders.lag;
+    new_orders = state_.TakeOrders(orders, sent, LeaseClock().Now());
+    planner_lag_ = orders.lag;
     new_planner = state_.epoch() != before || report.epoch != state_.epoch();
   }
   if (new_planner) {
     // The planner uses the worker only after it has been read under its own number.
     orders_.Submit([this] {
-      if (HoldOnce(Duration::zero())) WakeNews();
+      if (HoldOnce(Duration::zero())) RequestUpdate();
     });
   }
-  CarryOut(todo, sent + orders.start_window);
+  ExecuteOrders(new_orders, sent + orders.start_window);
 }
 
 // A planner that is late has not lost this agent: asked anew over another connection it would only
 // have more to read.
-Duration PoolAgent::AnswerLimit(Duration wait) const {
+Duration PoolAgent::ExchangeTimeout(Duration wait) const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  const Duration lag = std::min(kLatePatience * planner_late_, kLongestLatePatience);
-  return wait > Duration::zero() ? wait + options_.poll_patience + lag : kNewsTimeout + lag;
+  const Duration lag = std::min(kLagTimeoutFactor * planner_lag_, kMaxLagTimeout);
+  return wait > Duration::zero() ? wait + options_.poll_grace_period + lag : kUpdateTimeout + lag;
 }
 
-void PoolAgent::CarryOut(const AgentOrders& todo, Time until) {
-  for (const RunId& run : todo.stops) orders_.Submit([this, run] { StopOne(run); });
-  for (const StartOrder& order : todo.starts) {
+void PoolAgent::ExecuteOrders(const AgentOrders& new_orders, Time until) {
+  for (const RunId& run : new_orders.stops) orders_.Submit([this, run] { StopOne(run); });
+  for (const StartOrder& order : new_orders.starts) {
     orders_.Submit([this, order, until] { StartOne(order, until); });
   }
 }
 
 void PoolAgent::StartOne(const StartOrder& order, Time until) {
   std::optional<StartCall> call;
-  std::string why;
+  std::string reason;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     const Time now = LeaseClock().Now();
-    call = state_.PrepareStart(order, until, &why, now);
+    call = state_.PrepareStart(order, until, &reason, now);
     if (call && !registered_.load()) {
       call.reset();
-      why = "the agent is not among the members yet";
+      reason = "the agent is not among the members yet";
     }
     if (!call) {
-      state_.StartNotSent(order.run, why);
+      state_.StartNotSent(order.run, reason);
     } else {
-      state_.LeaseSent(call->lease_until);
+      state_.NoteLeaseSent(call->lease_until);
     }
   }
   const std::string task = TaskName(order.run.task);
   if (!call) {
-    LogEvent(
-        LogLevel::kWarning, "start_not_sent",
-        {{"job", order.run.task.job}, {"task", task}, {"run", order.run.number}, {"reason", why}});
-    return WakeNews();
+    LogEvent(LogLevel::kWarning, "start_not_sent",
+             {{"job", order.run.task.job},
+              {"task", task},
+              {"run", order.run.number},
+              {"reason", reason}});
+    return RequestUpdate();
   }
-  const Time begun = LeaseClock().Now();
+  const Time started_at = LeaseClock().Now();
   const OrderAnswer answer = sender_.Start(*call);
-  start_seconds_.Record(Seconds(LeaseClock().Now() - begun));
+  start_seconds_.Record(Seconds(LeaseClock().Now() - started_at));
   (answer == OrderAnswer::kAccepted ? starts_ : start_failures_).Add();
   LogEvent(answer == OrderAnswer::kAccepted ? LogLevel::kInfo : LogLevel::kWarning,
            "start_answered",
@@ -299,10 +301,10 @@
             {"answer", OrderAnswerName(answer)}});
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    state_.NoteLease(call->lease_until, answer, LeaseClock().Now());
+    state_.NoteLeaseAnswered(call->lease_until, answer, LeaseClock().Now());
     state_.TakeStartAnswer(order.run, answer);
   }
-  WakeNews();
+  RequestUpdate();
 }
 
 void PoolAgent::StopOne(const RunId& run) {
@@ -332,16 +334,16 @@
 void PoolAgent::EnsureMember(Time now) {
   const std::lock_guard<std::mutex> member_lock(member_mutex_);
   bool wanted = false;
-  bool over = false;
+  bool gone = false;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    wanted = state_.may_run();
-    over = state_.is_over();
+    wanted = state_.may_host_runs();
+    gone = state_.is_gone();
   }
   // A process that has just started knows nothing of its worker; that is no reason to leave.
-  if (!wanted && !over) return;
-  if (wanted == registered_.load() && now - member_checked_ < kCheckMemberEvery) return;
-  member_checked_ = now;
+  if (!wanted && !gone) return;
+  if (wanted == registered_.load() && now - member_checked_at_ < kMemberCheckInterval) return;
+  member_checked_at_ = now;
   const bool listed = members_.agents().count(options_.node) > 0;
   // Planners drop agents that were silent for long.
   if (wanted == registered_.load() && wanted == listed) return;
@@ -354,7 +356,7 @@
       const std::lock_guard<std::mutex> lock(mutex_);
       state_.SetMember(wanted);
     }
-    WakeNews();
+    RequestUpdate();
     LogEvent(LogLevel::kInfo, "agent_registered", {{"node", options_.node}, {"member", wanted}});
   } catch (const Error& error) {
     LogEvent(LogLevel::kWarning, "agent_not_registered", {{"error", error.what()}});
--- a/servers/pool/pool_agent.h
+++ b/servers/pool/pool_agent.h
@@ -29,7 +29,7 @@
   // How long a poll waits at the planner. A planner's word is at most this old when it arrives.
   Duration poll_wait = std::chrono::milliseconds(500);
   // More than this without an answer and the connection counts as lost.
-  Duration poll_patience = std::chrono::milliseconds(700);
+  Duration poll_grace_period = std::chrono::milliseconds(700);
   // How long a look at the worker waits for an end.
   Duration hold_wait = std::chrono::milliseconds(1000);
   // How long a look at the list of members waits for a change.
@@ -51,20 +51,20 @@
   void WorkerLeft(const std::string& worker_id) override;
 
  private:
-  void TalkWithWorker();
-  void TalkWithPlanner();
-  void SendNews();
+  void RunWorkerLoop();
+  void RunPlannerLoop();
+  void RunUpdateLoop();
   // One hold; returns whether the planner should hear of it at once.
   bool HoldOnce(Duration wait);
   // One exchange over `port`.
   PlannerRecord NewestPlanner() const;
   void ExchangeOnce(PlannerClient* port, Duration wait);
   // How long an answer is waited for that the planner may hold back for `wait`.
-  Duration AnswerLimit(Duration wait) const;
-  void CarryOut(const AgentOrders& todo, Time until);
+  Duration ExchangeTimeout(Duration wait) const;
+  void ExecuteOrders(const AgentOrders& new_orders, Time until);
   void StartOne(const StartOrder& order, Time until);
   void StopOne(const RunId& run);
-  void WakeNews();
+  void RequestUpdate();
   // Has the agent stand in the store's list of members, so that a new planner waits for it.
   void EnsureMember(Time now);
   void Pause(Duration pause);
@@ -85,20 +85,20 @@
   AgentState state_;
   std::shared_ptr<PlannerClient> port_;
   // The newest planner that one before it has told of; the store may be out of reach.
-  PlannerRecord told_of_;
+  PlannerRecord redirected_planner_;
   // How far the planner said that it is behind.
-  Duration planner_late_{};
-  bool news_ = false;
+  Duration planner_lag_{};
+  bool update_requested_ = false;
   bool stopping_ = false;
   // Held while the membership is looked at and written.
   std::mutex member_mutex_;
   std::atomic<bool> registered_{false};
-  Time member_checked_{};
+  Time member_checked_at_{};
   ThreadPool orders_;
   // Last, so that they end before what they use.
   Thread worker_thread_;
   Thread planner_thread_;
-  Thread news_thread_;
+  Thread update_thread_;
 };
 
 }  // namespace turmericshift::pool
--- a/servers/pool/pool_entry.cc
+++ b/servers/pool/pool_entry.cc
@@ -40,12 +40,13 @@
 }
 
 void PoolEntry::Join(const std::string& address) {
-  ElectorOptions duty = options_.duty;
-  duty.node = options_.node;
-  duty.address = address;
-  duty.zone = options_.zone;
-  duty.planning_capacity = PlanningCapacity(options_.vm);
-  duty_ = std::make_unique<PlannerElector>(duty, log_, &work_, &members_, connector_, &service_);
+  ElectorOptions elector = options_.elector;
+  elector.node = options_.node;
+  elector.address = address;
+  elector.zone = options_.zone;
+  elector.planning_capacity = PlanningCapacity(options_.vm);
+  elector_ =
+      std::make_unique<PlannerElector>(elector, log_, &work_, &members_, connector_, &service_);
 }
 
 HttpResponse PoolEntry::AnswerReadiness(const HttpRequest& request) const {
@@ -60,7 +61,7 @@
   leaving_.store(true);
   front_.AnswerBy(until - kAnswerReserve);
   LogEvent(LogLevel::kInfo, "leaving", {{"epoch", service_.epoch()}});
-  if (duty_) duty_->Leave();
+  if (elector_) elector_->Leave();
   service_.Release(kReleaseLimit);
   std::this_thread::sleep_for(options_.balancer_notice);
   callers_->StopAccepting();
--- a/servers/pool/pool_entry.h
+++ b/servers/pool/pool_entry.h
@@ -22,7 +22,7 @@
   HttpServerOptions callers;
   HttpServerOptions readiness;
   PlannerServiceOptions planner;
-  ElectorOptions duty;
+  ElectorOptions elector;
   JobFrontOptions front;
   // How long a look at the list of members waits for a change.
   Duration members_wait = std::chrono::seconds(4);
@@ -66,7 +66,7 @@
   MembersView members_;
   PlannerRouter router_;
   PlannerService service_;
-  std::unique_ptr<PlannerElector> duty_;
+  std::unique_ptr<PlannerElector> elector_;
   JobFront front_;
   std::unique_ptr<HttpServer> callers_;
   std::unique_ptr<HttpServer> readiness_;
--- a/servers/pool/pool_load_test.cc
+++ b/servers/pool/pool_load_test.cc
@@ -328,7 +328,7 @@
   LoadFor(seconds(6));
   EXPECT_EQ(EndedSince(stalled, EndKind::kStopped), 0);
   EXPECT_EQ(EndedSince(stalled, EndKind::kLeaseExpired), 0);
-  EXPECT_EQ(EndedSince(stalled, EndKind::kGangIncomplete), 0);
+  EXPECT_EQ(EndedSince(stalled, EndKind::kPartialGang), 0);
   EXPECT_EQ(bed_.planner_late(), Duration::zero());
   EXPECT_EQ(bed_.violations(), std::vector<std::string>());
 }
@@ -355,7 +355,7 @@
   bed_.ReplacePlanner();
   LoadFor(seconds(8));
   EXPECT_EQ(EndedSince(replaced, EndKind::kLeaseExpired), 0);
-  EXPECT_EQ(EndedSince(replaced, EndKind::kGangIncomplete), 0);
+  EXPECT_EQ(EndedSince(replaced, EndKind::kPartialGang), 0);
   EXPECT_EQ(bed_.planner_late(), Duration::zero());
   EXPECT_EQ(bed_.violations(), std::vector<std::string>());
 }
--- a/servers/pool/pool_messages.cc
+++ b/servers/pool/pool_messages.cc
@@ -19,10 +19,10 @@
     {EndKind::kStopped, "stopped"},
     {EndKind::kLeaseExpired, "lapsed"},
     {EndKind::kGangBroken, "broken"},
-    {EndKind::kGangIncomplete, "alone"},
+    {EndKind::kPartialGang, "alone"},
 }};
 
-constexpr int64_t kMostIndex = 1'000'000'000;
+constexpr int64_t kMaxIndex = 1'000'000'000;
 
 }  // namespace
 
@@ -56,9 +56,9 @@
   if (parts.size() != 4 || parts[0].empty()) {
     throw Error(ErrorKind::kInvalidInput, "'" + name + "' names no task");
   }
-  return {parts[0], static_cast<int>(ParseInteger(parts[1], 0, kMostIndex)),
-          static_cast<int>(ParseInteger(parts[2], 0, kMostIndex)),
-          static_cast<int>(ParseInteger(parts[3], 0, kMostIndex))};
+  return {parts[0], static_cast<int>(ParseInteger(parts[1], 0, kMaxIndex)),
+          static_cast<int>(ParseInteger(parts[2], 0, kMaxIndex)),
+          static_cast<int>(ParseInteger(parts[3], 0, kMaxIndex))};
 }
 
 }  // namespace turmericshift::pool
--- a/servers/pool/pool_messages.h
+++ b/servers/pool/pool_messages.h
@@ -28,7 +28,7 @@
 };
 
 // How a run ended at its worker.
-enum class EndKind { kDone, kFailed, kStopped, kLeaseExpired, kGangBroken, kGangIncomplete };
+enum class EndKind { kDone, kFailed, kStopped, kLeaseExpired, kGangBroken, kPartialGang };
 const char* EndKindName(EndKind kind);
 // Throws Error(kInvalidInput) for a name that is none of ours.
 EndKind EndKindFromName(const std::string& name);
--- a/servers/pool/pool_view.cc
+++ b/servers/pool/pool_view.cc
@@ -10,18 +10,18 @@
 
 // All entries together make some 500 reads a second of a topic that changes all the time, however
 // many they are.
-constexpr Duration kGapPerReader = std::chrono::milliseconds(2);
+constexpr Duration kReadIntervalPerReader = std::chrono::milliseconds(2);
 // A planner's sign of life comes by this later, and has to come before it is taken for gone.
-constexpr Duration kLongestGap = std::chrono::milliseconds(120);
+constexpr Duration kMaxReadInterval = std::chrono::milliseconds(120);
 // When all processes start, each of the members' records would otherwise be read apart by all.
-constexpr Duration kGapPerMember = std::chrono::milliseconds(1);
-constexpr Duration kLongestMembersGap = std::chrono::milliseconds(300);
+constexpr Duration kReadIntervalPerMember = std::chrono::milliseconds(1);
+constexpr Duration kMaxMembersReadInterval = std::chrono::milliseconds(300);
 
-Duration GapFor(size_t count, Duration each, Duration longest) {
+Duration ReadIntervalFor(size_t count, Duration each, Duration longest) {
   return std::min(each * static_cast<int64_t>(count), longest);
 }
 
-void LogBadRecord(const char* topic, const KeyedRecord& record, const Error& error) {
+void LogSkippedRecord(const char* topic, const KeyedRecord& record, const Error& error) {
   LogEvent(
       LogLevel::kWarning, "record_skipped",
       {{"topic", topic}, {"key", record.key}, {"offset", record.offset}, {"error", error.what()}});
@@ -32,10 +32,13 @@
 WorkView::WorkView(KeyedLog* log) {
   FollowerOptions options;
   options.topic = kWorkTopic;
-  options.gap = [this] { return GapFor(readers_.load(), kGapPerReader, kLongestGap); };
+  options.read_gap = [this] {
+    return ReadIntervalFor(readers_.load(), kReadIntervalPerReader, kMaxReadInterval);
+  };
   follower_ = std::make_unique<TopicFollower>(
       options, log, [this](const KeyedRecord& record) { TakeRecord(record); },
-      [this](Offset end, Time asked) { CaughtUp(end, asked); }, [this] { Restart(); });
+      [this](Offset end, Time requested_at) { CaughtUp(end, requested_at); },
+      [this] { Restart(); });
 }
 
 void WorkView::Restart() {
@@ -49,11 +52,11 @@
   try {
     (rebuilding_ ? *rebuilding_ : book_).Apply(record);
   } catch (const Error& error) {
-    LogBadRecord(kWorkTopic, record, error);
+    LogSkippedRecord(kWorkTopic, record, error);
   }
 }
 
-void WorkView::CaughtUp(Offset end, Time asked) {
+void WorkView::CaughtUp(Offset end, Time requested_at) {
   const std::lock_guard<std::mutex> lock(mutex_);
   if (rebuilding_) {
     book_ = std::move(*rebuilding_);
@@ -62,21 +65,21 @@
     newest_record_at_ = LeaseClock().Now();
   }
   end_ = end;
-  freshness_.asked = asked;
+  freshness_.requested_at = requested_at;
 }
 
-LeadershipView WorkView::duty() const {
+LeadershipView WorkView::leadership() const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return DutyLocked();
+  return LeadershipLocked();
 }
 
-LeadershipView WorkView::DutyLocked() const {
+LeadershipView WorkView::LeadershipLocked() const {
   return {book_.planner(), end_, freshness_, newest_record_at_};
 }
 
-JobBook WorkView::book(LeadershipView* duty) const {
+JobBook WorkView::book(LeadershipView* leadership) const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  *duty = DutyLocked();
+  *leadership = LeadershipLocked();
   return book_;
 }
 
@@ -103,7 +106,7 @@
   options.topic = decoder_->topic();
   follower_ = std::make_unique<TopicFollower>(
       options, log, [this](const KeyedRecord& record) { TakeRecord(record); },
-      [this](Offset end, Time asked) { CaughtUp(end, asked); },
+      [this](Offset end, Time requested_at) { CaughtUp(end, requested_at); },
       [this] {
         const std::lock_guard<std::mutex> lock(mutex_);
         // Zones may have come back meanwhile; the document is kept, since versions never go back.
@@ -114,15 +117,15 @@
 
 void OperatorView::TakeRecord(const KeyedRecord& record) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  const int64_t before = next_.config.version;
+  const int64_t previous_version = next_.config.version;
   try {
     OperatorState state = next_;
     decoder_->Apply(record, &state);
-    if (state.config.version < before) state.config = next_.config;
+    if (state.config.version < previous_version) state.config = next_.config;
     next_ = std::move(state);
     changed_ = true;
   } catch (const Error& error) {
-    LogBadRecord("operators", record, error);
+    LogSkippedRecord("operators", record, error);
     return;
   }
   LogEvent(LogLevel::kInfo, "operators_said",
@@ -132,11 +135,11 @@
             {"zones_out", next_.zones_out}});
 }
 
-void OperatorView::CaughtUp(Offset /*end*/, Time asked) {
+void OperatorView::CaughtUp(Offset /*end*/, Time requested_at) {
   const std::lock_guard<std::mutex> lock(mutex_);
   if (changed_) state_ = std::make_shared<const OperatorState>(next_);
   changed_ = false;
-  freshness_.asked = asked;
+  freshness_.requested_at = requested_at;
 }
 
 std::shared_ptr<const OperatorState> OperatorView::state() const {
@@ -152,13 +155,15 @@
 MembersView::MembersView(KeyedLog* log, Duration wait) {
   FollowerOptions options;
   options.topic = kMembersTopic;
-  options.wait = wait;
-  options.gap = [this] { return GapFor(size(), kGapPerMember, kLongestMembersGap); };
+  options.poll_wait = wait;
+  options.read_gap = [this] {
+    return ReadIntervalFor(size(), kReadIntervalPerMember, kMaxMembersReadInterval);
+  };
   follower_ = std::make_unique<TopicFollower>(
       options, log, [this](const KeyedRecord& record) { TakeRecord(record); },
-      [this](Offset /*end*/, Time asked) {
+      [this](Offset /*end*/, Time requested_at) {
         const std::lock_guard<std::mutex> lock(mutex_);
-        freshness_.asked = asked;
+        freshness_.requested_at = requested_at;
       },
       [this] {
         const std::lock_guard<std::mutex> lock(mutex_);
@@ -176,7 +181,7 @@
   try {
     entries_[node] = DecodeEntry(record.value);
   } catch (const Error& error) {
-    LogBadRecord(kMembersTopic, record, error);
+    LogSkippedRecord(kMembersTopic, record, error);
   }
 }
 
@@ -199,7 +204,7 @@
     if (planner.epoch < planner_.epoch) return;
     planner_ = std::move(planner);
   } catch (const Error& error) {
-    LogBadRecord(kMembersTopic, record, error);
+    LogSkippedRecord(kMembersTopic, record, error);
     return;
   }
   LogEvent(LogLevel::kInfo, "planner_heard",
--- a/servers/pool/pool_view.h
+++ b/servers/pool/pool_view.h
@@ -28,9 +28,11 @@
 // A topic's view with the moment at which the store was asked for what it shows.
 struct Freshness {
   // Nothing has been read yet while this is empty.
-  std::optional<Time> asked;
+  std::optional<Time> requested_at;
 
-  bool within(Duration limit, Time now) const { return asked && now - *asked < limit; }
+  bool within(Duration limit, Time now) const {
+    return requested_at && now - *requested_at < limit;
+  }
 };
 
 // What a claim on the planner's duty rests on.
@@ -47,9 +49,9 @@
   // Follows the work topic from now on.
   explicit WorkView(KeyedLog* log);
 
-  LeadershipView duty() const;
+  LeadershipView leadership() const;
   // A copy of everything, and what a claim made from it rests on, as of the same moment.
-  JobBook book(LeadershipView* duty) const;
+  JobBook book(LeadershipView* leadership) const;
   // Empty when the job is unknown to this view.
   std::optional<JobState> StateOf(const std::string& id) const;
   int Waiting(const std::string& queue) const;
@@ -59,9 +61,9 @@
 
  private:
   void TakeRecord(const KeyedRecord& record);
-  void CaughtUp(Offset end, Time asked);
+  void CaughtUp(Offset end, Time requested_at);
   void Restart();
-  LeadershipView DutyLocked() const;
+  LeadershipView LeadershipLocked() const;
 
   mutable std::mutex mutex_;
   JobBook book_;
@@ -85,7 +87,7 @@
 
  private:
   void TakeRecord(const KeyedRecord& record);
-  void CaughtUp(Offset end, Time asked);
+  void CaughtUp(Offset end, Time requested_at);
 
   const std::unique_ptr<OperatorDecoder> decoder_;
   mutable std::mutex mutex_;
--- a/servers/pool/topic_follower.cc
+++ b/servers/pool/topic_follower.cc
@@ -23,7 +23,7 @@
   while (!stopping_.load()) {
     try {
       from = from == kNoOffset ? ReadNewest() : ReadOn(from);
-      NoteSuccess(LeaseClock().Now());
+      LogStoreRegained(LeaseClock().Now());
     } catch (const Error& error) {
       if (error.kind() == ErrorKind::kTrimmed) {
         // The history was dropped; the newest record of each key is still there.
@@ -31,8 +31,8 @@
         from = kNoOffset;
         continue;
       }
-      NoteFailure(error, LeaseClock().Now());
-      std::this_thread::sleep_for(options_.pause);
+      LogStoreLost(error, LeaseClock().Now());
+      std::this_thread::sleep_for(options_.retry_interval);
     }
   }
 }
@@ -40,15 +40,15 @@
 Offset TopicFollower::ReadNewest() {
   std::vector<KeyedRecord> records;
   Offset begin = kNoOffset;
-  Time asked{};
+  Time requested_at{};
   std::string after;
   while (true) {
     const Time now = LeaseClock().Now();
-    const KeyedPage page = log_->Newest(options_.topic, after, options_.patience);
+    const KeyedPage page = log_->Newest(options_.topic, after, options_.answer_grace_period);
     // Records that come while the pages are read lie after the first page's end.
     if (begin == kNoOffset) {
       begin = page.end;
-      asked = now;
+      requested_at = now;
     }
     records.insert(records.end(), page.records.begin(), page.records.end());
     if (!page.more || page.records.empty()) break;
@@ -56,35 +56,37 @@
   }
   on_restart_();
   for (const KeyedRecord& record : records) on_record_(record);
-  on_caught_up_(begin, asked);
+  on_caught_up_(begin, requested_at);
   return begin;
 }
 
 Offset TopicFollower::ReadOn(Offset from) {
-  const Time asked = LeaseClock().Now();
+  const Time requested_at = LeaseClock().Now();
   // A store that may be away is asked for an answer at once: a call that hangs then ends sooner,
   // and the next one finds the store back sooner.
-  const Duration wait = lost_since_ ? Duration::zero() : options_.wait;
-  const KeyedBatch batch = log_->Read(options_.topic, from, wait, wait + options_.patience);
+  const Duration wait = lost_since_ ? Duration::zero() : options_.poll_wait;
+  const KeyedBatch batch =
+      log_->Read(options_.topic, from, wait, wait + options_.answer_grace_period);
   for (const KeyedRecord& record : batch.records) on_record_(record);
   const Offset next = from + static_cast<Offset>(batch.records.size());
   if (next < batch.end) return next;
   // An answer without records was made when the wait was over, not when it was asked for. Clocks
   // differ, so that the store's wait may end a little early.
-  const Duration sure_wait = wait * 9 / 10;
-  const bool waited = batch.records.empty() && LeaseClock().Now() - asked >= sure_wait;
-  on_caught_up_(next, waited ? asked + sure_wait : asked);
-  if (!batch.records.empty() && options_.gap) std::this_thread::sleep_for(options_.gap());
+  const Duration certain_wait = wait * 9 / 10;
+  const bool ran_full_wait =
+      batch.records.empty() && LeaseClock().Now() - requested_at >= certain_wait;
+  on_caught_up_(next, ran_full_wait ? requested_at + certain_wait : requested_at);
+  if (!batch.records.empty() && options_.read_gap) std::this_thread::sleep_for(options_.read_gap());
   return next;
 }
 
-void TopicFollower::NoteFailure(const Error& error, Time now) {
+void TopicFollower::LogStoreLost(const Error& error, Time now) {
   if (lost_since_) return;
   lost_since_ = now;
   LogEvent(LogLevel::kWarning, "store_lost", {{"topic", options_.topic}, {"error", error.what()}});
 }
 
-void TopicFollower::NoteSuccess(Time now) {
+void TopicFollower::LogStoreRegained(Time now) {
   if (!lost_since_) return;
   LogEvent(LogLevel::kInfo, "store_regained",
            {{"topic", options_.topic}, {"after_s", Seconds(now - *lost_since_)}});
--- a/servers/pool/topic_follower.h
+++ b/servers/pool/topic_follower.h
@@ -15,15 +15,15 @@
 struct FollowerOptions {
   std::string topic;
   // How long one poll waits for news. Freshness is known to within this.
-  Duration wait = std::chrono::seconds(1);
+  Duration poll_wait = std::chrono::seconds(1);
   // A poll that is not answered so long after its wait has lost its connection.
-  Duration patience = std::chrono::milliseconds(700);
+  Duration answer_grace_period = std::chrono::milliseconds(700);
   // Pause after a failed call: the store may be refusing everyone, and is not to be flooded.
-  Duration pause = std::chrono::milliseconds(100);
+  Duration retry_interval = std::chrono::milliseconds(100);
   // After news the next poll is sent no sooner than this, so that what comes in quick succession is
   // read in one call.
   // None while it is not set; called on the follower's thread.
-  std::function<Duration()> gap;
+  std::function<Duration()> read_gap;
 };
 
 class TopicFollower {
@@ -31,7 +31,7 @@
   // Called on the follower's thread for each record, in order.
   using OnRecord = std::function<void(const KeyedRecord&)>;
   // Called when the view has reached `end`, where the store stood at or after `asked`.
-  using OnCaughtUp = std::function<void(Offset end, Time asked)>;
+  using OnCaughtUp = std::function<void(Offset end, Time requested_at)>;
   // Called before the records of a new start from the newest of each key.
   using OnRestart = std::function<void()>;
 
@@ -47,8 +47,8 @@
   Offset ReadNewest();
   // One long poll, and the gap after news; returns the offset to go on from.
   Offset ReadOn(Offset from);
-  void NoteFailure(const Error& error, Time now);
-  void NoteSuccess(Time now);
+  void LogStoreLost(const Error& error, Time now);
+  void LogStoreRegained(Time now);
 
   const FollowerOptions options_;
   KeyedLog* const log_;
--- a/servers/pool/topic_follower_test.cc
+++ b/servers/pool/topic_follower_test.cc
@@ -16,7 +16,7 @@
 constexpr Duration kWait = milliseconds(400);
 
 // A store whose clock runs a little fast, so that its waits end early by the reader's.
-class HastyLog : public MemoryKeyedLog {
+class FastClockLog : public MemoryKeyedLog {
  public:
   KeyedBatch Read(const std::string& topic, Offset from, Duration wait, Duration timeout) override {
     return MemoryKeyedLog::Read(topic, from, wait * 95 / 100, timeout);
@@ -27,19 +27,19 @@
 // were asked for, the view would look up to two waits old, and an entry that is in touch all the
 // while would think that it is not, and never follow a planner that fell silent.
 TEST(TopicFollower, CountsAnEmptyPollFromItsEndThoughTheStoreIsABitEarly) {
-  HastyLog log;
+  FastClockLog log;
   std::mutex mutex;
   std::condition_variable changed;
   std::vector<Duration> ages;
   FollowerOptions options;
   options.topic = "t";
-  options.wait = kWait;
+  options.poll_wait = kWait;
   {
     const TopicFollower follower(
         options, &log, [](const KeyedRecord& /*record*/) {},
-        [&](Offset /*end*/, Time asked) {
+        [&](Offset /*end*/, Time requested_at) {
           const std::lock_guard<std::mutex> lock(mutex);
-          ages.push_back(LeaseClock().Now() - asked);
+          ages.push_back(LeaseClock().Now() - requested_at);
           changed.notify_all();
         },
         [] {});
@@ -69,8 +69,8 @@
   std::atomic<int> seen{0};
   FollowerOptions options;
   options.topic = "t";
-  options.wait = kWait;
-  options.gap = [] { return milliseconds(300); };
+  options.poll_wait = kWait;
+  options.read_gap = [] { return milliseconds(300); };
   {
     const TopicFollower follower(
         options, &log, [&](const KeyedRecord& /*record*/) { seen.fetch_add(1); },
@@ -94,7 +94,7 @@
   int restarts = 0;
   FollowerOptions options;
   options.topic = "t";
-  options.wait = milliseconds(50);
+  options.poll_wait = milliseconds(50);
   {
     const TopicFollower follower(
         options, &log,
--- a/servers/pool/unresolved_calls.h
+++ b/servers/pool/unresolved_calls.h
@@ -19,7 +19,7 @@
 
  private:
   mutable std::mutex mutex_;
-  std::map<std::string, Time> noted_;
+  std::map<std::string, Time> noted_at_;
 };
 
 }  // namespace turmericshift::pool
--- a/tests/stand_ins/pool_bed.cc
+++ b/tests/stand_ins/pool_bed.cc
@@ -246,8 +246,7 @@
       if (step.checkpoints) live.checkpoint = std::to_string(live.worked.count());
       over.push_back({run, EndKind::kStopped});
     } else if (step.gang && !GangComplete(run)) {
-      if (now_ - live.alone_since > bounds_.gang_wait)
-        over.push_back({run, EndKind::kGangIncomplete});
+      if (now_ - live.alone_since > bounds_.gang_wait) over.push_back({run, EndKind::kPartialGang});
     } else {
       if (!worker->stuck) live.worked += kTick;
       live.alone_since = now_;
