--- a/servers/pool/agent_state.cc
+++ b/servers/pool/agent_state.cc
@@ -7,20 +7,20 @@
 namespace turmericshift::pool {
 namespace {
 
-// A worker's steady clock may be 2% slow, so a lease lasts that much longer than it says.
+// A worker's monotonic clock may run 2% slow, so a lease may last that much longer than stated.
 constexpr double kClockDriftFactor = 1.02;
-// More ends than this wait for the next report.
+// Further ends are sent with the next report.
 constexpr size_t kMaxEndsPerReport = 200;
-// An order is repeated until its outcome is known to the planner, which takes seconds at most. One
-// that were forgotten sooner could be carried out twice.
+// The planner repeats an order until it knows the outcome, which takes seconds at most. An order
+// forgotten earlier could be carried out twice.
 constexpr Duration kOrderRetention = std::chrono::seconds(60);
 
 int64_t Millis(Duration duration) {
   return duration_cast<std::chrono::milliseconds>(duration).count();
 }
 
-// A start that the worker carries out seconds late, two at least, finds its own deadline over and
-// is refused. Leases are kept by holds, which reach further and come each second.
+// Limits the lease of a start, so that a worker which processes the start seconds late (at least 2
+// s) finds it expired and refuses it. Holds, sent every second, extend leases further.
 constexpr Duration kStartValidity = std::chrono::milliseconds(1600);
 
 bool Contains(const std::vector<RunningTask>& running, const RunId& run) {
@@ -56,14 +56,14 @@
 }
 
 void AgentState::TakeAnnouncement(const WorkerAnnouncement& announcement) {
-  const int64_t born = announcement.facts.start_time_ms;
-  // A late word of a life that is over.
-  if (born < facts_.start_time_ms) return;
-  if (born > facts_.start_time_ms) ResetForIncarnation(born);
+  const int64_t start_time_ms = announcement.facts.start_time_ms;
+  // A delayed announcement of a previous incarnation.
+  if (start_time_ms < facts_.start_time_ms) return;
+  if (start_time_ms > facts_.start_time_ms) ResetForIncarnation(start_time_ms);
   if (announcement.sequence <= announced_sequence_) return;
   announced_sequence_ = announcement.sequence;
   const bool reachable = facts_.reachable;
-  // A worker that has said that it leaves does not come back in the same life.
+  // A worker that has announced that it leaves does not return within the same incarnation.
   const bool draining = facts_.draining || announcement.facts.draining;
   facts_ = announcement.facts;
   facts_.reachable = reachable;
@@ -80,8 +80,8 @@
 bool AgentState::TakeLists(const WorkerLists& lists, int64_t fence, Time sent, Time now) {
   if (lists.start_time_ms < facts_.start_time_ms) return false;
   if (lists.start_time_ms > facts_.start_time_ms) ResetForIncarnation(lists.start_time_ms);
-  // The worker has heard of the highest fence before the later of two answers was made, whichever
-  // of them is read first.
+  // Two answers may be read out of order. The worker had seen the highest fence before it made the
+  // later one, so the maximum counts.
   const int64_t lists_epoch = std::max(lists_epoch_, fence);
   bool report_needed = lists_epoch_ != lists_epoch || !facts_.reachable;
   facts_.reachable = true;
@@ -94,14 +94,15 @@
     return std::any_of(ended_.begin(), ended_.end(),
                        [&](const auto& row) { return row.second.run == run; });
   };
-  // Two looks at the worker may be under way at once, and their answers overtake each other. Taken
-  // for news, the older list would bring back a run whose end the planner has taken in; one notices
-  // by a task that nobody works on and that never starts again.
+  // Two holds may be in flight at the same time and their answers may be read out of order. An
+  // older list must not be used: it would restore a run whose end the planner has already
+  // processed. The symptom is a task that no worker runs and that is never started again.
   if (worker_clock_ && lists.clock < *worker_clock_) return report_needed;
   worker_clock_ = lists.clock;
   worker_clock_read_at_ = now;
   running_ = lists.running;
-  // Both answers may be of one millisecond of the worker's clock.
+  // Both answers may carry the same millisecond of the worker's clock; an end then takes
+  // precedence.
   std::erase_if(running_, [&](const RunningTask& task) { return has_ended(task.run); });
   for (auto& [run, start] : starts_) {
     if (start.phase != StartPhase::kUncertain) continue;
@@ -115,9 +116,9 @@
       ++stop;
       continue;
     }
-    // Neither there nor ended, and the worker will refuse it from now on.
+    // The run neither runs nor has ended, and the worker will refuse it from now on.
     if (!Contains(running_, stop->first) && !has_ended(stop->first)) {
-      SetResult(stop->first, StartOutcome::kNotRun, "stopped before it began");
+      SetResult(stop->first, StartOutcome::kNotRun, "stopped before the start");
       starts_[stop->first].phase = StartPhase::kNotRunning;
       report_needed = true;
     }
@@ -211,8 +212,8 @@
 
 std::optional<WorkerMillis> AgentState::LeaseUntil(Time now) const {
   if (!worker_clock_ || lease_until_ <= now) return std::nullopt;
-  // The worker's clock read `worker_clock_` no later than `worker_clock_read_at_`, so this ends no
-  // later than `lease_until_` but for the clock's own slack.
+  // The worker's clock showed `worker_clock_` no later than `worker_clock_read_at_`, so this
+  // expires no later than `lease_until_`, except for the drift of the worker's clock.
   return WorkerClock(now) + Millis(lease_until_ - now);
 }
 
@@ -248,15 +249,15 @@
                                                   std::string* reason, Time now) const {
   const std::optional<WorkerMillis> lease = LeaseUntil(now);
   if (now >= until) {
-    *reason = "the order is too old";
+    *reason = "the order has expired";
   } else if (facts_.draining) {
-    *reason = "the worker leaves";
+    *reason = "the worker is draining";
   } else if (stops_.count(order.run) > 0) {
-    *reason = "stopped before it was sent";
+    *reason = "stopped before the start was sent";
   } else if (!lease) {
     *reason = "no lease";
   } else if (lists_epoch_ != epoch_) {
-    *reason = "the worker has not been read under this planner";
+    *reason = "the worker has not answered under this planner's epoch";
   } else {
     StartCall call;
     call.worker_id = facts_.id;
@@ -282,7 +283,7 @@
 
 void AgentState::TakeStartAnswer(const RunId& run, OrderAnswer answer) {
   const auto found = starts_.find(run);
-  // The worker has begun a new life meanwhile.
+  // A new incarnation of the worker has started in the meantime.
   if (found == starts_.end()) return;
   switch (answer) {
     case OrderAnswer::kAccepted:
@@ -315,12 +316,12 @@
 
 void AgentState::TakeStopAnswer(const RunId& run, OrderAnswer answer, Time now) {
   if (answer == OrderAnswer::kAccepted || answer == OrderAnswer::kStaleRun) {
-    // The planner repeats a stop until it hears what came of it. The first one counts: looks at the
-    // worker take longer than its polls, so that none would come late enough after the newest.
+    // The planner repeats a stop until it knows the result. The time of the first answer counts:
+    // holds take longer than the planner's polls, so no hold would be sent after the newest answer.
     stopped_at_.try_emplace(run, now);
     return;
   }
-  // Asked for again with the planner's next answer.
+  // The planner's next answer requests the stop again.
   stops_.erase(run);
 }
 
--- a/servers/pool/agent_state.h
+++ b/servers/pool/agent_state.h
@@ -1,6 +1,6 @@
-// What an agent knows of its worker and of its planner, and what follows: until when runs may go
-// on, whether a start may be carried out. Plain decisions with the time passed in; PoolAgent has
-// the threads.
+// State of an agent: what it knows about its worker and its planner, and the decisions that follow,
+// such as until when runs may continue and whether a start may be carried out. Has no threads and
+// no clock of its own (the time is passed in); PoolAgent runs the threads.
 #pragma once
 
 #include <map>
@@ -17,59 +17,62 @@
  public:
   AgentState(const std::string& node, const std::string& zone, const std::string& incarnation);
 
-  // The worker.
+  // Calls and announcements of the worker.
   void TakeAnnouncement(const WorkerAnnouncement& announcement);
   void TakeDeparture(const std::string& worker_id);
-  // The answer to a hold under `fence` that was sent at `sent`; nothing older can be carried out
-  // after it. Returns whether there is anything that the planner should hear at once.
+  // Handles the answer to a hold that was sent at `sent` under `fence`. The worker no longer
+  // executes orders with a lower fencing token after that answer. Returns whether the planner
+  // should be informed immediately.
   bool TakeLists(const WorkerLists& lists, int64_t fence, Time sent, Time now);
-  // The worker did not answer, or not as the one that is meant.
+  // The worker did not answer, or another incarnation answered.
   void WorkerFailed(OrderAnswer answer);
 
-  // The planner. Orders of a lower epoch than the highest one seen are dropped.
-  // `sent`: when the report was sent that these orders answer. Returns what is new to do.
+  // Handles the orders in the answer to a report that was sent at `sent`, and returns those that
+  // are new. Orders of an epoch below the highest one seen are dropped.
   AgentOrders TakeOrders(const AgentOrders& orders, Time sent, Time now);
-  // A planner of this epoch has been heard of; older ones are obeyed no more.
+  // Notes that a planner of this epoch exists. Orders of older planners are ignored from now on.
   void RaiseEpoch(int64_t epoch);
   int64_t epoch() const { return epoch_; }
 
-  // Everything that the planner should know, as of now.
+  // Returns the report to the planner, as of `now`.
   AgentReport Report(Duration wait, Time now);
-  // The planner has taken the report in.
+  // The planner has processed the report.
   void ReportTaken(const AgentReport& report);
 
-  // The next hold: what is acknowledged, and until when runs may go on.
+  // Returns the next hold, which acknowledges ends and renews the lease.
   HoldCall NextHold(Duration wait, Time now) const;
-  // A call that passes a lease until `lease_until` on is about to be sent: what runs may have it
-  // from now on, long before an answer comes.
+  // A call that grants a lease until `lease_until` is about to be sent. The worker may have the
+  // lease from now on, long before an answer arrives.
   void NoteLeaseSent(std::optional<WorkerMillis> lease_until);
-  // A call that was to pass a lease until `lease_until` on has been answered so. A worker that
-  // refused the connection has not got it.
+  // A call that grants a lease until `lease_until` has returned `answer`. A worker that refused the
+  // connection has not received the lease.
   void NoteLeaseAnswered(std::optional<WorkerMillis> lease_until, OrderAnswer answer, Time now);
 
-  // Whether a start that was ordered may be carried out now, and with which lease; otherwise why
-  // not. `until`: when the order goes out of date.
+  // Returns the call for an ordered start, including its lease, if it may be carried out now;
+  // otherwise sets `reason`. `until`: when the order expires.
   std::optional<StartCall> PrepareStart(const StartOrder& order, Time until, std::string* reason,
                                         Time now) const;
   void TakeStartAnswer(const RunId& run, OrderAnswer answer);
-  // A start was not even sent.
+  // A start was not sent to the worker.
   void StartNotSent(const RunId& run, const std::string& reason);
-  // The worker answered a stop: the run is over, or will show among the ends.
+  // The worker answered a stop. If it accepted, the run is over or will appear among the ends.
   void TakeStopAnswer(const RunId& run, OrderAnswer answer, Time now);
-  // Runs whose start went unanswered and which have not turned up: to be stopped.
+  // Runs whose start was not answered and which have not appeared in the worker's lists. They have
+  // to be stopped.
   std::vector<RunId> UncertainRuns() const;
 
   const WorkerFacts& worker() const { return facts_; }
-  // Something may come to run at the worker, so that a new planner has to hear of it first.
+  // Whether something may run on the worker, so that a new planner has to wait for this agent's
+  // report.
   bool may_host_runs() const { return !running_.empty() || (!facts_.id.empty() && !departed_); }
-  // The worker has gone for good and left nothing behind.
+  // Whether the worker has left for good and nothing runs on it.
   bool is_gone() const { return departed_ && running_.empty(); }
-  // Whether the agent stands among the members. Until then the planner hears of no worker here that
-  // it could use.
+  // Sets whether the agent is registered in the members topic. Until then its reports name no
+  // worker, so that the planner uses none here.
   void SetMember(bool member) { member_ = member; }
 
  private:
-  // Where a run that this agent was ordered to start stands.
+  // Phase of a run that this agent was ordered to start.
   enum class StartPhase { kSending, kUncertain, kStarted, kNotRunning };
   struct StartState {
     StartPhase phase = StartPhase::kSending;
@@ -77,12 +80,12 @@
   };
 
   void ResetForIncarnation(int64_t start_time_ms);
-  // Forgets orders that no answer on its way can repeat any more.
+  // Forgets orders that no answer in flight can repeat any more.
   void ForgetExpiredOrders(Time now);
   void SetResult(const RunId& run, StartOutcome outcome, const std::string& reason);
-  // When a lease until `lease_until` has surely run out.
+  // Time by which a lease until `lease_until` has expired, allowing for clock drift.
   Time LeaseExpiry(WorkerMillis lease_until, Time now) const;
-  // The worker's clock at `now` is at least this.
+  // Lower bound of the worker's clock at `now`.
   WorkerMillis WorkerClock(Time now) const;
   std::optional<WorkerMillis> LeaseUntil(Time now) const;
 
@@ -91,7 +94,7 @@
   const std::string incarnation_;
   WorkerFacts facts_;
   int64_t announced_sequence_ = -1;
-  // The worker has taken its leave.
+  // Whether the worker has announced that it has left.
   bool departed_ = false;
   bool member_ = false;
 
@@ -99,13 +102,13 @@
   int64_t lists_epoch_ = 0;
   int64_t orders_seen_ = 0;
   int64_t report_sequence_ = 0;
-  // Runs may go on until then, by this agent's clock.
+  // Expiry of the lease granted by the planner, by this agent's clock.
   Time lease_until_{};
-  // Whatever got a lease from this agent has run out by then.
+  // Time by which every lease granted by this agent has expired.
   Time granted_lease_expiry_{};
-  // Leases of calls that are under way.
+  // Leases granted by calls that have not been answered yet.
   std::multiset<WorkerMillis> leases_in_flight_;
-  // The worker's clock as of the newest answer, and when that came.
+  // The worker's clock in its newest answer, and when that answer arrived.
   std::optional<WorkerMillis> worker_clock_;
   Time worker_clock_read_at_{};
 
@@ -115,8 +118,7 @@
 
   std::map<RunId, StartState> starts_;
   std::set<RunId> stops_;
-  // Stops that were answered, with the time: a hold sent after that shows whether the run was
-  // there.
+  // When stops were answered. A hold sent after that shows whether the run existed.
   std::map<RunId, Time> stopped_at_;
   std::map<RunId, StartResult> results_;
 };
--- a/servers/pool/agent_state_test.cc
+++ b/servers/pool/agent_state_test.cc
@@ -9,7 +9,7 @@
 
 using std::chrono::milliseconds;
 
-// An agent that knows its worker and obeys planner 1.
+// An agent that knows its worker and follows planner 1.
 struct Agent {
   Agent() : state("n", "a", "first") {
     WorkerAnnouncement announcement;
@@ -49,7 +49,7 @@
     });
   }
 
-  // The call of a start that has just been ordered.
+  // Returns the call for a start that has just been ordered.
   StartCall PrepareCall(const RunId& run) {
     state.TakeOrders(Orders(), now, now);
     std::string reason;
@@ -65,11 +65,11 @@
 
 const RunId kRun = {{"j", 0, 0, 0}, 7};
 
-// Two looks at the worker are under way at once, as when a planner has just been followed, and the
-// answers overtake each other: the one that was made first is read last. It lists a run that the
-// other has told the end of, and a planner that believed it would take the run for running for
-// good: its task never starts again, and the caller waits for a job that nobody works on.
-TEST(AgentState, HeedsNoListThatIsOlderThanTheOneItHas) {
+// Two holds are in flight, as after a change of planner, and the older answer is read last. It
+// lists a run whose end the newer one has reported. A planner that believed it would consider the
+// run alive forever: its task never starts again and the caller waits for a job that no worker
+// runs.
+TEST(AgentState, IgnoresListOlderThanCurrentOne) {
   Agent agent;
   WorkerLists newer = agent.Lists({});
   newer.clock = 1010;
@@ -81,9 +81,9 @@
   EXPECT_TRUE(agent.state.Report(Duration::zero(), agent.now).running.empty());
 }
 
-// Both answers were made within one millisecond of the worker's clock, so that it does not tell
-// which is the older one; the end does.
-TEST(AgentState, BelievesAnEndBeforeAListOfTheSameMoment) {
+// Both answers carry the same millisecond of the worker's clock, which doesn't tell which one is
+// older. The reported end does.
+TEST(AgentState, PrefersEndOverListWithSameClockValue) {
   Agent agent;
   WorkerLists newer = agent.Lists({});
   newer.ended = {{1, kRun, EndKind::kStopped, ""}};
@@ -92,10 +92,10 @@
   EXPECT_TRUE(agent.state.Report(Duration::zero(), agent.now).running.empty());
 }
 
-// An answer under the planner before is read after one under the planner that followed it. The
-// planner would take the agent for unheard until the next look at the worker, a second later, and
-// start nothing that may still run there meanwhile.
-TEST(AgentState, GoesOnBeingHeardWhenAnAnswerToThePlannerBeforeComesLate) {
+// An answer under the previous planner's epoch is read after one under the new epoch. If it
+// counted, the planner would consider the agent unread until the next hold, a second later, and
+// start nothing that may still run there.
+TEST(AgentState, KeepsEpochWhenAnswerUnderPreviousEpochArrivesLate) {
   Agent agent;
   agent.state.RaiseEpoch(2);
   agent.state.TakeLists(agent.Lists({}), 2, agent.now, agent.now);
@@ -103,11 +103,10 @@
   EXPECT_EQ(agent.state.Report(Duration::zero(), agent.now).epoch, 2);
 }
 
-// The planner takes a start back before the agent was told of it, and repeats the stop with every
-// answer until it hears what became of the run. Looks at the worker take longer than the planner's
-// polls; were each repetition to count as a new stop, no look would ever be late enough to settle
-// it, and the task would never start again.
-TEST(AgentState, SettlesAStopThatIsRepeatedFasterThanTheWorkerIsLookedAt) {
+// The planner withdraws a start before the agent knows of it and repeats the stop with every answer
+// until it knows the result. Holds take longer than the planner's polls; if each repetition counted
+// as a new stop, no hold would be late enough to settle it, and the task would never start again.
+TEST(AgentState, SettlesStopRepeatedFasterThanHoldsAreAnswered) {
   Agent agent;
   AgentOrders orders = agent.Orders();
   orders.stops = {kRun};
@@ -127,9 +126,9 @@
   EXPECT_TRUE(settled);
 }
 
-// The worker does not answer a start, and carries it out seconds later or never. Until its lists
-// or a stop have settled it, the agent says neither that it runs nor that it does not.
-TEST(AgentState, SaysNothingOfAStartWithoutAnAnswerUntilItIsSettled) {
+// The worker does not answer a start and carries it out seconds later or never. Until its lists or
+// a stop settle the matter, the agent reports neither that the task runs nor that it does not.
+TEST(AgentState, ReportsNoResultForUnansweredStartUntilSettled) {
   Agent agent;
   AgentOrders orders = agent.Orders();
   orders.starts = {{kRun, "payload", "", ""}};
@@ -142,7 +141,7 @@
   EXPECT_TRUE(agent.ReportsResult(kRun, StartOutcome::kStarted));
 }
 
-TEST(AgentState, CarriesAnOrderOutOnceThoughItIsRepeated) {
+TEST(AgentState, ExecutesRepeatedOrderOnce) {
   Agent agent;
   AgentOrders orders = agent.Orders();
   orders.starts = {{kRun, "payload", "", ""}};
@@ -150,8 +149,8 @@
   EXPECT_TRUE(agent.state.TakeOrders(orders, agent.now, agent.now).starts.empty());
 }
 
-// A planner that has been followed does not know it yet and goes on giving orders.
-TEST(AgentState, ObeysNoOlderPlanner) {
+// A planner that has been succeeded may not know it yet and continues to send orders.
+TEST(AgentState, IgnoresOrdersOfOlderPlanner) {
   Agent agent;
   agent.state.RaiseEpoch(2);
   AgentOrders orders = agent.Orders();
@@ -159,8 +158,8 @@
   EXPECT_TRUE(agent.state.TakeOrders(orders, agent.now, agent.now).starts.empty());
 }
 
-// The VM sleeps between an order and its being carried out, or the planner has been silent since.
-TEST(AgentState, StartsNothingThatIsOutOfDateOrWithoutALease) {
+// The VM was suspended between an order and its execution, or the planner has not answered since.
+TEST(AgentState, RejectsStartThatExpiredOrHasNoLease) {
   Agent agent;
   const StartOrder order = {kRun, "payload", "", ""};
   std::string reason;
@@ -171,7 +170,7 @@
   EXPECT_FALSE(agent.state.PrepareStart(order, agent.now, &reason, agent.now));
 }
 
-TEST(AgentState, StartsNothingOnAWorkerThatLeaves) {
+TEST(AgentState, RejectsStartOnDrainingWorker) {
   Agent agent;
   agent.state.TakeOrders(agent.Orders(), agent.now, agent.now);
   WorkerAnnouncement leaving;
@@ -185,9 +184,9 @@
                                         agent.now));
 }
 
-// A worker refuses connections: it has not got the lease that a call was to bring. Counted as if it
-// had, its tasks would never be taken for over while the agent keeps trying.
-TEST(AgentState, CountsNoLeaseThatAWorkerDidNotGet) {
+// A worker that refuses the connection has not received the lease of the call. If that lease
+// counted, the worker's tasks would never be considered over while the agent keeps trying.
+TEST(AgentState, IgnoresLeaseThatWorkerDidNotReceive) {
   Agent agent;
   agent.state.TakeOrders(agent.Orders(), agent.now, agent.now);
   const HoldCall call = agent.state.NextHold(Duration::zero(), agent.now);
@@ -198,8 +197,8 @@
   EXPECT_GT(agent.state.Report(Duration::zero(), agent.now).lease_left, milliseconds(3900));
 }
 
-// A heartbeat of a life that is over arrives late.
-TEST(AgentState, IgnoresAnAnnouncementOfAFormerLife) {
+// An announcement of a previous incarnation arrives late.
+TEST(AgentState, IgnoresAnnouncementOfPreviousIncarnation) {
   Agent agent;
   WorkerAnnouncement restarted;
   restarted.sequence = 1;
@@ -214,10 +213,10 @@
   EXPECT_EQ(agent.state.worker().id, "i2");
 }
 
-// A worker leaves a start unanswered and carries it out two seconds later or more, when the task
-// may have been given to another. The start's own deadline is over by then, so that the worker
-// refuses it; the lease that it would have run on reaches further.
-TEST(AgentState, GivesAStartADeadlineThatALateOneMisses) {
+// A worker leaves a start unanswered and processes it at least two seconds later, when the task may
+// have been given to another worker. By then the start's own lease has expired, so the worker
+// refuses it; the leases of holds reach further.
+TEST(AgentState, LimitsLeaseOfStartSoThatLateStartIsRefused) {
   Agent agent;
   const StartCall call = agent.PrepareCall(kRun);
   constexpr WorkerMillis kClock = 1000;
@@ -225,10 +224,10 @@
   EXPECT_GE(*agent.state.NextHold({}, agent.now).lease_until, kClock + 4000);
 }
 
-// A start is under way to a worker that has just come back from a crash, and a look at it goes
-// unanswered at the same time. Told that no lease is left there, the planner would give the task to
-// another worker while this one begins it.
-TEST(AgentState, CountsTheLeaseOfAStartThatIsStillUnderWay) {
+// A start is in flight to a worker that has just recovered from a crash, and a hold goes unanswered
+// at the same time. If the agent reported that no lease is left, the planner would give the task to
+// another worker while this one starts it.
+TEST(AgentState, CountsLeaseOfStartInFlight) {
   Agent agent;
   const StartCall call = agent.PrepareCall(kRun);
   agent.state.NoteLeaseSent(call.lease_until);
--- a/servers/pool/local_planner_client.cc
+++ b/servers/pool/local_planner_client.cc
@@ -7,14 +7,15 @@
 namespace turmericshift::pool {
 namespace {
 
-// Calls `begin` with a callback and waits for it.
+// Calls `begin` with a callback and waits until the callback is called.
 template <typename Value, typename Begin>
 Value WaitFor(Begin&& begin, Duration timeout) {
   auto promise = std::make_shared<std::promise<Attempt<Value>>>();
   std::future<Attempt<Value>> future = promise->get_future();
   begin([promise](Attempt<Value> attempt) { promise->set_value(std::move(attempt)); });
   if (future.wait_for(timeout) != std::future_status::ready) {
-    throw Error(ErrorKind::kDeadlineExceeded, Outcome::kUnknown, "the planner has not answered");
+    throw Error(ErrorKind::kDeadlineExceeded, Outcome::kUnknown,
+                "the planner did not answer within the time-out");
   }
   return future.get().Take();
 }
--- a/servers/pool/local_planner_client.h
+++ b/servers/pool/local_planner_client.h
@@ -1,4 +1,4 @@
-// The planner of this process as a PlannerClient: waits for its answers.
+// Blocking PlannerClient for the planner of this process.
 #pragma once
 
 #include "servers/pool/planner_gate.h"
--- a/servers/pool/planner_elector.cc
+++ b/servers/pool/planner_elector.cc
@@ -16,23 +16,25 @@
 constexpr Duration kCallTimeout = std::chrono::milliseconds(300);
 constexpr Duration kAgentCheckInterval = std::chrono::seconds(5);
 constexpr Duration kListedCheckInterval = std::chrono::seconds(2);
-// The list of members is waited for up to 4 s at a time.
+// A poll of the members topic takes up to 4 s.
 constexpr Duration kMaxMembersAge = std::chrono::seconds(6);
-// Before a planner hands the duty on: all agents have come over by then.
+// A planner does not hand over its leadership earlier than this. All agents have switched to it by
+// then.
 constexpr Duration kMinLeadershipBeforeOffer = std::chrono::seconds(1);
 constexpr Duration kOfferTimeout = std::chrono::milliseconds(150);
 constexpr size_t kMaxOffersPerRound = 2;
 
-// This entry's share of the spread: the same at all times, different between entries.
+// This entry's share of the claim jitter: constant over time, different between entries.
 Duration JitterOf(const std::string& node, Duration claim_jitter) {
   constexpr size_t kSteps = 8;
   return claim_jitter * static_cast<int64_t>(std::hash<std::string>()(node) % kSteps) /
          static_cast<int64_t>(kSteps);
 }
 
-// Two entries that claim the same epoch at once must not use the same number: the store would take
-// the second claim for a repetition of the first and answer it as it answered that, so that both
-// believed they had the duty. One notices by two planners of one epoch; jobs of one of them vanish.
+// First sequence number of a claim. Two entries that claim the same epoch concurrently must not use
+// the same number: the store would treat the second claim as a retry of the first and return the
+// same answer, so that both would consider themselves leader. The symptom is two planners with one
+// epoch, and lost jobs of one of them.
 int64_t RandomSequence() {
   constexpr size_t kBytes = 4;
   return std::stoll(RandomHex(kBytes), nullptr, 16) + 1;
@@ -43,9 +45,9 @@
 bool ShouldClaim(const LeadershipView& view, Time since, Duration silence_timeout,
                  Duration max_view_age, Time now, Duration claim_delay) {
   if (!view.freshness.within(max_view_age, now)) return false;
-  // Silence counts only while this entry could have heard something.
+  // Silence counts only while this entry was able to read the store.
   const Duration silence = now - std::max(view.newest_record_at.value_or(since), since);
-  // Nobody has ever planned, or the last planner has said that it leaves.
+  // There has never been a planner, or the last one has released the leadership.
   if (view.planner.address.empty() || !view.newest_record_at) return silence >= claim_delay;
   return silence > silence_timeout + claim_delay;
 }
@@ -77,7 +79,8 @@
     if (!leaving_.load()) EnsureListed(now);
     const int64_t epoch = service_->epoch();
     if (epoch > 0) {
-      if (leadership.planner.epoch > epoch) service_->StepDown("a newer planner has been read");
+      if (leadership.planner.epoch > epoch)
+        service_->StepDown("a newer planner was read from the store");
       if (announced_epoch_ < epoch) Announce();
       if (predecessor_) NotifyPredecessor();
       ForgetSilentAgents(now);
@@ -91,8 +94,9 @@
 
 bool PlannerElector::ShouldClaimNow(const LeadershipView& leadership, Time now) const {
   if (!members_->freshness().requested_at) return false;
-  // A record of this entry's own that it does not act on: from a life before, or from a claim
-  // whose answer was lost. Nobody plans, and nobody else need wait to find out.
+  // The newest record names this entry, which is not the active planner: the record is of a
+  // previous process or of a claim whose answer was lost. So there is no planner, and no need to
+  // wait for the time-out.
   const bool own_record =
       leadership.planner.node == options_.node && !leadership.planner.address.empty();
   if (own_record) return leadership.freshness.within(options_.max_view_age, now);
@@ -166,9 +170,9 @@
 void PlannerElector::Claim(Time now) {
   LeadershipView basis;
   const JobBook book = work_->book(&basis);
-  // Another entry's claim may have been read since the last look. A claim on top of it would hold,
-  // being made from the newest view, and end the duty of a planner that has just begun: one notices
-  // by two planners within a tick and by callers that are told "unknown" twice.
+  // Another entry's claim may have been read since the last check. A claim on top of it would
+  // succeed, being based on the newest view, and depose a planner that has just started. The
+  // symptom is two planners within one tick, and callers that are told "unknown" twice.
   if (!ShouldClaimNow(basis, now)) return;
   const int64_t epoch = std::max(book.planner().epoch, rejected_epoch_) + 1;
   const int64_t sequence = RandomSequence();
@@ -191,9 +195,9 @@
   service_->BecomeActive(epoch, sequence, book, agents, now);
 }
 
-// Read once more after the claim: an entry that has just started may know the jobs and not yet the
-// agents. It would wait for nobody, and start at once what still runs on workers that it has not
-// heard of; one notices by tasks that run twice after all processes were killed.
+// Agents are read again after the claim, because an entry that has just started may know the jobs
+// but not yet the agents. It would wait for no agent and immediately restart tasks that still run
+// on workers it does not know. The symptom is tasks that run twice after all processes were killed.
 std::set<std::string> PlannerElector::ReadAgents() const {
   std::set<std::string> agents = members_->agents();
   const std::string prefix = kAgentPrefix;
@@ -218,15 +222,15 @@
     announced_epoch_ = epoch;
   } catch (const Error& error) {
     LogEvent(LogLevel::kWarning, "announce_failed", {{"epoch", epoch}, {"error", error.what()}});
-    // A newer planner has announced itself already.
+    // A newer planner has already announced itself.
     if (error.kind() == ErrorKind::kFenced) announced_epoch_ = epoch;
   }
 }
 
 void PlannerElector::NotifyPredecessor() {
   const PlannerRecord predecessor = *predecessor_;
-  // A record without an address was written by the planner as it left, one of this node by a
-  // process that has ended.
+  // A record without an address was written by a planner that released the leadership. A record of
+  // this node was written by a process that has ended.
   bool stepped_down = predecessor.address.empty() || predecessor.node == options_.node;
   if (!stepped_down) {
     try {
@@ -234,8 +238,8 @@
       connector_->Connect(predecessor.address, kCallTimeout)->Yield(self, kCallTimeout);
       stepped_down = true;
     } catch (const Error& error) {
-      // Only its own word counts: a refused connection may as well be a cut on the way.
-      // It is tried ten times a second; one line says all.
+      // Only the predecessor's own answer counts: a refused connection may also be a network
+      // failure. The call is tried ten times a second but logged only once.
       if (!unreachable_logged_) {
         LogEvent(
             LogLevel::kInfo, "predecessor_silent",
--- a/servers/pool/planner_elector.h
+++ b/servers/pool/planner_elector.h
@@ -1,8 +1,10 @@
-// Decides when this entry takes the planner's duty over, and keeps it in step with the store.
+// Leader election among the entries of a pool: decides when this entry becomes the active planner,
+// and keeps the leadership in step with the store.
 //
-// The duty is one conditional append: it names the next epoch and holds only if the work topic ends
-// where this entry has read to, so that the new planner knows every job, and of two claims one
-// fails. From then on the store refuses the planner before.
+// An entry becomes leader by one conditional append. It contains the next epoch and succeeds only
+// if the work topic ends at the offset this entry has read to, so the new planner knows every job
+// and only one of two concurrent claims succeeds. From then on the store rejects appends of the
+// previous planner (fencing by epoch).
 #pragma once
 
 #include <atomic>
@@ -19,32 +21,34 @@
 
 struct ElectorOptions {
   std::string node;
-  // Where agents and entries open sessions to this entry, "ip:port".
+  // Address at which agents and entries open sessions to this entry, "ip:port".
   std::string address;
   std::string zone;
-  // What this entry's VM can carry; see planning_capacity.h.
+  // Number of agents that this entry's VM can plan for; see planning_capacity.h.
   int planning_capacity = kAnyPool;
-  // A planner that has written nothing for so long is taken for gone. It writes every 0.25 s, and a
-  // slow store takes up to 0.4 s for each append and as much for the read that shows it.
+  // A planner that has written nothing for this long is considered failed. A planner writes every
+  // 0.25 s; a slow store takes up to 0.4 s for an append and as much for the read that returns it.
   Duration silence_timeout = std::chrono::milliseconds(1200);
-  // Entries wait apart from each other by up to this, so that seldom two claim at once.
+  // Upper bound of the per-entry jitter added to the silence time-out, which makes simultaneous
+  // claims unlikely.
   Duration claim_jitter = std::chrono::milliseconds(200);
-  // Entries with a VM that is better for this pool have so much time to claim before this one.
+  // Additional delay before this entry claims while there are entries with better suited VMs.
   Duration claim_delay = std::chrono::milliseconds(600);
-  // A planner on a weak VM looks this often for a better one that takes the duty over.
+  // How often a planner on a weak VM looks for a better suited entry that can take over.
   Duration offer_interval = std::chrono::seconds(1);
-  // A claim rests on a view that is no older than this.
+  // Maximum age of the view on which a claim may be based.
   Duration max_view_age = std::chrono::milliseconds(1500);
-  // Agents that have not been heard for so long are no longer waited for by a successor,
+  // Agents from which nothing has been received for this long are removed from the members, so that
+  // a successor does not wait for them.
   Duration agent_silence_limit = std::chrono::seconds(6);
-  // but only once this planner has held the duty for so long: until then an agent may still obey
-  // the planner before.
+  // No agent is removed before this planner has been active for this long: until then an agent may
+  // still follow the previous planner.
   Duration agent_forget_grace_period = std::chrono::seconds(16);
 };
 
-// Whether an entry whose view is `duty` claims at `now`. `since`: from when on the entry has been
-// in touch with the store without a gap. `patience`: silence to wait for, with this entry's share
-// of the spread. `claim_delay`: what others have before this one claims.
+// Returns whether an entry with this `view` claims the leadership at `now`. `since`: start of the
+// entry's uninterrupted contact with the store. `silence_timeout`: includes the entry's jitter.
+// `claim_delay`: head start for better suited entries.
 bool ShouldClaim(const LeadershipView& view, Time since, Duration silence_timeout,
                  Duration max_view_age, Time now, Duration claim_delay = Duration::zero());
 
@@ -56,28 +60,29 @@
   PlannerElector(const PlannerElector&) = delete;
   PlannerElector& operator=(const PlannerElector&) = delete;
 
-  // Claims no more; call before the planner gives the duty up.
+  // Stops claiming. Must be called before the planner releases the leadership.
   void Leave() { leaving_.store(true); }
 
  private:
   void Run();
   bool ShouldClaimNow(const LeadershipView& leadership, Time now) const;
-  // Entries whose VMs would carry the pool better than this one, the best first.
+  // Entries whose VMs are better suited to the pool than this one, best first.
   std::vector<EntryRecord> BetterSuitedEntries() const;
-  // Has this entry stand in the store's list of members.
+  // Registers this entry in the members topic if it is missing there.
   void EnsureListed(Time now);
-  // Gives the duty up in order if a better entry takes it over.
+  // Releases the leadership if a better suited entry accepts it.
   void OfferLeadership(Time now);
-  // Agents that may have something running, as the store has them now. Throws
-  // Error(kLogUnavailable).
+  // Reads from the store the agents whose workers may run something. Throws Error(kLogUnavailable).
   std::set<std::string> ReadAgents() const;
   void Claim(Time now);
-  // Tells agents where the planner is, until it is in the store.
+  // Writes this planner's address to the members topic, where agents look it up. Repeated until it
+  // succeeds.
   void Announce();
   void ForgetSilentAgents(Time now);
-  // Tells the planner before that it has been followed, so that it plans no more. Without its word
-  // inherited work has to wait for as long as an unconfirmed planner may be obeyed, some 15 s; with
-  // it for a lease, 5 s, or until all agents have come over.
+  // Notifies the previous planner that it has been succeeded, so that it steps down. If it does not
+  // confirm, inherited work has to wait for as long as agents may still follow it, about 15 s. If
+  // it confirms, the wait is one lease (5 s), or ends when all agents have reported to this
+  // planner.
   void NotifyPredecessor();
 
   const ElectorOptions options_;
@@ -90,16 +95,16 @@
   std::atomic<bool> stopping_{false};
   std::atomic<bool> leaving_{false};
   int64_t announced_epoch_ = 0;
-  // An epoch that the store refused as too low although nothing newer could be read.
+  // Epoch that the store rejected as too low although no newer one could be read.
   int64_t rejected_epoch_ = 0;
   Time connected_since_{};
   Time agents_checked_at_{};
   Time listed_checked_at_{};
   Time last_offer_at_{};
   Time active_since_{};
-  // The planner before, until it is known to plan no more.
+  // The previous planner, until it is known to have stepped down.
   std::optional<PlannerRecord> predecessor_;
-  // That it can't be told has been logged.
+  // Whether it has been logged that the previous planner can't be reached.
   bool unreachable_logged_ = false;
   Thread thread_;
 };
--- a/servers/pool/planner_elector_test.cc
+++ b/servers/pool/planner_elector_test.cc
@@ -28,35 +28,35 @@
   return view;
 }
 
-TEST(ShouldClaim, LeavesAPlannerThatIsHeardAlone) {
+TEST(ShouldClaim, DoesNotClaimWhilePlannerIsActive) {
   EXPECT_FALSE(ShouldClaim(View(milliseconds(100), milliseconds(300)), Time{}, kSilenceTimeout,
                            kMaxViewAge, kNow));
 }
 
-TEST(ShouldClaim, FollowsAPlannerThatFellSilent) {
+TEST(ShouldClaim, ClaimsAfterSilenceTimeout) {
   EXPECT_TRUE(ShouldClaim(View(milliseconds(100), milliseconds(1300)), Time{}, kSilenceTimeout,
                           kMaxViewAge, kNow));
 }
 
-TEST(ShouldClaim, FollowsAPlannerThatGaveTheDutyUpAtOnce) {
+TEST(ShouldClaim, ClaimsImmediatelyAfterRelease) {
   LeadershipView view = View(milliseconds(100), milliseconds(10));
   view.planner.address.clear();
   EXPECT_TRUE(ShouldClaim(view, Time{}, kSilenceTimeout, kMaxViewAge, kNow));
 }
 
-// An entry that was cut off hears nothing of a planner that is well. Back in touch, its first look
-// must not end that planner's duty.
-TEST(ShouldClaim, CountsNoSilenceWhileItWasCutOff) {
+// An entry that was disconnected reads nothing of a healthy planner. Its first check after
+// reconnecting must not depose that planner.
+TEST(ShouldClaim, IgnoresSilenceWhileDisconnected) {
   const LeadershipView view = View(milliseconds(100), milliseconds(9000));
   EXPECT_FALSE(ShouldClaim(view, kNow - milliseconds(200), kSilenceTimeout, kMaxViewAge, kNow));
 }
 
-TEST(ShouldClaim, RestsOnAFreshView) {
+TEST(ShouldClaim, DoesNotClaimOnStaleView) {
   EXPECT_FALSE(ShouldClaim(View(milliseconds(2000), milliseconds(5000)), Time{}, kSilenceTimeout,
                            kMaxViewAge, kNow));
 }
 
-// Nobody answers.
+// Connector that reaches no address.
 class UnreachableConnector : public PlannerConnector {
  public:
   std::shared_ptr<PlannerClient> Connect(const std::string& /*address*/,
@@ -65,7 +65,7 @@
   }
 };
 
-// Reaches entries of this process by the addresses that they announce.
+// Connects to entries in this process by their announced addresses.
 class LocalConnector : public PlannerConnector {
  public:
   std::shared_ptr<PlannerClient> Connect(const std::string& address, Duration /*limit*/) override {
@@ -79,10 +79,10 @@
   std::map<std::string, PlannerGate*> gates_;
 };
 
-// One entry as far as the duty is concerned.
+// The parts of an entry that take part in the election.
 struct Candidate {
   Candidate(KeyedLog* log, const std::string& node) : Candidate(log, node, nullptr) {}
-  // `neighbours`: whom it reaches; null: nobody.
+  // `connected_entries`: the entries it can reach; null: none.
   Candidate(KeyedLog* log, const std::string& node, LocalConnector* connected_entries,
             int capacity = kAnyPool)
       : work(log),
@@ -118,10 +118,10 @@
   return false;
 }
 
-// Several entries start at once on an empty store and all claim the first epoch. The store takes a
-// second claim under the same number for a repetition of the first and answers it alike, so that
-// two planners would each take in jobs that the other never hears of.
-TEST(PlannerElector, GivesTheDutyToOneOfThoseThatClaimAtOnce) {
+// Several entries start on an empty store and all claim the first epoch. If two claims had the same
+// sequence number, the store would treat the second as a retry of the first and return the same
+// answer, and two planners would each accept jobs unknown to the other.
+TEST(PlannerElector, ElectsOneOfSeveralConcurrentClaimants) {
   for (int round = 0; round < 2; ++round) {
     MemoryKeyedLog log;
     std::vector<std::unique_ptr<Candidate>> entries;
@@ -145,14 +145,14 @@
 
 constexpr int kWeakCapacity = 1;
 
-// Two agents are listed, more than a weak entry can plan for.
+// Registers two agents, more than a weak entry can plan for.
 void ListAgents(MemoryKeyedLog* log) {
   for (const char* key : {"agent/x", "agent/y"}) {
     log->Append(kMembersTopic, {{key, "a", kNoOffset}}, {}, std::chrono::seconds(1));
   }
 }
 
-TEST(ShouldClaim, LeavesABetterVmAHeadStart) {
+TEST(ShouldClaim, WaitsClaimDelayForBetterSuitedVm) {
   LeadershipView view = View(milliseconds(100), milliseconds(1300));
   EXPECT_FALSE(ShouldClaim(view, Time{}, kSilenceTimeout, kMaxViewAge, kNow, milliseconds(600)));
   view.planner.address.clear();
@@ -162,9 +162,9 @@
                           kMaxViewAge, kNow, milliseconds(600)));
 }
 
-// A pool of hundreds of workers came to be planned by whichever entry claimed first, and one with
-// an eighth of a core never caught up again.
-TEST(PlannerElector, HandsTheDutyOnToABetterVm) {
+// A pool of hundreds of workers used to be planned by whichever entry claimed first; an entry with
+// an eighth of a core never caught up.
+TEST(PlannerElector, HandsLeadershipOverToBetterSuitedVm) {
   MemoryKeyedLog log;
   ListAgents(&log);
   LocalConnector connected_entries;
@@ -175,28 +175,29 @@
   EXPECT_EQ(weak.service.epoch(), 0);
 }
 
-// The only better VM is listed and gone. The pool would be planned by nobody if it were waited for.
-TEST(PlannerElector, PlansOnAWeakVmWhereTheBetterOneIsGone) {
+// The only better suited entry is registered but gone. If the others waited for it, the pool would
+// have no planner.
+TEST(PlannerElector, PlansOnWeakVmIfBetterSuitedVmIsGone) {
   MemoryKeyedLog log;
   ListAgents(&log);
-  const EntryRecord stepped_down = {"gone", "a", "gone:1", kAnyPool};
-  log.Append(kMembersTopic, {{"entry/gone", EncodeEntry(stepped_down), kNoOffset}}, {},
+  const EntryRecord missing_entry = {"gone", "a", "gone:1", kAnyPool};
+  log.Append(kMembersTopic, {{"entry/gone", EncodeEntry(missing_entry), kNoOffset}}, {},
              std::chrono::seconds(1));
   Candidate weak(&log, "a", nullptr, kWeakCapacity);
   ASSERT_TRUE(Eventually([&] { return weak.service.epoch() == 1; }));
-  // It is offered to the other in vain.
+  // The leadership is offered to the missing entry without success.
   ASSERT_TRUE(Eventually([&] { return weak.members.entries().size() == 2; }));
   const Time end = LeaseClock().Now() + milliseconds(2500);
   while (LeaseClock().Now() < end) ASSERT_EQ(weak.service.epoch(), 1);
 }
 
-// The first planner loses the store, and `second` takes the duty over.
+// Takes the store away from the first planner and waits until `second` has taken over.
 void FailOver(FaultyKeyedLog* log_of_first, const Candidate& second) {
   log_of_first->SetFaults({true, false});
   ASSERT_TRUE(Eventually([&] { return second.service.epoch() == 2; }));
 }
 
-// A log whose list of members can't be read for a while.
+// Log whose members topic can't be read until MakeReadable() is called.
 class UnreadableMembersLog : public KeyedLog {
  public:
   explicit UnreadableMembersLog(KeyedLog* log) : log_(log) {}
@@ -225,10 +226,10 @@
   std::atomic<int> refused_{0};
 };
 
-// All processes are killed while workers run on, and an entry is back that has read the jobs and
-// not yet the agents. Had it taken the duty up, it would have known of nobody to wait for, and have
-// started at once what still ran on the workers.
-TEST(PlannerElector, TakesNoDutyUpBeforeItKnowsTheAgents) {
+// All processes are killed while workers continue, and an entry restarts that has read the jobs but
+// not yet the agents. If it became leader now, it would wait for no agent and immediately restart
+// tasks that still run on the workers.
+TEST(PlannerElector, DoesNotBecomeActiveBeforeReadingAgents) {
   MemoryKeyedLog log;
   log.Append(kMembersTopic, {{"agent/x", "a", kNoOffset}}, {}, std::chrono::seconds(1));
   UnreadableMembersLog restricted_log(&log);
@@ -241,9 +242,9 @@
   EXPECT_TRUE(Eventually([&] { return entry.service.epoch() > 0; }));
 }
 
-// The store turns the planner's VM away and serves the others. One of them takes over, and the old
+// The store rejects the planner's VM and serves the others. One of them takes over, and the old
 // planner learns of it as soon as the store answers it again.
-TEST(PlannerElector, PassesOnWhenThePlannerLosesTheStore) {
+TEST(PlannerElector, FailsOverWhenPlannerLosesStore) {
   MemoryKeyedLog log;
   FaultyKeyedLog faulty_log(&log);
   Candidate first(&faulty_log, "a");
@@ -255,10 +256,10 @@
   EXPECT_EQ(second.service.epoch(), 2);
 }
 
-// The store turns the planner's VM away for long, and everybody else still reaches that VM. Until
-// it learned that it had been followed, agents that had lost the store too stayed with it, and the
-// new planner could neither use their workers nor begin anything again that they might run.
-TEST(PlannerElector, TellsAPlannerWithoutTheStoreThatItHasBeenFollowed) {
+// The store rejects the planner's VM for long, but everyone else still reaches that VM. Until it
+// learned that it had been succeeded, agents that had lost the store too stayed with it, and the
+// new planner could neither use their workers nor restart tasks that they might run.
+TEST(PlannerElector, NotifiesPredecessorThatLostStore) {
   MemoryKeyedLog log;
   FaultyKeyedLog faulty_log(&log);
   LocalConnector connected_entries;
@@ -275,9 +276,9 @@
   EXPECT_EQ(orders.planner_address, "b:1");
 }
 
-// A planner that lost the store doesn't know what its successor has taken in, and must not tell the
-// caller of a cancellation that there is no such job.
-TEST(PlannerElector, LetsNoPlannerWithoutTheStoreSayThatAJobIsUnknown) {
+// A planner that lost the store does not know what its successor has accepted, and must not answer
+// a cancellation with "not found".
+TEST(PlannerElector, PlannerWithoutStoreDoesNotReportUnknownJob) {
   MemoryKeyedLog log;
   FaultyKeyedLog faulty_log(&log);
   Candidate first(&faulty_log, "a");
@@ -296,9 +297,9 @@
   }
 }
 
-// The answers of the store are lost though it does what it is asked. The planner sends the same
-// append again under the same number, and nothing is written twice.
-TEST(PlannerElector, KeepsTheDutyWhileAnswersAreLost) {
+// The store carries out requests but its answers are lost. The planner repeats the append under the
+// same sequence number, and nothing is written twice.
+TEST(PlannerElector, StaysActiveWhileStoreAnswersAreLost) {
   MemoryKeyedLog log;
   FaultyKeyedLog faulty_log(&log);
   Candidate planner(&faulty_log, "a");
--- a/servers/pool/planner_gate.h
+++ b/servers/pool/planner_gate.h
@@ -1,5 +1,5 @@
-// What agents and entries ask of the entry that plans their pool. PlannerService answers it in this
-// process; rpc/pool_session.h carries it to another.
+// Interface of the active planner to agents and entries. PlannerService implements it in this
+// process; rpc/pool_session.h makes it available to other processes.
 #pragma once
 
 #include <functional>
@@ -12,40 +12,41 @@
 
 namespace turmericshift::pool {
 
-// Nothing to hand back but whether it went well.
+// Result of a call that returns nothing but success or an error.
 struct Done {};
 
 class PlannerGate {
  public:
   virtual ~PlannerGate() = default;
 
-  // Calls `done` once, from any thread, at the latest when the report's wait is over.
+  // Calls `done` once, from any thread, no later than the end of the report's wait.
   virtual void Exchange(const AgentReport& report,
                         std::function<void(Attempt<AgentOrders>)> done) = 0;
-  // Calls `done` when the job is in the store. Errors: kLogUnavailable or kOverloaded with outcome
-  // not_run when it never will be; with outcome unknown when it may be or become so; kConflict with
-  // outcome not_run when this process does not plan the pool.
+  // Calls `done` when the job is durable. Errors: kLogUnavailable or kOverloaded, with outcome
+  // not_run if the job will never run and with outcome unknown if it may be or become durable;
+  // kConflict with outcome not_run if this process is not the active planner.
   virtual void Submit(const JobSpec& spec, std::function<void(Attempt<Done>)> done) = 0;
-  // Calls `done` when the cancellation is in the store or the job was over. Errors: kNotFound, and
-  // those of Submit.
+  // Calls `done` when the cancellation is durable or the job was over. Errors: kNotFound and those
+  // of Submit.
   virtual void Cancel(const std::string& id, std::function<void(Attempt<Done>)> done) = 0;
-  // Another process has taken the duty over. Calls `done` once this one plans no more, whether it
-  // did or not.
+  // Another process has become the active planner. Calls `done` once this process is not active,
+  // whether or not it was before.
   virtual void Yield(const PlannerRecord& successor, std::function<void(Attempt<Done>)> done) = 0;
-  // The planner is too weak for the pool and asks whether this process would take the duty over
-  // once it is free. Calls `done` with kConflict if it would not.
+  // The planner's VM is too weak for the pool; asks whether this process would take over once the
+  // leadership is vacant. Calls `done` with kConflict if it would not.
   virtual void Offer(std::function<void(Attempt<Done>)> done) = 0;
-  // The newest planner that this process knows of; epoch 0 while it knows none.
+  // The newest planner that this process knows of; epoch 0 if it knows none.
   virtual PlannerRecord KnownPlanner() const { return {}; }
-  // The newest planner that has told this process of itself; epoch 0 while none has.
+  // The newest planner that has notified this process that it took over; epoch 0 if there is none.
   virtual PlannerRecord Successor() const { return {}; }
 };
 
-// The same for a caller that waits. Throws Error: those above; kConnectionLost, kDeadlineExceeded.
+// Blocking client of the active planner. Throws Error: those of PlannerGate, kConnectionLost,
+// kDeadlineExceeded.
 class PlannerClient {
  public:
   virtual ~PlannerClient() = default;
-  // Calls pass through another entry.
+  // Whether calls are relayed by another entry.
   virtual bool relayed() const { return false; }
   virtual AgentOrders Exchange(const AgentReport& report, Duration timeout) = 0;
   virtual void Submit(const JobSpec& spec, Duration timeout) = 0;
@@ -54,15 +55,16 @@
   virtual void Offer(Duration timeout) = 0;
 };
 
-// Connects to planners by address within `limit`. Throws Error(kUnavailable).
+// Connects to planners by address, within `limit`. Throws Error(kUnavailable).
 class PlannerConnector {
  public:
   virtual ~PlannerConnector() = default;
   virtual std::shared_ptr<PlannerClient> Connect(const std::string& address, Duration limit) = 0;
-  // By way of the entry at `relay`, to the planner of `epoch` or a newer one.
+  // Connects through the entry at `relay` to the planner of `epoch` or a newer one.
   virtual std::shared_ptr<PlannerClient> ConnectThrough(const std::string& relay, int64_t /*epoch*/,
                                                         Duration /*limit*/) {
-    throw Error(ErrorKind::kUnavailable, Outcome::kNotRun, "no way through " + relay);
+    throw Error(ErrorKind::kUnavailable, Outcome::kNotRun,
+                "connections through a relay are not supported: " + relay);
   }
 };
 
--- a/servers/pool/planner_router.cc
+++ b/servers/pool/planner_router.cc
@@ -11,7 +11,7 @@
 
 constexpr size_t kMaxRelayAttempts = 2;
 constexpr Duration kRelayTimeout = std::chrono::milliseconds(300);
-// After the straight way has failed it is left alone for so long.
+// After a time-out the direct path is not tried again for this long.
 constexpr Duration kDirectRetryInterval = std::chrono::seconds(3);
 
 }  // namespace
@@ -59,7 +59,8 @@
   try {
     return connector_->Connect(planner.address, limit);
   } catch (const Error& error) {
-    // A VM that refuses is reached; its process is not there for anybody.
+    // A VM that refuses the connection is reachable; its planner process is not there for any
+    // entry.
     if (error.kind() != ErrorKind::kDeadlineExceeded) throw;
     LogEvent(LogLevel::kInfo, "planner_silent",
              {{"epoch", planner.epoch}, {"address", planner.address}, {"error", error.what()}});
@@ -74,9 +75,9 @@
                                                                    Duration limit) {
   std::vector<EntryRecord> relays = RelayCandidates(planner, members_->entries(), zone_, node_);
   if (relays.size() > kMaxRelayAttempts) relays.resize(kMaxRelayAttempts);
-  std::string failure = "no entry is known that might reach the planner";
+  std::string failure = "no entry is known that could relay to the planner";
   for (const EntryRecord& relay : relays) {
-    // Most silent planners are gone, and followed within two seconds.
+    // Most planners that time out have failed and are succeeded within two seconds.
     if (members_->planner().epoch > planner.epoch) break;
     try {
       std::shared_ptr<PlannerClient> port =
--- a/servers/pool/planner_router.h
+++ b/servers/pool/planner_router.h
@@ -1,8 +1,7 @@
-// The way to the planner: straight, or by way of an entry in a third zone.
+// Connects to the planner directly or, if that path is down, through an entry in a third zone.
 //
-// Load pattern: two zones that can't reach each other while a third reaches both. The planner is on
-// the far side for a part of the agents and entries, whose leases would run out although a path
-// exists.
+// Load pattern: two zones can't reach each other while a third zone reaches both. Agents and
+// entries on the far side of the planner would lose their leases although a path exists.
 #pragma once
 
 #include <map>
@@ -16,8 +15,9 @@
 
 namespace turmericshift::pool {
 
-// Entries that may reach a planner which `self` in `zone` can't, the likeliest first: those of
-// third zones. Nodes start at different places of the list, so that they spread over the entries.
+// Returns the entries that may reach a planner which `self` in `zone` can't reach, most likely
+// first: those in neither zone. Each node starts at a different place of the list, which spreads
+// the load over the entries.
 std::vector<EntryRecord> RelayCandidates(const PlannerRecord& planner,
                                          const std::map<std::string, EntryRecord>& entries,
                                          const std::string& zone, const std::string& self);
@@ -28,8 +28,9 @@
   PlannerRouter(const std::string& node, const std::string& zone, const MembersView* members,
                 PlannerConnector* connector);
 
-  // Other entries are asked where the planner's address is silent, not where it refuses. Takes some
-  // twice `limit` at most. Throws Error(kUnavailable) when neither way leads there.
+  // Connects directly, or through other entries if the planner's address does not answer; a refused
+  // connection is not retried through others. Takes about twice `limit` at most. Throws
+  // Error(kUnavailable) if neither path works.
   std::shared_ptr<PlannerClient> Connect(const PlannerRecord& planner, Duration limit, Time now);
 
  private:
@@ -41,7 +42,7 @@
   const MembersView* const members_;
   PlannerConnector* const connector_;
   mutable std::mutex mutex_;
-  // The newest planner to which the straight way was silent, and when that was tried.
+  // Epoch of the newest planner for which the direct path timed out, and when it did.
   int64_t timed_out_epoch_ = 0;
   Time timed_out_at_{};
 };
--- a/servers/pool/planner_router_test.cc
+++ b/servers/pool/planner_router_test.cc
@@ -25,23 +25,23 @@
   return entries;
 }
 
-// Two zones can't reach each other: neither an entry beside the planner nor one beside the caller
-// is of any use.
-TEST(RelayCandidates, TriesEntriesOfThirdZonesFirst) {
+// When two zones can't reach each other, an entry in the planner's or the caller's zone can't
+// relay.
+TEST(RelayCandidates, PrefersEntriesOfThirdZones) {
   const std::vector<EntryRecord> relays = RelayCandidates(kPlanner, Entries(), "c", "agent-c");
   ASSERT_EQ(relays.size(), 6U);
   for (size_t first = 0; first < 3; ++first) EXPECT_EQ(relays[first].zone, "b");
 }
 
-TEST(RelayCandidates, LeavesOutThePlannerAndTheCallerItself) {
+TEST(RelayCandidates, ExcludesPlannerAndCaller) {
   for (const EntryRecord& relay : RelayCandidates(kPlanner, Entries(), "b", "b2")) {
     EXPECT_NE(relay.node, "a1");
     EXPECT_NE(relay.node, "b2");
   }
 }
 
-// A whole zone's agents would otherwise all come to one entry.
-TEST(RelayCandidates, SpreadsCallersOverTheEntries) {
+// Otherwise all agents of a zone would use the same relay.
+TEST(RelayCandidates, SpreadsCallersOverEntries) {
   std::set<std::string> first;
   for (int agent = 0; agent < 40; ++agent) {
     first.insert(
@@ -90,22 +90,22 @@
   PlannerRouter reach_{"agent", "c", &members_, &connector_};
 };
 
-TEST_F(PlannerRouterTest, GoesStraightWhereItCan) {
+TEST_F(PlannerRouterTest, ConnectsDirectlyIfPossible) {
   connector_.direct_path_cut = false;
   reach_.Connect(kPlanner, milliseconds(700), kNow);
   EXPECT_TRUE(connector_.relays_tried.empty());
 }
 
-// Two zones were cut off from each other and a third reached both: the leases of a whole zone ran
-// out although there was a path.
-TEST_F(PlannerRouterTest, GoesThroughAThirdZoneWhereTheStraightWayIsCut) {
+// Two zones can't reach each other but a third zone reaches both. Without a relay the leases of a
+// whole zone expired although a path existed.
+TEST_F(PlannerRouterTest, RelaysThroughThirdZoneIfDirectPathTimesOut) {
   reach_.Connect(kPlanner, milliseconds(700), kNow);
   ASSERT_EQ(connector_.relays_tried.size(), 1U);
   EXPECT_EQ(connector_.relays_tried[0][0], 'b');
 }
 
-// Each new connection would wait for the dead path first, and callers with it.
-TEST_F(PlannerRouterTest, TriesTheCutWayAgainOnlyAfterAWhile) {
+// Otherwise each new connection, and the callers behind it, would first wait for the broken path.
+TEST_F(PlannerRouterTest, RetriesDirectPathOnlyAfterInterval) {
   reach_.Connect(kPlanner, milliseconds(700), kNow);
   reach_.Connect(kPlanner, milliseconds(700), kNow + std::chrono::seconds(1));
   EXPECT_EQ(connector_.direct_attempts, 1);
@@ -113,9 +113,9 @@
   EXPECT_EQ(connector_.direct_attempts, 2);
 }
 
-// The planner's process was killed: 240 agents came to the other entries at once, and to the
-// planner through these once it was back.
-TEST_F(PlannerRouterTest, AsksNobodyWhereThePlannersVmRefuses) {
+// After the planner's process was killed, 240 agents connected to the other entries at once, and
+// through them to the planner when it was back.
+TEST_F(PlannerRouterTest, UsesNoRelayIfConnectionIsRefused) {
   connector_.refuses = true;
   EXPECT_THROW(reach_.Connect(kPlanner, milliseconds(700), kNow), Error);
   EXPECT_TRUE(connector_.relays_tried.empty());
@@ -125,8 +125,8 @@
   EXPECT_TRUE(connector_.relays_tried.empty());
 }
 
-// Looking for a way to a planner that is gone kept agents from its successor.
-TEST_F(PlannerRouterTest, LooksNoFurtherOnceThePlannerHasBeenFollowed) {
+// Searching for a path to a failed planner delayed the agents' switch to its successor.
+TEST_F(PlannerRouterTest, StopsTryingRelaysOnceSuccessorIsKnown) {
   const PlannerRecord successor = {kPlanner.epoch + 1, "b1", "b1:1"};
   log_.Append(kMembersTopic, {{kPlannerKey, EncodePlanner(successor), kNoOffset}}, {},
               std::chrono::seconds(1));
@@ -135,7 +135,7 @@
   EXPECT_TRUE(connector_.relays_tried.empty());
 }
 
-TEST_F(PlannerRouterTest, SaysSoWhenNobodyReachesThePlanner) {
+TEST_F(PlannerRouterTest, ThrowsIfNoRelayReachesPlanner) {
   connector_.relays_cut = true;
   EXPECT_THROW(reach_.Connect(kPlanner, milliseconds(700), kNow), Error);
   EXPECT_EQ(connector_.relays_tried.size(), 2U);
--- a/servers/pool/planner_service.cc
+++ b/servers/pool/planner_service.cc
@@ -9,16 +9,16 @@
 namespace turmericshift::pool {
 namespace {
 
-// Leases and limits are looked at this often when nothing else happens.
+// How often leases and limits are checked when nothing else happens.
 constexpr Duration kTickInterval = std::chrono::milliseconds(100);
-// Pause before an append is sent again; doubled each time. A store that turns this VM away is not
-// to be flooded, and one that is back should be noticed soon.
+// Delay before an append is retried; doubled with each retry. A store that rejects this VM must not
+// be flooded, and its return should be noticed soon.
 constexpr Duration kRetryPause = std::chrono::milliseconds(50);
 constexpr Duration kMaxRetryPause = std::chrono::milliseconds(200);
-// After a round of planning the deciding thread rests for so many times as long as it took,
+// After a planning round, the planning thread pauses for this multiple of the round's duration.
 constexpr int kPausePerRound = 2;
 constexpr Duration kMaxRoundPause = std::chrono::milliseconds(50);
-// but not for one as short as this.
+// No pause follows a round shorter than this.
 constexpr Duration kShortRound = std::chrono::milliseconds(1);
 
 }  // namespace
@@ -46,11 +46,12 @@
   changed_.notify_all();
   write_ready_.notify_all();
   advice_ready_.notify_all();
-  StepDown("the process stops");
+  StepDown("the process is stopping");
 }
 
 Error PlannerService::NotActiveError() {
-  return {ErrorKind::kConflict, Outcome::kNotRun, "this process does not plan the pool"};
+  return {ErrorKind::kConflict, Outcome::kNotRun,
+          "this process is not the active planner of the pool"};
 }
 
 void PlannerService::BecomeActive(int64_t epoch, int64_t sequence, const JobBook& book,
@@ -175,7 +176,7 @@
       replan = planner_->changed() || planner_->news() != news || !planner_->outbox().empty();
       const auto earlier = polls_.find(report.node);
       if (earlier != polls_.end() && report.wait > Duration::zero()) {
-        // The agent has given that poll up; its connection may be gone.
+        // The agent has abandoned its earlier poll; the connection of that poll may be gone.
         replies.push_back(
             Succeeded(std::move(earlier->second.done), planner_->Orders(report.node, now)));
         polls_.erase(earlier);
@@ -189,7 +190,7 @@
       replan_needed_ = replan_needed_ || replan;
     }
   }
-  // Most polls bring nothing to decide on, and waking a thread costs more than taking them in.
+  // Most polls require no planning, and waking a thread costs more than handling the poll.
   if (replan) changed_.notify_all();
   RunAll(replies);
 }
@@ -223,10 +224,10 @@
   });
 }
 
-// A planner that has lost the store may still be reached by all others. Until it learns that it has
-// been followed it goes on granting leases, and agents that have lost the store as well stay with
-// it; the successor can start nothing on their workers, nor anything again that they may run. One
-// notices by a `duty_ended` that comes many seconds after the next `duty_taken`.
+// A planner that has lost the store may still be reachable by everyone else. Until it learns that
+// it has been succeeded it continues to grant leases, and agents that have lost the store as well
+// stay with it. The successor can then start nothing on their workers and can't restart tasks that
+// they may still run. The symptom is a `duty_ended` many seconds after the next `duty_taken`.
 void PlannerService::Yield(const PlannerRecord& successor,
                            std::function<void(Attempt<Done>)> done) {
   Replies replies;
@@ -234,11 +235,11 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     if (successor.epoch > successor_.epoch) successor_ = successor;
     if (planner_ && successor.epoch > planner_->epoch()) {
-      StepDownLocked("a newer planner has said so", &replies);
+      StepDownLocked("a newer planner has notified this process", &replies);
     }
     if (planner_) {
       const Error refusal(ErrorKind::kConflict, Outcome::kNotRun,
-                          "this process plans under a newer epoch");
+                          "this process is the active planner under a newer epoch");
       replies.push_back(Failed(std::move(done), refusal));
     } else {
       replies.push_back(Succeeded(std::move(done), Done{}));
@@ -255,7 +256,8 @@
     if (would_claim_) {
       replies.push_back(Succeeded(std::move(done), Done{}));
     } else {
-      const Error refusal(ErrorKind::kConflict, Outcome::kNotRun, "this entry claims no duty now");
+      const Error refusal(ErrorKind::kConflict, Outcome::kNotRun,
+                          "this entry would not claim the leadership now");
       replies.push_back(Failed(std::move(done), refusal));
     }
   }
@@ -320,8 +322,8 @@
   }
 }
 
-// Agents' polls and callers are read meanwhile, so that a round of planning that takes long weighs
-// more news instead of keeping them waiting.
+// Agents' polls and callers are handled during the pause, so that a long planning round is followed
+// by one with more updates instead of keeping them waiting.
 void PlannerService::PauseAfter(Duration round) {
   if (round < kShortRound) return;
   std::this_thread::sleep_for(std::min(round * kPausePerRound, kMaxRoundPause));
@@ -349,7 +351,7 @@
     Duration pause = kRetryPause;
     Time start = LeaseClock().Now();
     while (!AppendOnce(records, epoch, sequence)) {
-      // A call that was waited for in vain has been a pause already.
+      // A call that timed out has already been a pause.
       if (LeaseClock().Now() - start < options_.append_timeout) std::this_thread::sleep_for(pause);
       pause = std::min(2 * pause, kMaxRetryPause);
       start = LeaseClock().Now();
@@ -377,12 +379,12 @@
     replan_needed_ = true;
     if (releasing_ && planner_->outbox().empty()) {
       intake_.Answer(std::nullopt, planner_.get(), requested_at, &replies);
-      StepDownLocked("given up", &replies);
+      StepDownLocked("leadership released", &replies);
     }
   } catch (const Error& error) {
     append_failures_.Add();
     if (error.kind() != ErrorKind::kFenced && error.kind() != ErrorKind::kConflict) {
-      // One line for each append that fails; how often is counted.
+      // Logged once for each failing append; the attempts are counted in a metric.
       if (logged_failed_sequence_ != sequence) {
         LogEvent(LogLevel::kWarning, "append_failed",
                  {{"epoch", epoch}, {"sequence", sequence}, {"error", error.what()}});
--- a/servers/pool/planner_service.h
+++ b/servers/pool/planner_service.h
@@ -1,5 +1,5 @@
-// Runs a PoolPlanner while this process holds the duty: keeps its records, answers agents and
-// entries, and lets it decide. One thread decides, one writes.
+// Runs a PoolPlanner while this process is the active planner: writes its records to the store,
+// answers agents and entries, and runs the planning rounds. One thread plans, another one writes.
 #pragma once
 
 #include <condition_variable>
@@ -21,19 +21,19 @@
 
 namespace turmericshift::pool {
 
-// Giving the duty up in order takes this at most.
+// Upper limit for an orderly release of the leadership.
 inline constexpr Duration kReleaseLimit = std::chrono::milliseconds(900);
 
 struct PlannerServiceOptions {
   PlannerOptions planner;
-  // A sign of life is written when nothing else has been for so long. Followers wait several times
-  // this before they take the duty over.
+  // Heartbeat interval: a heartbeat record is written after this long without another record. Other
+  // entries wait several times this long before they take over.
   Duration beat = std::chrono::milliseconds(250);
-  // One append's answer is waited for so long, then it is sent again under the same number.
+  // Time-out of an append; afterwards the append is sent again with the same sequence number.
   Duration append_timeout = std::chrono::milliseconds(600);
-  // When the newest append has gone unanswered for this long, new work is turned away at once: it
-  // can't be kept, and callers do better to come back than to wait. Slow stores answer in a
-  // quarter of a second.
+  // When the newest append has been unanswered for this long, new work is rejected immediately: it
+  // can't be made durable, and callers do better to retry than to wait. Slow stores answer within
+  // 0.25 s.
   Duration append_stall_timeout = std::chrono::milliseconds(700);
 };
 
@@ -45,25 +45,27 @@
   PlannerService(const PlannerService&) = delete;
   PlannerService& operator=(const PlannerService&) = delete;
 
-  // Takes the duty up. The claim was written under `sequence`; `book` is all that came before it.
+  // Becomes the active planner. The claim was written under `sequence`; `book` contains everything
+  // before the claim. `requested_at` is when the claim was sent.
   void BecomeActive(int64_t epoch, int64_t sequence, const JobBook& book,
                     const std::set<std::string>& agents, Time requested_at);
-  // The planner before is known to plan no more.
+  // Called when the previous planner is known to have stepped down.
   void PredecessorGone();
-  // Lays the duty down: a newer epoch has been seen.
+  // Steps down, for example because a newer epoch has been seen.
   void StepDown(const char* reason);
-  // Writes what is left and gives the duty up in the store, so that a successor need not wait for
-  // the silence; at most `limit`.
+  // Writes the remaining records and releases the leadership in the store, so that a successor need
+  // not wait for the silence time-out. Waits up to `limit`.
   void Release(Duration limit);
-  // Waits up to `limit` for something that the advice service should be asked.
+  // Waits up to `limit` for a request to the advice service.
   std::optional<AdviceQuestion> NextQuestion(Duration limit);
   void TakeAdvice(const AdviceQuestion& question, const AdviceAnswer& answer, Time requested_at);
   void AdviceFailed(Time now);
-  // What this entry has read of the duty, and whether it would claim it if it were free.
+  // Sets the newest planner read from the store, and whether this entry would claim the leadership
+  // if it were vacant.
   void SetLeadershipView(const PlannerRecord& planner, bool would_claim);
-  // The epoch while the duty is held; 0 otherwise.
+  // Epoch of this process while it is the active planner; 0 otherwise.
   int64_t epoch() const;
-  // Agents that have not been heard for `limit`, of those given.
+  // Returns those of `agents` from which no report has been received for `limit`.
   std::vector<std::string> UnresponsiveAgents(const std::set<std::string>& agents, Duration limit,
                                               Time now) const;
 
@@ -84,14 +86,16 @@
   void RunPlanningLoop();
   static void PauseAfter(Duration round);
   void RunWriteLoop();
-  // One append and what follows from its answer; false when the duty is lost.
+  // Sends one append and handles the result. Returns false if the append has to be sent again, true
+  // if it is settled, also when the leadership was lost.
   bool AppendOnce(const std::vector<KeyedRecord>& records, int64_t epoch, int64_t sequence);
-  // Has `take(done, now, replies)` take a caller's call in if this process plans.
+  // Accepts a caller's call with `take(done, now, replies)` if this process is the active planner,
+  // and rejects it otherwise.
   template <typename Take>
   void AcceptCall(JobIntake::OnDone done, Take&& take);
   void AnswerPolls(Time now, Replies* replies);
   void StepDownLocked(const char* reason, Replies* replies);
-  // The error for a caller when this process does not plan.
+  // Error for callers while this process is not the active planner.
   static Error NotActiveError();
 
   const PlannerServiceOptions options_;
@@ -110,7 +114,7 @@
   std::condition_variable write_ready_;
   std::condition_variable advice_ready_;
   std::unique_ptr<PoolPlanner> planner_;
-  // The newest planner that has told this process of itself.
+  // The newest planner that has notified this process that it took over.
   PlannerRecord successor_;
   std::map<std::string, Poll> polls_;
   JobIntake intake_{options_.append_stall_timeout};
@@ -120,12 +124,12 @@
   bool releasing_ = false;
   bool stopping_ = false;
   int64_t sequence_ = 0;
-  // When the append that is on its way was first sent.
+  // When the pending append was first sent; empty if there is none.
   std::optional<Time> append_started_at_;
   Time last_write_{};
-  // The append whose failure has been logged; only the writing thread uses it.
+  // Sequence of the append whose failure was logged last. Used only by the writer thread.
   int64_t logged_failed_sequence_ = 0;
-  // Last, so that they end before what they use.
+  // Declared last, so that the threads end before the members they use are destroyed.
   Thread planning_thread_;
   Thread writer_thread_;
 };
--- a/servers/pool/planner_service_test.cc
+++ b/servers/pool/planner_service_test.cc
@@ -21,13 +21,13 @@
 constexpr Duration kAppendStallTimeout = milliseconds(20);
 constexpr Duration kAnswerLimit = seconds(30);
 
-// What one try of a caller was told.
+// The answer to one attempt of a caller.
 class SubmitResult {
  public:
   std::function<void(Attempt<Done>)> Callback() {
     return [promise = promise_](Attempt<Done> attempt) { promise->set_value(std::move(attempt)); };
   }
-  // The outcome of the error; kRan when the record is kept.
+  // Returns the outcome of the error, or kRan if the record is durable.
   Outcome Wait() {
     EXPECT_EQ(future_.wait_for(kAnswerLimit), std::future_status::ready) << "never answered";
     const Attempt<Done> attempt = future_.get();
@@ -66,8 +66,8 @@
     while (log_.appends() < before + more) std::this_thread::yield();
   }
 
-  // The store turns the planner away. Returns when an append has been refused, so that whatever is
-  // put next stays in the outbox.
+  // Makes the store reject the planner. Returns when an append has failed, so that records added
+  // from now on stay in the outbox.
   void BlockStore() {
     faulty_log_.SetFaults({true, false});
     const int64_t before = failures_.value();
@@ -85,7 +85,7 @@
                        [&](const KeyedRecord& record) { return record.key == kSpecPrefix + id; });
   }
 
-  // Whether the planner takes nothing in any more.
+  // Whether the planner no longer accepts calls.
   bool RejectsCalls() {
     try {
       LocalPlannerClient(&service_).Cancel("nobody's", kAnswerLimit);
@@ -103,8 +103,8 @@
   PlannerService service_{Options(), &faulty_log_, &operators_, &metrics_};
 };
 
-// A job that was withdrawn for its first try must not be reported as accepted to the second.
-TEST_F(PlannerServiceTest, AnswersEveryTryOfAWithdrawnJobWithNotRun) {
+// A job that was withdrawn for its first attempt must not be reported as accepted to the second.
+TEST_F(PlannerServiceTest, AnswersEveryAttemptOfWithdrawnJobWithNotRun) {
   BlockStore();
   SubmitResult first;
   SubmitResult repeat;
@@ -116,8 +116,8 @@
   EXPECT_FALSE(InStore("j"));
 }
 
-// A withdrawn job that is sent again once the store is back must be taken in anew.
-TEST_F(PlannerServiceTest, TakesAWithdrawnJobInAnew) {
+// A withdrawn job that is submitted again once the store is back must be accepted anew.
+TEST_F(PlannerServiceTest, AcceptsWithdrawnJobAgain) {
   BlockStore();
   SubmitResult first;
   service_.Submit(Job("j"), first.Callback());
@@ -129,8 +129,9 @@
   EXPECT_TRUE(InStore("j"));
 }
 
-// A job whose record has left may still be kept, so neither try may be told that it never runs.
-TEST_F(PlannerServiceTest, AnswersEveryTryOfAJobThatHasLeftAlike) {
+// A job whose record has been sent may still become durable, so no attempt may be told that it
+// never runs.
+TEST_F(PlannerServiceTest, AnswersEveryAttemptOfSentJobAlike) {
   faulty_log_.SetFaults({false, true});
   SubmitResult first;
   SubmitResult repeat;
@@ -142,8 +143,8 @@
   EXPECT_EQ(repeat.Wait(), Outcome::kRan);
 }
 
-// A duty that ends with records in the outbox must leave no try without an answer.
-TEST_F(PlannerServiceTest, AnswersEveryTryWhenTheDutyEnds) {
+// When a planner steps down with records in the outbox, every attempt must still be answered.
+TEST_F(PlannerServiceTest, AnswersEveryAttemptWhenSteppingDown) {
   BlockStore();
   SubmitResult first;
   SubmitResult repeat;
@@ -154,16 +155,16 @@
   EXPECT_NE(repeat.Wait(), Outcome::kRan);
 }
 
-// A caller whose job is kept together with the planner's last record must not be told "unknown" at
-// a planned stop.
-TEST_F(PlannerServiceTest, AnswersWhatIsKeptWithItsLastRecord) {
+// A caller whose job becomes durable with the planner's last append must not be told "unknown" at a
+// planned stop.
+TEST_F(PlannerServiceTest, AnswersCallersOfLastAppendOnRelease) {
   BlockStore();
-  SubmitResult told;
-  service_.Submit(Job("j"), told.Callback());
+  SubmitResult result;
+  service_.Submit(Job("j"), result.Callback());
   Thread release("release", [this] { service_.Release(kAnswerLimit); });
   while (!RejectsCalls()) std::this_thread::yield();
   faulty_log_.SetFaults({});
-  EXPECT_EQ(told.Wait(), Outcome::kRan);
+  EXPECT_EQ(result.Wait(), Outcome::kRan);
   EXPECT_TRUE(InStore("j"));
   release.Join();
 }
--- a/servers/pool/pool_agent.cc
+++ b/servers/pool/pool_agent.cc
@@ -9,20 +9,20 @@
 namespace {
 
 constexpr int kOrderThreads = 4;
-// A planner in another zone answers a connect within milliseconds.
+// A planner in another zone accepts a connection within milliseconds.
 constexpr Duration kConnectTimeout = std::chrono::milliseconds(700);
-// Pause after the worker or the planner could not be reached.
+// Delay after the worker or the planner could not be reached.
 constexpr Duration kRetryInterval = std::chrono::milliseconds(100);
-// A worker with ends to list answers a hold at once; no need to ask faster than the store keeps
-// them.
+// A worker with ends to report answers a hold immediately; asking faster than the store makes the
+// ends durable has no use.
 constexpr Duration kHoldInterval = std::chrono::milliseconds(20);
 constexpr Duration kHoldGracePeriod = std::chrono::milliseconds(800);
 constexpr Duration kUpdateTimeout = std::chrono::milliseconds(700);
 constexpr Duration kMemberCheckInterval = std::chrono::seconds(2);
-// A way through another entry is given up for the straight one after this, in case that is back.
+// A relayed connection is replaced after this time, in case the direct path works again.
 constexpr Duration kDirectRetryInterval = std::chrono::seconds(5);
-// A late planner is waited for so many times as long as it said, and so long at most: runs go on
-// for 4 s without its word.
+// An overloaded planner is given this multiple of its stated lag as additional time, up to the
+// maximum below. Runs continue for 4 s without its answer.
 constexpr int kLagTimeoutFactor = 2;
 constexpr Duration kMaxLagTimeout = std::chrono::milliseconds(1300);
 constexpr Duration kAppendTimeout = std::chrono::milliseconds(1200);
@@ -78,7 +78,7 @@
     report_needed = before.id != after.id || before.start_time_ms != after.start_time_ms ||
                     before.draining != after.draining;
   }
-  // A worker that has just come should not have to wait for the next poll to be of use.
+  // A new worker should be usable before the next poll.
   if (report_needed) orders_.Submit([this] { EnsureMember(LeaseClock().Now()); });
   if (report_needed) RequestUpdate();
 }
@@ -122,7 +122,7 @@
       if (stopping_) return;
       has_planner = state_.epoch() > 0;
     }
-    // A worker refuses whatever comes without the newest planner's number.
+    // A worker refuses calls without the newest planner's epoch.
     if (!has_planner) {
       Pause(kRetryInterval);
       continue;
@@ -201,12 +201,12 @@
       update_requested_ = false;
       port = port_;
     }
-    // Without a planner the news goes out with the first poll.
+    // Without a connection to a planner, the update is sent with the first poll.
     if (!port) continue;
     try {
       ExchangeOnce(port.get(), Duration::zero());
     } catch (const Error& error) {
-      // The poll that stands meanwhile repeats it.
+      // The next poll includes the same information.
       LogEvent(LogLevel::kWarning, "news_not_sent", {{"error", error.what()}});
     }
   }
@@ -226,7 +226,8 @@
     if (orders.planner_epoch > redirected_planner_.epoch) {
       redirected_planner_ = {orders.planner_epoch, "", orders.planner_address};
     }
-    throw Error(ErrorKind::kConflict, Outcome::kNotRun, "the pool is planned elsewhere now");
+    throw Error(ErrorKind::kConflict, Outcome::kNotRun,
+                "another process is the active planner of the pool");
   }
   AgentOrders new_orders;
   bool new_planner = false;
@@ -239,7 +240,8 @@
     new_planner = state_.epoch() != before || report.epoch != state_.epoch();
   }
   if (new_planner) {
-    // The planner uses the worker only after it has been read under its own number.
+    // The planner uses the worker only after the worker has been read under the planner's own
+    // epoch.
     orders_.Submit([this] {
       if (HoldOnce(Duration::zero())) RequestUpdate();
     });
@@ -247,8 +249,8 @@
   ExecuteOrders(new_orders, sent + orders.start_window);
 }
 
-// A planner that is late has not lost this agent: asked anew over another connection it would only
-// have more to read.
+// An overloaded planner has not lost this agent: a repeated request over a new connection would
+// only add to its load.
 Duration PoolAgent::ExchangeTimeout(Duration wait) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   const Duration lag = std::min(kLagTimeoutFactor * planner_lag_, kMaxLagTimeout);
@@ -271,7 +273,7 @@
     call = state_.PrepareStart(order, until, &reason, now);
     if (call && !registered_.load()) {
       call.reset();
-      reason = "the agent is not among the members yet";
+      reason = "the agent is not registered as a member yet";
     }
     if (!call) {
       state_.StartNotSent(order.run, reason);
@@ -313,7 +315,7 @@
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     if (!state_.worker().reachable) {
-      // Asked for again by the planner as long as it matters.
+      // The planner repeats the stop as long as it is needed.
       state_.TakeStopAnswer(run, OrderAnswer::kNotListening, LeaseClock().Now());
       return;
     }
@@ -340,12 +342,12 @@
     wanted = state_.may_host_runs();
     gone = state_.is_gone();
   }
-  // A process that has just started knows nothing of its worker; that is no reason to leave.
+  // A process that has just started does not know its worker yet, which is no reason to deregister.
   if (!wanted && !gone) return;
   if (wanted == registered_.load() && now - member_checked_at_ < kMemberCheckInterval) return;
   member_checked_at_ = now;
   const bool listed = members_.agents().count(options_.node) > 0;
-  // Planners drop agents that were silent for long.
+  // Planners remove agents from which nothing was received for long.
   if (wanted == registered_.load() && wanted == listed) return;
   try {
     log_->Append(kMembersTopic,
--- a/servers/pool/pool_agent.h
+++ b/servers/pool/pool_agent.h
@@ -1,8 +1,8 @@
-// The process beside one worker: keeps its leases while a planner vouches for them, carries orders
-// out, reports what runs and how it ended.
+// Agent process of one worker: renews the worker's leases while a planner grants them, carries out
+// orders, and reports running and ended tasks.
 //
-// One thread talks with the worker, one with the planner; orders run on a few more, since a worker
-// may leave one unanswered for seconds.
+// One thread talks to the worker and one to the planner. Orders run on a thread pool, because a
+// worker may leave an order unanswered for seconds.
 #pragma once
 
 #include <atomic>
@@ -26,16 +26,17 @@
   std::string node;
   std::string zone;
   std::string incarnation;
-  // How long a poll waits at the planner. A planner's word is at most this old when it arrives.
+  // How long the planner may hold back the answer to a poll. Its answer is at most this old on
+  // arrival.
   Duration poll_wait = std::chrono::milliseconds(500);
-  // More than this without an answer and the connection counts as lost.
+  // Time after `poll_wait` at which an unanswered connection is considered lost.
   Duration poll_grace_period = std::chrono::milliseconds(700);
-  // How long a look at the worker waits for an end.
+  // How long a hold waits for a run to end.
   Duration hold_wait = std::chrono::milliseconds(1000);
-  // How long a look at the list of members waits for a change.
+  // How long a poll of the members topic waits for a change.
   Duration members_wait = std::chrono::seconds(4);
-  // One try of an order to the worker, which stands beside the agent and answers in milliseconds.
-  // Three of them stay within the time that a gang is given to begin (1.3 s).
+  // Time-out of one attempt of an order to the worker, which runs beside the agent and answers in
+  // milliseconds. Three attempts fit into the time that a gang is given to start (1.3 s).
   Duration order_timeout = std::chrono::milliseconds(270);
 };
 
@@ -54,18 +55,19 @@
   void RunWorkerLoop();
   void RunPlannerLoop();
   void RunUpdateLoop();
-  // One hold; returns whether the planner should hear of it at once.
+  // Sends one hold. Returns whether the planner should be informed immediately.
   bool HoldOnce(Duration wait);
-  // One exchange over `port`.
+  // The newest planner known from the store or from a redirect.
   PlannerRecord NewestPlanner() const;
   void ExchangeOnce(PlannerClient* port, Duration wait);
-  // How long an answer is waited for that the planner may hold back for `wait`.
+  // Time-out of an exchange whose answer the planner may hold back for `wait`.
   Duration ExchangeTimeout(Duration wait) const;
   void ExecuteOrders(const AgentOrders& new_orders, Time until);
   void StartOne(const StartOrder& order, Time until);
   void StopOne(const RunId& run);
   void RequestUpdate();
-  // Has the agent stand in the store's list of members, so that a new planner waits for it.
+  // Registers the agent in the members topic, so that a new planner waits for its report, or
+  // removes it when its worker is gone.
   void EnsureMember(Time now);
   void Pause(Duration pause);
 
@@ -84,18 +86,19 @@
   std::condition_variable changed_;
   AgentState state_;
   std::shared_ptr<PlannerClient> port_;
-  // The newest planner that one before it has told of; the store may be out of reach.
+  // Newest planner that a previous planner has redirected this agent to. Needed when the store is
+  // out of reach.
   PlannerRecord redirected_planner_;
-  // How far the planner said that it is behind.
+  // Lag that the planner stated in its newest orders.
   Duration planner_lag_{};
   bool update_requested_ = false;
   bool stopping_ = false;
-  // Held while the membership is looked at and written.
+  // Held while the membership is checked and written.
   std::mutex member_mutex_;
   std::atomic<bool> registered_{false};
   Time member_checked_at_{};
   ThreadPool orders_;
-  // Last, so that they end before what they use.
+  // Declared last, so that the threads end before the members they use are destroyed.
   Thread worker_thread_;
   Thread planner_thread_;
   Thread update_thread_;
--- a/servers/pool/pool_entry.cc
+++ b/servers/pool/pool_entry.cc
@@ -8,17 +8,17 @@
 namespace turmericshift::pool {
 namespace {
 
-// For the last answers to go out.
+// Time reserved for sending the last answers.
 constexpr Duration kAnswerReserve = std::chrono::milliseconds(300);
 
 }  // namespace
 
 PoolEntry::PoolEntry(const PoolEntryOptions& options, KeyedLog* log,
-                     std::unique_ptr<OperatorDecoder> decoder, const CallerDoor* door,
+                     std::unique_ptr<OperatorDecoder> decoder, const CallerDoor* endpoint,
                      PlannerConnector* connector, MetricsRegistry* metrics)
     : options_(options),
       log_(log),
-      door_(door),
+      endpoint_(endpoint),
       connector_(connector),
       metrics_(metrics),
       work_(log),
@@ -28,7 +28,7 @@
       service_(options.planner, log, &operators_, metrics),
       front_(options.front, &work_, &operators_, &service_, &router_, metrics) {
   callers_ = std::make_unique<HttpServer>(options.callers, [this](const HttpRequest& request) {
-    return door_->Handle(request, &front_, LeaseClock().Now());
+    return endpoint_->Handle(request, &front_, LeaseClock().Now());
   });
   readiness_ = std::make_unique<HttpServer>(
       options.readiness, [this](const HttpRequest& request) { return AnswerReadiness(request); });
@@ -51,7 +51,7 @@
 
 HttpResponse PoolEntry::AnswerReadiness(const HttpRequest& request) const {
   if (request.path == "/metrics") return {200, metrics_->Expose(), {}};
-  if (request.path != door_->ready_path()) return JsonResponse("{}", 404);
+  if (request.path != endpoint_->ready_path()) return JsonResponse("{}", 404);
   const bool ready = !leaving_.load() && front_.Ready(LeaseClock().Now());
   return JsonResponse(ready ? R"({"ready":true})" : R"({"ready":false})", ready ? 200 : 503);
 }
--- a/servers/pool/pool_entry.h
+++ b/servers/pool/pool_entry.h
@@ -1,5 +1,5 @@
-// An entry of a pool: answers callers, follows the store, and plans the pool while it holds the
-// duty. The sessions' listener is made around it, since it lies in a layer above.
+// An entry of a pool: answers callers, follows the store, and plans the pool while it is the active
+// planner. The listener for sessions belongs to a higher layer and is created by the owner.
 #pragma once
 
 #include <atomic>
@@ -24,10 +24,10 @@
   PlannerServiceOptions planner;
   ElectorOptions elector;
   JobFrontOptions front;
-  // How long a look at the list of members waits for a change.
+  // How long a poll of the members topic waits for a change.
   Duration members_wait = std::chrono::seconds(4);
-  // How long a leaving entry goes on taking callers in, so that the balancer notices first: it asks
-  // each second and leaves out an entry that was not ready twice.
+  // How long a leaving entry continues to accept callers, so that the balancer notices first: it
+  // checks readiness each second and drops an entry after two failed checks.
   Duration balancer_notice = std::chrono::milliseconds(2300);
 };
 
@@ -35,21 +35,21 @@
  public:
   // All arguments must outlive the entry.
   PoolEntry(const PoolEntryOptions& options, KeyedLog* log,
-            std::unique_ptr<OperatorDecoder> decoder, const CallerDoor* door,
+            std::unique_ptr<OperatorDecoder> decoder, const CallerDoor* endpoint,
             PlannerConnector* connector, MetricsRegistry* metrics);
   ~PoolEntry();
   PoolEntry(const PoolEntry&) = delete;
   PoolEntry& operator=(const PoolEntry&) = delete;
 
   PlannerGate* gate() { return &service_; }
-  // For the one who asks the advice service on its behalf.
+  // Used by the client of the advice service.
   PlannerService* planner() { return &service_; }
   int caller_port() const { return callers_->port(); }
   int readiness_port() const { return readiness_->port(); }
-  // Takes part in planning from now on; `address` is where sessions are opened.
+  // Joins the leader election. `address` is where sessions to this entry are opened.
   void Join(const std::string& address);
-  // Gives the duty up, lets the balancer notice, answers what is in flight, all within `limit`;
-  // returns whether every call was answered.
+  // Releases the leadership, waits until the balancer has noticed, and answers the pending calls,
+  // all within `limit`. Returns whether every call was answered.
   bool Leave(Duration limit);
 
  private:
@@ -57,7 +57,7 @@
 
   const PoolEntryOptions options_;
   KeyedLog* const log_;
-  const CallerDoor* const door_;
+  const CallerDoor* const endpoint_;
   PlannerConnector* const connector_;
   MetricsRegistry* const metrics_;
   std::atomic<bool> leaving_{false};
--- a/servers/pool/pool_messages.cc
+++ b/servers/pool/pool_messages.cc
@@ -37,7 +37,7 @@
   for (const EndName& row : kEndNames) {
     if (name == row.name) return row.kind;
   }
-  throw Error(ErrorKind::kInvalidInput, "'" + name + "' is no way for a run to end");
+  throw Error(ErrorKind::kInvalidInput, "'" + name + "' is not the name of an end kind");
 }
 
 std::string TaskName(const TaskId& task) {
@@ -54,7 +54,8 @@
   }
   parts.push_back(name.substr(start));
   if (parts.size() != 4 || parts[0].empty()) {
-    throw Error(ErrorKind::kInvalidInput, "'" + name + "' names no task");
+    throw Error(ErrorKind::kInvalidInput,
+                "'" + name + "' is not a task name of the form ID.occurrence.step.index");
   }
   return {parts[0], static_cast<int>(ParseInteger(parts[1], 0, kMaxIndex)),
           static_cast<int>(ParseInteger(parts[2], 0, kMaxIndex)),
--- a/servers/pool/pool_messages.h
+++ b/servers/pool/pool_messages.h
@@ -1,4 +1,4 @@
-// What agents and the planner of a pool tell each other. rpc/pool.capnp has the same on the wire.
+// Messages between the agents and the planner of a pool. rpc/pool.capnp defines the wire format.
 #pragma once
 
 #include <cstdint>
@@ -10,8 +10,9 @@
 
 namespace turmericshift::pool {
 
-// One run of one task. Numbers rise with every start, also over planners: the planner's epoch is
-// their high part. Members of a gang share the number.
+// Identifies one run of one task. Run numbers increase with every start, across planners too,
+// because the planner's epoch forms the high part of the number. All members of a gang share one
+// number.
 struct RunId {
   TaskId task;
   int64_t number = 0;
@@ -21,34 +22,37 @@
 
 struct RunningTask {
   RunId run;
-  // Newest saved state; empty: none.
+  // Newest saved checkpoint; empty if there is none.
   std::string checkpoint;
-  // How much of its work is done, 0 to 100; for a lasting task, the share at which it works.
+  // Share of the work that is done, 0 to 100. For a long-running task: the throughput it reaches,
+  // as a percentage.
   int percent = 0;
 };
 
-// How a run ended at its worker.
+// How a run ended at its worker. kLeaseExpired: its lease expired. kGangBroken: another member of
+// the gang ended before the gang was done. kPartialGang: the gang was not complete within its
+// waiting time.
 enum class EndKind { kDone, kFailed, kStopped, kLeaseExpired, kGangBroken, kPartialGang };
 const char* EndKindName(EndKind kind);
-// Throws Error(kInvalidInput) for a name that is none of ours.
+// Throws Error(kInvalidInput) if no kind has this name.
 EndKind EndKindFromName(const std::string& name);
 
 struct EndedTask {
-  // Rises by one with each end in one life of the worker.
+  // Increases by one with each end within one incarnation of the worker.
   int64_t number = 0;
   RunId run;
   EndKind kind = EndKind::kDone;
   std::string checkpoint;
 };
 
-// What became of a start that the planner ordered.
+// Result of a start that the planner ordered.
 enum class StartOutcome {
   kStarted,
-  // The worker has no room for it, or does not take it for good reason; it does not run.
+  // The task does not run: the worker has no room for it or rejected it for a valid reason.
   kRefused,
-  // The worker or its agent is not well; it does not run.
+  // The task does not run because the worker or its agent is unhealthy.
   kNotRun,
-  // The worker does not take the ticket of the advice service; it does not run.
+  // The task does not run because the worker rejected the advice service's ticket.
   kTicketRefused,
 };
 
@@ -58,11 +62,11 @@
   std::string reason;
 };
 
-// What the worker beside an agent says of itself.
+// Description of an agent's worker, as the worker announces it.
 struct WorkerFacts {
-  // Empty while the agent knows no worker.
+  // Worker ID; empty while the agent knows no worker.
   std::string id;
-  // Milliseconds since 1970 when this life of the worker began.
+  // Start time of this incarnation of the worker, in milliseconds since 1970.
   int64_t start_time_ms = 0;
   std::string service;
   std::string machine;
@@ -70,9 +74,9 @@
   std::vector<std::string> labels;
   Room capacity;
   bool draining = false;
-  // While it drains: the least time left until it is gone.
+  // Minimum time until a draining worker leaves.
   Duration leaves_in{};
-  // The agent can talk to it.
+  // Whether the worker answers the agent's calls.
   bool reachable = false;
 };
 
@@ -81,21 +85,22 @@
   std::string zone;
   // Differs for each start of the agent's process.
   std::string incarnation;
-  // Rises with each report; an older one that comes later is dropped.
+  // Increases with each report. A report that arrives after a newer one is dropped.
   int64_t sequence = 0;
-  // The epoch that the lists below were taken under: no order of an older planner can be carried
-  // out after them.
+  // Epoch (fencing token) under which the worker was last read. The worker no longer executes
+  // orders of older planners once the lists below have been read under this epoch. 0: not yet read
+  // under the current epoch.
   int64_t epoch = 0;
-  // The newest orders that have arrived; see AgentOrders::version.
+  // Version of the newest orders received; see AgentOrders::version.
   int64_t orders_seen = 0;
   WorkerFacts worker;
-  // How long whatever runs may still run on a lease that this agent has passed on; zero: all of it
-  // has surely ended.
+  // Remaining time of the longest lease that this agent has granted. Zero: every run that had a
+  // lease from it has ended.
   Duration lease_left{};
   std::vector<RunningTask> running;
   std::vector<EndedTask> ended;
   std::vector<StartResult> results;
-  // How long the planner may wait for news before it answers.
+  // How long the planner may hold the answer back while it has no new orders.
   Duration wait{};
 };
 
@@ -103,36 +108,36 @@
   RunId run;
   std::string payload;
   std::string checkpoint;
-  // Of the advice service; empty where the queue asks none.
+  // Ticket of the advice service; empty if the queue does not use advice.
   std::string ticket;
 };
 
 struct AgentOrders {
   int64_t epoch = 0;
-  // Rises whenever there is something new for the agent.
+  // Increases whenever there are new orders for the agent.
   int64_t version = 0;
-  // What runs may go on for so long, counted from when the agent sent its report. Zero: the
-  // planner may not vouch for it now.
+  // Duration of the lease for running tasks, counted from when the agent sent its report. Zero: the
+  // planner can't currently confirm its leadership and grants no lease.
   Duration lease{};
-  // Starts may be carried out for so long, counted from the same moment.
+  // Starts are valid for this long, counted from when the agent sent its report.
   Duration start_window{};
-  // Ends up to this number are in the store and need not be reported again.
+  // Ends up to this number are durable in the store and need not be reported again.
   int64_t acked_ends = 0;
-  // The life of the worker that `acked_ends` counts in.
+  // Start time of the worker incarnation that `acked_ends` refers to.
   int64_t worker_start_time_ms = 0;
   std::vector<StartOrder> starts;
   std::vector<RunId> stops;
-  // How far the planner is behind; its next answers take so much longer.
+  // Planner lag: its next answers take this much longer.
   Duration lag{};
-  // Told by a process that plans no more and knows who does, all else being empty: the newest
-  // epoch and where its planner is reached, "ip:port".
+  // Redirect from a process that is no longer the active planner: epoch and address ("ip:port") of
+  // the newest planner it knows. All other fields are empty in that case.
   int64_t planner_epoch = 0;
   std::string planner_address;
 };
 
-// "ID.occurrence.step.index", as callers and workers know a task.
+// Name of a task on the callers' and workers' interfaces: "ID.occurrence.step.index".
 std::string TaskName(const TaskId& task);
-// Throws Error(kInvalidInput) for a name of another form.
+// Throws Error(kInvalidInput) if `name` does not have the form of TaskName().
 TaskId ParseTaskName(const std::string& name);
 
 }  // namespace turmericshift::pool
--- a/servers/pool/pool_view.cc
+++ b/servers/pool/pool_view.cc
@@ -8,12 +8,14 @@
 namespace turmericshift::pool {
 namespace {
 
-// All entries together make some 500 reads a second of a topic that changes all the time, however
-// many they are.
+// Limits all entries together to about 500 reads per second of a topic that changes constantly,
+// regardless of their number.
 constexpr Duration kReadIntervalPerReader = std::chrono::milliseconds(2);
-// A planner's sign of life comes by this later, and has to come before it is taken for gone.
+// Delays the observation of a planner's heartbeat by at most this, so it must stay well below the
+// silence time-out.
 constexpr Duration kMaxReadInterval = std::chrono::milliseconds(120);
-// When all processes start, each of the members' records would otherwise be read apart by all.
+// Without this interval, when all processes start, every process would read each member's record
+// separately.
 constexpr Duration kReadIntervalPerMember = std::chrono::milliseconds(1);
 constexpr Duration kMaxMembersReadInterval = std::chrono::milliseconds(300);
 
@@ -61,7 +63,7 @@
   if (rebuilding_) {
     book_ = std::move(*rebuilding_);
     rebuilding_.reset();
-    // An empty topic has no record that could tell when a planner was last heard.
+    // An empty topic has no record that tells when a planner was last active.
     newest_record_at_ = LeaseClock().Now();
   }
   end_ = end;
@@ -109,7 +111,8 @@
       [this](Offset end, Time requested_at) { CaughtUp(end, requested_at); },
       [this] {
         const std::lock_guard<std::mutex> lock(mutex_);
-        // Zones may have come back meanwhile; the document is kept, since versions never go back.
+        // Zones may have been put back into service in the meantime. The document is kept, because
+        // versions never go back.
         next_.zones_out.clear();
         changed_ = true;
       });
--- a/servers/pool/pool_view.h
+++ b/servers/pool/pool_view.h
@@ -1,5 +1,5 @@
-// What one process has read of the store: the work topic, the operators' documents and the members,
-// each with how fresh it is. Shared between threads.
+// Views of the store that a process keeps up to date by following topics: the work topic, the
+// operators' documents and the members. Each view states how fresh it is. Thread-safe.
 #pragma once
 
 #include <atomic>
@@ -18,16 +18,17 @@
 
 inline constexpr const char* kWorkTopic = "keyed.work";
 inline constexpr const char* kMembersTopic = "keyed.members";
-// Keys of the members topic: "agent/NODE" for each agent that may have something running,
+// Keys of the members topic: "agent/NODE" for each agent whose worker may run something,
 // "entry/NODE" for each entry, and kPlannerKey.
 inline constexpr const char* kAgentPrefix = "agent/";
 inline constexpr const char* kEntryPrefix = "entry/";
-// Writers of the work topic take turns by epoch under this name.
+// Producer name under which planners write to the work topic. The store accepts only the highest
+// epoch of a producer.
 inline constexpr const char* kPlannerProducer = "planner";
 
-// A topic's view with the moment at which the store was asked for what it shows.
+// How current the view of a topic is.
 struct Freshness {
-  // Nothing has been read yet while this is empty.
+  // When the read was sent that the view reflects; empty until the topic has been read.
   std::optional<Time> requested_at;
 
   bool within(Duration limit, Time now) const {
@@ -35,28 +36,31 @@
   }
 };
 
-// What a claim on the planner's duty rests on.
+// State of the leadership as read from the store. A claim to become the active planner is based on
+// it.
 struct LeadershipView {
   PlannerRecord planner;
   Offset end = 0;
   Freshness freshness;
-  // When the newest record was read; records come at least every beat.
+  // When the newest record was read. An active planner writes at least one record per heartbeat
+  // interval.
   std::optional<Time> newest_record_at;
 };
 
 class WorkView {
  public:
-  // Follows the work topic from now on.
+  // Starts following the work topic.
   explicit WorkView(KeyedLog* log);
 
   LeadershipView leadership() const;
-  // A copy of everything, and what a claim made from it rests on, as of the same moment.
+  // Returns a copy of all jobs, and sets `leadership` to the state at the same moment.
   JobBook book(LeadershipView* leadership) const;
-  // Empty when the job is unknown to this view.
+  // Empty if the view does not contain the job.
   std::optional<JobState> StateOf(const std::string& id) const;
   int Waiting(const std::string& queue) const;
   Freshness freshness() const;
-  // So many entries read the topic; each of them reads the less often the more they are.
+  // Sets the number of entries that read the topic. The more there are, the less often each of them
+  // reads, which bounds the load on the store.
   void SetReaders(size_t entries) { readers_.store(entries); }
 
  private:
@@ -67,13 +71,13 @@
 
   mutable std::mutex mutex_;
   JobBook book_;
-  // Filled aside after a restart, so that nobody sees half of it.
+  // Filled while the topic is read anew after a restart, so that readers never see a partial table.
   std::optional<JobBook> rebuilding_;
   Offset end_ = 0;
   Freshness freshness_;
   std::optional<Time> newest_record_at_;
   std::atomic<size_t> readers_{0};
-  // Last, so that it is stopped first.
+  // Declared last, so that it is stopped before the members it uses are destroyed.
   std::unique_ptr<TopicFollower> follower_;
 };
 
@@ -81,7 +85,7 @@
  public:
   OperatorView(KeyedLog* log, std::unique_ptr<OperatorDecoder> decoder);
 
-  // Shared, not copied: documents of hundreds of routes are read on every call.
+  // Shared instead of copied, because documents with hundreds of routes are read on every call.
   std::shared_ptr<const OperatorState> state() const;
   Freshness freshness() const;
 
@@ -92,7 +96,7 @@
   const std::unique_ptr<OperatorDecoder> decoder_;
   mutable std::mutex mutex_;
   std::shared_ptr<const OperatorState> state_;
-  // What is being read; shown once the view has caught up.
+  // State under construction; published as `state_` when the view has caught up.
   OperatorState next_;
   bool changed_ = false;
   Freshness freshness_;
@@ -106,9 +110,9 @@
   PlannerRecord planner() const;
   std::set<std::string> agents() const;
   size_t agent_count() const;
-  // Agents and entries.
+  // Number of agents and entries.
   size_t size() const;
-  // By node; an entry that is gone stays listed.
+  // Entries by node. An entry that is gone stays listed.
   std::map<std::string, EntryRecord> entries() const;
   Freshness freshness() const;
 
--- a/servers/pool/pool_worker.h
+++ b/servers/pool/pool_worker.h
@@ -1,4 +1,4 @@
-// A worker's interface as its agent uses it. An adapter speaks a platform's own protocol behind it.
+// Interface of a worker as its agent uses it. Adapters implement it with a platform's own protocol.
 #pragma once
 
 #include <functional>
@@ -12,41 +12,41 @@
 
 namespace turmericshift::pool {
 
-// Milliseconds on the worker's own steady clock.
+// Milliseconds on the worker's own monotonic clock.
 using WorkerMillis = int64_t;
 
-// How a worker answers an order.
+// Result of an order sent to a worker.
 enum class OrderAnswer {
   kAccepted,
-  // An order of a newer planner has been seen.
+  // The worker has already seen a higher fencing token, that is, an order of a newer planner.
   kFenced,
-  // The run is not newer than one that ended or was stopped here.
+  // The worker has already ended or stopped this run or a newer run of the task.
   kStaleRun,
-  // Its time was over when it was read.
+  // The order's lease had expired when the worker read the order.
   kExpired,
   kNoRoom,
-  // The ticket of the advice service is missing, another's, or has run out.
+  // The advice service's ticket is missing, expired or issued for something else.
   kTicketRejected,
-  // The worker is unwell and has done nothing.
+  // The worker reports itself unhealthy and has not carried the order out.
   kUnhealthy,
-  // Another life of the worker answers at the address.
+  // A different incarnation of the worker answered at the address.
   kOtherIncarnation,
-  // The order can't be read or is not valid.
+  // The order is malformed or invalid.
   kInvalid,
-  // Nothing listens at the address.
+  // The connection was refused, so the worker has not received the order.
   kNotListening,
-  // It may have been carried out, or be carried out later.
+  // No answer. The order may have been carried out or may still be carried out later.
   kUnanswered,
 };
 const char* OrderAnswerName(OrderAnswer answer);
 
 struct StartCall {
-  // The life that is meant; empty: any.
+  // ID of the worker incarnation that the order is for; empty: any.
   std::string worker_id;
   RunId run;
   std::string payload;
   std::string checkpoint;
-  // Of the advice service; empty: none.
+  // Ticket of the advice service; empty if there is none.
   std::string ticket;
   WorkerMillis lease_until = 0;
   int64_t fence = 0;
@@ -55,11 +55,11 @@
 struct HoldCall {
   std::string worker_id;
   int64_t fence = 0;
-  // Ends up to this number may be forgotten.
+  // The worker may discard ends up to this number, because they are durable in the store.
   int64_t acked_ends = 0;
-  // Leases run until then; left out, they stay as they are.
+  // New expiry of the leases of running tasks; if absent, leases are not extended.
   std::optional<WorkerMillis> lease_until;
-  // The answer waits for an end for so long.
+  // How long the worker holds the answer back while no run ends (long poll).
   Duration wait{};
 };
 
@@ -72,7 +72,7 @@
 
 struct HoldAnswer {
   OrderAnswer answer = OrderAnswer::kUnanswered;
-  // Set with kAccepted.
+  // Set if `answer` is kAccepted.
   WorkerLists lists;
 };
 
@@ -88,14 +88,14 @@
 // Workers by client name; the argument is the worker's address ("10.0.0.1:8529").
 using PoolWorkerRegistry = PluginRegistry<PoolWorker, const std::string&>;
 
-// What a worker announces of itself from time to time.
+// Periodic announcement of a worker.
 struct WorkerAnnouncement {
   WorkerFacts facts;
-  // Rises with each announcement of one life.
+  // Increases with each announcement of one incarnation.
   int64_t sequence = 0;
 };
 
-// Takes announcements; called from any thread.
+// Receives announcements. May be called from any thread.
 class WorkerSink {
  public:
   virtual ~WorkerSink() = default;
@@ -103,7 +103,7 @@
   virtual void WorkerLeft(const std::string& worker_id) = 0;
 };
 
-// Reads the calls in which workers announce themselves.
+// HTTP handler for the calls with which workers announce themselves.
 class WorkerEndpoint {
  public:
   virtual ~WorkerEndpoint() = default;
--- a/servers/pool/replies.h
+++ b/servers/pool/replies.h
@@ -1,4 +1,4 @@
-// Answers that are made under a lock and given without it.
+// Replies that are prepared under a lock and delivered after it is released.
 #pragma once
 
 #include <functional>
--- a/servers/pool/topic_follower.cc
+++ b/servers/pool/topic_follower.cc
@@ -26,7 +26,7 @@
       LogStoreRegained(LeaseClock().Now());
     } catch (const Error& error) {
       if (error.kind() == ErrorKind::kTrimmed) {
-        // The history was dropped; the newest record of each key is still there.
+        // The store has trimmed the history; the newest record of each key is still there.
         LogEvent(LogLevel::kWarning, "topic_history_dropped", {{"topic", options_.topic}});
         from = kNoOffset;
         continue;
@@ -45,7 +45,7 @@
   while (true) {
     const Time now = LeaseClock().Now();
     const KeyedPage page = log_->Newest(options_.topic, after, options_.answer_grace_period);
-    // Records that come while the pages are read lie after the first page's end.
+    // Records appended while the pages are read lie after the end of the first page.
     if (begin == kNoOffset) {
       begin = page.end;
       requested_at = now;
@@ -62,16 +62,16 @@
 
 Offset TopicFollower::ReadOn(Offset from) {
   const Time requested_at = LeaseClock().Now();
-  // A store that may be away is asked for an answer at once: a call that hangs then ends sooner,
-  // and the next one finds the store back sooner.
+  // A store that may be unavailable is polled without a wait: a call that hangs then times out
+  // sooner, and the store's return is noticed sooner.
   const Duration wait = lost_since_ ? Duration::zero() : options_.poll_wait;
   const KeyedBatch batch =
       log_->Read(options_.topic, from, wait, wait + options_.answer_grace_period);
   for (const KeyedRecord& record : batch.records) on_record_(record);
   const Offset next = from + static_cast<Offset>(batch.records.size());
   if (next < batch.end) return next;
-  // An answer without records was made when the wait was over, not when it was asked for. Clocks
-  // differ, so that the store's wait may end a little early.
+  // An empty answer reflects the end of the wait, not the time of the request. Clocks differ, so
+  // the store's wait may end slightly early; only nine tenths of it are counted.
   const Duration certain_wait = wait * 9 / 10;
   const bool ran_full_wait =
       batch.records.empty() && LeaseClock().Now() - requested_at >= certain_wait;
--- a/servers/pool/topic_follower.h
+++ b/servers/pool/topic_follower.h
@@ -1,5 +1,6 @@
-// Follows one keyed topic: first the newest record of each key, then whatever is appended, by long
-// polls. Tells how fresh the view is, since each rule on configuration and duty rests on that.
+// Follows a keyed topic: reads the newest record of each key and then, by long polling, everything
+// appended afterwards. Reports how fresh the view is, because the rules on configuration and
+// leadership depend on its age.
 #pragma once
 
 #include <atomic>
@@ -14,15 +15,14 @@
 
 struct FollowerOptions {
   std::string topic;
-  // How long one poll waits for news. Freshness is known to within this.
+  // How long a poll waits for new records. Freshness is known with this precision.
   Duration poll_wait = std::chrono::seconds(1);
-  // A poll that is not answered so long after its wait has lost its connection.
+  // A poll not answered within this time after its wait is considered lost with its connection.
   Duration answer_grace_period = std::chrono::milliseconds(700);
-  // Pause after a failed call: the store may be refusing everyone, and is not to be flooded.
+  // Delay after a failed call, which avoids flooding a store that rejects everyone.
   Duration retry_interval = std::chrono::milliseconds(100);
-  // After news the next poll is sent no sooner than this, so that what comes in quick succession is
-  // read in one call.
-  // None while it is not set; called on the follower's thread.
+  // Delay before the next poll after a poll that returned records, so that records which arrive in
+  // quick succession are read in one call. Not set: no delay. Called on the follower's thread.
   std::function<Duration()> read_gap;
 };
 
@@ -30,9 +30,10 @@
  public:
   // Called on the follower's thread for each record, in order.
   using OnRecord = std::function<void(const KeyedRecord&)>;
-  // Called when the view has reached `end`, where the store stood at or after `asked`.
+  // Called when the view has reached `end`, which was the end of the topic at or after
+  // `requested_at`.
   using OnCaughtUp = std::function<void(Offset end, Time requested_at)>;
-  // Called before the records of a new start from the newest of each key.
+  // Called before the topic is read anew from the newest record of each key.
   using OnRestart = std::function<void()>;
 
   TopicFollower(const FollowerOptions& options, KeyedLog* log, OnRecord on_record,
@@ -43,9 +44,10 @@
 
  private:
   void Run();
-  // Reads the newest record of each key; returns the offset to go on from.
+  // Reads the newest record of each key. Returns the offset to continue from.
   Offset ReadNewest();
-  // One long poll, and the gap after news; returns the offset to go on from.
+  // Runs one long poll, followed by the delay if it returned records. Returns the offset to
+  // continue from.
   Offset ReadOn(Offset from);
   void LogStoreLost(const Error& error, Time now);
   void LogStoreRegained(Time now);
@@ -56,7 +58,8 @@
   const OnCaughtUp on_caught_up_;
   const OnRestart on_restart_;
   std::atomic<bool> stopping_{false};
-  // When the store was lost; only the follower's thread uses it.
+  // When contact with the store was lost; empty while it answers. Used only by the follower's
+  // thread.
   std::optional<Time> lost_since_;
   Thread thread_;
 };
--- a/servers/pool/topic_follower_test.cc
+++ b/servers/pool/topic_follower_test.cc
@@ -15,7 +15,7 @@
 
 constexpr Duration kWait = milliseconds(400);
 
-// A store whose clock runs a little fast, so that its waits end early by the reader's.
+// A store whose clock runs slightly fast, so that its waits end early by the reader's clock.
 class FastClockLog : public MemoryKeyedLog {
  public:
   KeyedBatch Read(const std::string& topic, Offset from, Duration wait, Duration timeout) override {
@@ -23,10 +23,10 @@
   }
 };
 
-// Nothing is written, so polls end without records when their wait is over. Judged by when they
-// were asked for, the view would look up to two waits old, and an entry that is in touch all the
-// while would think that it is not, and never follow a planner that fell silent.
-TEST(TopicFollower, CountsAnEmptyPollFromItsEndThoughTheStoreIsABitEarly) {
+// Nothing is written, so polls end empty after their wait. If freshness were counted from the
+// request, the view would seem up to two waits old. An entry in constant contact would consider
+// itself disconnected and never take over from a failed planner.
+TEST(TopicFollower, CountsFreshnessFromEndOfEmptyPollThatEndsEarly) {
   FastClockLog log;
   std::mutex mutex;
   std::condition_variable changed;
@@ -47,7 +47,8 @@
     changed.wait_for(lock, std::chrono::seconds(60), [&] { return ages.size() >= 3; });
   }
   ASSERT_GE(ages.size(), 3U);
-  // The first is the page; the polls' ends are known to within a tenth of the wait.
+  // The first age is that of the initial page. The end of a poll's wait is known to a tenth of the
+  // wait.
   EXPECT_LT(ages[1], kWait / 2);
   EXPECT_LT(ages[2], kWait / 2);
 }
@@ -61,9 +62,10 @@
   std::atomic<int> reads{0};
 };
 
-// Hundreds of processes start at once and each writes a record. Each of the others woke for every
-// one of them, and the store had to answer the square of their number.
-TEST(TopicFollower, ReadsNewsThatComesInQuickSuccessionInOneCall) {
+// Hundreds of processes start together and each writes a record. Without a delay between polls each
+// process woke for every record, and the store answered a number of reads quadratic in the number
+// of processes.
+TEST(TopicFollower, ReadsRecordsInQuickSuccessionInOneCall) {
   constexpr int kRecords = 200;
   CountingLog log;
   std::atomic<int> seen{0};
@@ -74,7 +76,7 @@
   {
     const TopicFollower follower(
         options, &log, [&](const KeyedRecord& /*record*/) { seen.fetch_add(1); },
-        [](Offset /*end*/, Time /*asked*/) {}, [] {});
+        [](Offset /*end*/, Time /*requested_at*/) {}, [] {});
     while (log.reads.load() == 0) std::this_thread::yield();
     for (int record = 0; record < kRecords; ++record) {
       log.Append("t", {{std::to_string(record), "value"}}, {}, milliseconds(100));
@@ -84,9 +86,9 @@
   }
 }
 
-// The store has dropped the history that the reader wanted to go on from. It starts again from the
-// newest record of each key and misses none.
-TEST(TopicFollower, StartsAgainWhenTheHistoryIsDropped) {
+// The store has trimmed the history that the reader wanted to continue from. The reader starts
+// again from the newest record of each key and misses none.
+TEST(TopicFollower, RestartsWhenHistoryIsTrimmed) {
   MemoryKeyedLog log;
   std::mutex mutex;
   std::condition_variable changed;
@@ -103,7 +105,7 @@
           seen.push_back(record.value);
           changed.notify_all();
         },
-        [](Offset /*end*/, Time /*asked*/) {},
+        [](Offset /*end*/, Time /*requested_at*/) {},
         [&] {
           const std::lock_guard<std::mutex> lock(mutex);
           ++restarts;
--- a/servers/pool/unresolved_calls.cc
+++ b/servers/pool/unresolved_calls.cc
@@ -5,10 +5,10 @@
 namespace turmericshift::pool {
 namespace {
 
-// Callers come again within their deadline of some seconds, and a record that is to be kept is
+// Callers retry within their deadline of a few seconds, and a record that becomes durable does so
 // within the store's longest outage.
 constexpr Duration kRetention = std::chrono::seconds(60);
-// Bounds what an outage under load can take up; the oldest go first.
+// Bounds the memory used during an outage under load; the oldest calls are dropped first.
 constexpr size_t kMaxCalls = 4096;
 
 }  // namespace
--- a/servers/pool/unresolved_calls.h
+++ b/servers/pool/unresolved_calls.h
@@ -1,6 +1,6 @@
-// Submissions of which this process could not say what became of them. Their record may still be
-// kept and run, so that a later try that this process can't pass on must not be told that the job
-// never runs: a caller that believed it would order a second time.
+// Submissions whose outcome this process could not determine. Their record may still become durable
+// and the job may run, so a later attempt that this process can't forward must not be answered with
+// "never runs": a caller that believed that would submit the job a second time.
 #pragma once
 
 #include <map>
