--- a/servers/pool/advice_asker.cc
+++ b/servers/pool/advice_asker.cc
@@ -32,7 +32,7 @@
                 {"good", answer.good.size()},
                 {"valid_s", Seconds(answer.valid)},
                 {"seconds", Seconds(LeaseClock().Now() - asked)}});
-      planner_->TakeAdvice(*question, answer, asked);
+      planner_->HandleAdvice(*question, answer, asked);
     } catch (const Error& error) {
       LogEvent(LogLevel::kWarning, "advice_missing",
                {{"job", question->step.job}, {"error", error.what()}});
--- a/servers/pool/planner_elector.cc
+++ b/servers/pool/planner_elector.cc
@@ -79,8 +79,7 @@
     if (!leaving_.load()) EnsureListed(now);
     const int64_t epoch = service_->epoch();
     if (epoch > 0) {
-      if (leadership.planner.epoch > epoch)
-        service_->StepDown("a newer planner was read from the store");
+      if (leadership.planner.epoch > epoch) service_->StepDown("a newer planner is active");
       if (announced_epoch_ < epoch) Announce();
       if (predecessor_) NotifyPredecessor();
       ForgetSilentAgents(now);
--- a/servers/pool/planner_service.cc
+++ b/servers/pool/planner_service.cc
@@ -139,8 +139,8 @@
   return question;
 }
 
-void PlannerService::TakeAdvice(const AdviceQuestion& question, const AdviceAnswer& answer,
-                                Time requested_at) {
+void PlannerService::HandleAdvice(const AdviceQuestion& question, const AdviceAnswer& answer,
+                                  Time requested_at) {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     if (!planner_) return;
--- a/servers/pool/planner_service.h
+++ b/servers/pool/planner_service.h
@@ -58,7 +58,7 @@
   void Release(Duration limit);
   // Waits up to `limit` for a request to the advice service.
   std::optional<AdviceQuestion> NextQuestion(Duration limit);
-  void TakeAdvice(const AdviceQuestion& question, const AdviceAnswer& answer, Time requested_at);
+  void HandleAdvice(const AdviceQuestion& question, const AdviceAnswer& answer, Time requested_at);
   void AdviceFailed(Time now);
   // Sets the newest planner read from the store, and whether this entry would claim the leadership
   // if it were vacant.
