--- a/servers/pool/agent_state.cc
+++ b/servers/pool/agent_state.cc
@@ -44,7 +44,7 @@
   departed_ = false;
   running_.clear();
   ended_.clear();
-  ends_kept_ = 0;
+  acked_ends_ = 0;
   starts_.clear();
   stops_.clear();
   stopped_at_.clear();
@@ -55,7 +55,7 @@
   leases_in_flight_.clear();
 }
 
-void AgentState::TakeAnnouncement(const WorkerAnnouncement& announcement) {
+void AgentState::HandleAnnouncement(const WorkerAnnouncement& announcement) {
   const int64_t start_time_ms = announcement.facts.start_time_ms;
   // A delayed announcement of a previous incarnation.
   if (start_time_ms < facts_.start_time_ms) return;
@@ -70,14 +70,14 @@
   facts_.draining = draining;
 }
 
-void AgentState::TakeDeparture(const std::string& worker_id) {
+void AgentState::HandleDeparture(const std::string& worker_id) {
   if (worker_id != facts_.id) return;
   facts_.draining = true;
   departed_ = true;
   running_.clear();
 }
 
-bool AgentState::TakeLists(const WorkerLists& lists, int64_t fence, Time sent, Time now) {
+bool AgentState::HandleLists(const WorkerLists& lists, int64_t fence, Time sent, Time now) {
   if (lists.start_time_ms < facts_.start_time_ms) return false;
   if (lists.start_time_ms > facts_.start_time_ms) ResetForIncarnation(lists.start_time_ms);
   // Two answers may be read out of order. The worker had seen the highest fence before it made the
@@ -87,7 +87,7 @@
   facts_.reachable = true;
   lists_epoch_ = lists_epoch;
   for (const EndedTask& end : lists.ended) {
-    if (end.number <= ends_kept_) continue;
+    if (end.number <= acked_ends_) continue;
     report_needed = ended_.emplace(end.number, end).second || report_needed;
   }
   const auto has_ended = [this](const RunId& run) {
@@ -150,7 +150,7 @@
   });
 }
 
-AgentOrders AgentState::TakeOrders(const AgentOrders& orders, Time sent, Time now) {
+AgentOrders AgentState::HandleOrders(const AgentOrders& orders, Time sent, Time now) {
   AgentOrders new_orders;
   ForgetExpiredOrders(now);
   if (orders.epoch < epoch_) return new_orders;
@@ -159,9 +159,9 @@
   if (orders.lease > Duration::zero()) {
     lease_until_ = std::max(lease_until_, sent + orders.lease);
   }
-  if (orders.worker_start_time_ms == facts_.start_time_ms && orders.acked_ends > ends_kept_) {
-    ends_kept_ = orders.acked_ends;
-    ended_.erase(ended_.begin(), ended_.upper_bound(ends_kept_));
+  if (orders.worker_start_time_ms == facts_.start_time_ms && orders.acked_ends > acked_ends_) {
+    acked_ends_ = orders.acked_ends;
+    ended_.erase(ended_.begin(), ended_.upper_bound(acked_ends_));
   }
   for (const StartOrder& start : orders.starts) {
     if (!starts_.try_emplace(start.run, StartState{StartPhase::kSending, now}).second) continue;
@@ -199,7 +199,7 @@
   return report;
 }
 
-void AgentState::ReportTaken(const AgentReport& report) {
+void AgentState::ReportDelivered(const AgentReport& report) {
   for (const StartResult& result : report.results) {
     const auto found = results_.find(result.run);
     if (found != results_.end() && found->second.outcome == result.outcome) results_.erase(found);
@@ -221,7 +221,7 @@
   HoldCall call;
   call.worker_id = facts_.id;
   call.fence = epoch_;
-  call.acked_ends = ends_kept_;
+  call.acked_ends = acked_ends_;
   call.lease_until = LeaseUntil(now);
   call.wait = wait;
   return call;
@@ -281,7 +281,7 @@
   SetResult(run, StartOutcome::kRefused, reason);
 }
 
-void AgentState::TakeStartAnswer(const RunId& run, OrderAnswer answer) {
+void AgentState::HandleStartAnswer(const RunId& run, OrderAnswer answer) {
   const auto found = starts_.find(run);
   // A new incarnation of the worker has started in the meantime.
   if (found == starts_.end()) return;
@@ -314,7 +314,7 @@
   }
 }
 
-void AgentState::TakeStopAnswer(const RunId& run, OrderAnswer answer, Time now) {
+void AgentState::HandleStopAnswer(const RunId& run, OrderAnswer answer, Time now) {
   if (answer == OrderAnswer::kAccepted || answer == OrderAnswer::kStaleRun) {
     // The planner repeats a stop until it knows the result. The time of the first answer counts:
     // holds take longer than the planner's polls, so no hold would be sent after the newest answer.
--- a/servers/pool/agent_state.h
+++ b/servers/pool/agent_state.h
@@ -18,18 +18,18 @@
   AgentState(const std::string& node, const std::string& zone, const std::string& incarnation);
 
   // Calls and announcements of the worker.
-  void TakeAnnouncement(const WorkerAnnouncement& announcement);
-  void TakeDeparture(const std::string& worker_id);
+  void HandleAnnouncement(const WorkerAnnouncement& announcement);
+  void HandleDeparture(const std::string& worker_id);
   // Handles the answer to a hold that was sent at `sent` under `fence`. The worker no longer
   // executes orders with a lower fencing token after that answer. Returns whether the planner
   // should be informed immediately.
-  bool TakeLists(const WorkerLists& lists, int64_t fence, Time sent, Time now);
+  bool HandleLists(const WorkerLists& lists, int64_t fence, Time sent, Time now);
   // The worker did not answer, or another incarnation answered.
   void WorkerFailed(OrderAnswer answer);
 
   // Handles the orders in the answer to a report that was sent at `sent`, and returns those that
   // are new. Orders of an epoch below the highest one seen are dropped.
-  AgentOrders TakeOrders(const AgentOrders& orders, Time sent, Time now);
+  AgentOrders HandleOrders(const AgentOrders& orders, Time sent, Time now);
   // Notes that a planner of this epoch exists. Orders of older planners are ignored from now on.
   void RaiseEpoch(int64_t epoch);
   int64_t epoch() const { return epoch_; }
@@ -37,7 +37,7 @@
   // Returns the report to the planner, as of `now`.
   AgentReport Report(Duration wait, Time now);
   // The planner has processed the report.
-  void ReportTaken(const AgentReport& report);
+  void ReportDelivered(const AgentReport& report);
 
   // Returns the next hold, which acknowledges ends and renews the lease.
   HoldCall NextHold(Duration wait, Time now) const;
@@ -52,11 +52,11 @@
   // otherwise sets `reason`. `until`: when the order expires.
   std::optional<StartCall> PrepareStart(const StartOrder& order, Time until, std::string* reason,
                                         Time now) const;
-  void TakeStartAnswer(const RunId& run, OrderAnswer answer);
+  void HandleStartAnswer(const RunId& run, OrderAnswer answer);
   // A start was not sent to the worker.
   void StartNotSent(const RunId& run, const std::string& reason);
   // The worker answered a stop. If it accepted, the run is over or will appear among the ends.
-  void TakeStopAnswer(const RunId& run, OrderAnswer answer, Time now);
+  void HandleStopAnswer(const RunId& run, OrderAnswer answer, Time now);
   // Runs whose start was not answered and which have not appeared in the worker's lists. They have
   // to be stopped.
   std::vector<RunId> UncertainRuns() const;
@@ -114,7 +114,7 @@
 
   std::vector<RunningTask> running_;
   std::map<int64_t, EndedTask> ended_;
-  int64_t ends_kept_ = 0;
+  int64_t acked_ends_ = 0;
 
   std::map<RunId, StartState> starts_;
   std::set<RunId> stops_;
--- a/servers/pool/agent_state_test.cc
+++ b/servers/pool/agent_state_test.cc
@@ -16,7 +16,7 @@
     announcement.sequence = 1;
     announcement.facts.id = "i";
     announcement.facts.start_time_ms = 1;
-    state.TakeAnnouncement(announcement);
+    state.HandleAnnouncement(announcement);
     state.SetMember(true);
     state.RaiseEpoch(1);
     Hold(now, {});
@@ -30,7 +30,7 @@
     return lists;
   }
   void Hold(Time sent, const std::vector<RunningTask>& running) {
-    state.TakeLists(Lists(running), 1, sent, now);
+    state.HandleLists(Lists(running), 1, sent, now);
   }
 
   AgentOrders Orders() const {
@@ -51,7 +51,7 @@
 
   // Returns the call for a start that has just been ordered.
   StartCall PrepareCall(const RunId& run) {
-    state.TakeOrders(Orders(), now, now);
+    state.HandleOrders(Orders(), now, now);
     std::string reason;
     const std::optional<StartCall> call =
         state.PrepareStart({run, "", "", ""}, now + milliseconds(1500), &reason, now);
@@ -74,10 +74,10 @@
   WorkerLists newer = agent.Lists({});
   newer.clock = 1010;
   newer.ended = {{1, kRun, EndKind::kStopped, ""}};
-  agent.state.TakeLists(newer, 1, agent.now, agent.now);
+  agent.state.HandleLists(newer, 1, agent.now, agent.now);
   WorkerLists older = agent.Lists({{kRun, "", 40}});
   older.clock = 1009;
-  agent.state.TakeLists(older, 1, agent.now, agent.now);
+  agent.state.HandleLists(older, 1, agent.now, agent.now);
   EXPECT_TRUE(agent.state.Report(Duration::zero(), agent.now).running.empty());
 }
 
@@ -87,7 +87,7 @@
   Agent agent;
   WorkerLists newer = agent.Lists({});
   newer.ended = {{1, kRun, EndKind::kStopped, ""}};
-  agent.state.TakeLists(newer, 1, agent.now, agent.now);
+  agent.state.HandleLists(newer, 1, agent.now, agent.now);
   agent.Hold(agent.now, {{kRun, "", 40}});
   EXPECT_TRUE(agent.state.Report(Duration::zero(), agent.now).running.empty());
 }
@@ -98,8 +98,8 @@
 TEST(AgentState, KeepsEpochWhenAnswerUnderPreviousEpochArrivesLate) {
   Agent agent;
   agent.state.RaiseEpoch(2);
-  agent.state.TakeLists(agent.Lists({}), 2, agent.now, agent.now);
-  agent.state.TakeLists(agent.Lists({}), 1, agent.now, agent.now);
+  agent.state.HandleLists(agent.Lists({}), 2, agent.now, agent.now);
+  agent.state.HandleLists(agent.Lists({}), 1, agent.now, agent.now);
   EXPECT_EQ(agent.state.Report(Duration::zero(), agent.now).epoch, 2);
 }
 
@@ -114,8 +114,8 @@
   bool settled = false;
   for (int poll = 0; poll < 12 && !settled; ++poll) {
     agent.now += milliseconds(500);
-    for (const RunId& run : agent.state.TakeOrders(orders, agent.now, agent.now).stops) {
-      agent.state.TakeStopAnswer(run, OrderAnswer::kAccepted, agent.now);
+    for (const RunId& run : agent.state.HandleOrders(orders, agent.now, agent.now).stops) {
+      agent.state.HandleStopAnswer(run, OrderAnswer::kAccepted, agent.now);
     }
     if (poll % 2 == 1) {
       agent.Hold(hold_sent, {});
@@ -132,8 +132,8 @@
   Agent agent;
   AgentOrders orders = agent.Orders();
   orders.starts = {{kRun, "payload", "", ""}};
-  ASSERT_EQ(agent.state.TakeOrders(orders, agent.now, agent.now).starts.size(), 1U);
-  agent.state.TakeStartAnswer(kRun, OrderAnswer::kUnanswered);
+  ASSERT_EQ(agent.state.HandleOrders(orders, agent.now, agent.now).starts.size(), 1U);
+  agent.state.HandleStartAnswer(kRun, OrderAnswer::kUnanswered);
   agent.Hold(agent.now, {});
   EXPECT_TRUE(agent.state.Report(Duration::zero(), agent.now).results.empty());
   EXPECT_EQ(agent.state.UncertainRuns(), std::vector<RunId>{kRun});
@@ -145,8 +145,8 @@
   Agent agent;
   AgentOrders orders = agent.Orders();
   orders.starts = {{kRun, "payload", "", ""}};
-  EXPECT_EQ(agent.state.TakeOrders(orders, agent.now, agent.now).starts.size(), 1U);
-  EXPECT_TRUE(agent.state.TakeOrders(orders, agent.now, agent.now).starts.empty());
+  EXPECT_EQ(agent.state.HandleOrders(orders, agent.now, agent.now).starts.size(), 1U);
+  EXPECT_TRUE(agent.state.HandleOrders(orders, agent.now, agent.now).starts.empty());
 }
 
 // A planner that has been succeeded may not know it yet and continues to send orders.
@@ -155,7 +155,7 @@
   agent.state.RaiseEpoch(2);
   AgentOrders orders = agent.Orders();
   orders.starts = {{kRun, "payload", "", ""}};
-  EXPECT_TRUE(agent.state.TakeOrders(orders, agent.now, agent.now).starts.empty());
+  EXPECT_TRUE(agent.state.HandleOrders(orders, agent.now, agent.now).starts.empty());
 }
 
 // The VM was suspended between an order and its execution, or the planner has not answered since.
@@ -165,20 +165,20 @@
   std::string reason;
   EXPECT_FALSE(agent.state.PrepareStart(order, agent.now + milliseconds(100), &reason, agent.now));
   EXPECT_EQ(reason, "no lease");
-  agent.state.TakeOrders(agent.Orders(), agent.now, agent.now);
+  agent.state.HandleOrders(agent.Orders(), agent.now, agent.now);
   EXPECT_TRUE(agent.state.PrepareStart(order, agent.now + milliseconds(100), &reason, agent.now));
   EXPECT_FALSE(agent.state.PrepareStart(order, agent.now, &reason, agent.now));
 }
 
 TEST(AgentState, RejectsStartOnDrainingWorker) {
   Agent agent;
-  agent.state.TakeOrders(agent.Orders(), agent.now, agent.now);
+  agent.state.HandleOrders(agent.Orders(), agent.now, agent.now);
   WorkerAnnouncement leaving;
   leaving.sequence = 2;
   leaving.facts.id = "i";
   leaving.facts.start_time_ms = 1;
   leaving.facts.draining = true;
-  agent.state.TakeAnnouncement(leaving);
+  agent.state.HandleAnnouncement(leaving);
   std::string reason;
   EXPECT_FALSE(agent.state.PrepareStart({kRun, "", "", ""}, agent.now + milliseconds(100), &reason,
                                         agent.now));
@@ -188,7 +188,7 @@
 // counted, the worker's tasks would never be considered over while the agent keeps trying.
 TEST(AgentState, IgnoresLeaseThatWorkerDidNotReceive) {
   Agent agent;
-  agent.state.TakeOrders(agent.Orders(), agent.now, agent.now);
+  agent.state.HandleOrders(agent.Orders(), agent.now, agent.now);
   const HoldCall call = agent.state.NextHold(Duration::zero(), agent.now);
   ASSERT_TRUE(call.lease_until);
   agent.state.NoteLeaseAnswered(call.lease_until, OrderAnswer::kNotListening, agent.now);
@@ -204,12 +204,12 @@
   restarted.sequence = 1;
   restarted.facts.id = "i2";
   restarted.facts.start_time_ms = 2;
-  agent.state.TakeAnnouncement(restarted);
+  agent.state.HandleAnnouncement(restarted);
   WorkerAnnouncement delayed;
   delayed.sequence = 9;
   delayed.facts.id = "i";
   delayed.facts.start_time_ms = 1;
-  agent.state.TakeAnnouncement(delayed);
+  agent.state.HandleAnnouncement(delayed);
   EXPECT_EQ(agent.state.worker().id, "i2");
 }
 
--- a/servers/pool/planner_service.cc
+++ b/servers/pool/planner_service.cc
@@ -16,7 +16,7 @@
 constexpr Duration kRetryPause = std::chrono::milliseconds(50);
 constexpr Duration kMaxRetryPause = std::chrono::milliseconds(200);
 // After a planning round, the planning thread pauses for this multiple of the round's duration.
-constexpr int kPausePerRound = 2;
+constexpr int kRoundPauseFactor = 2;
 constexpr Duration kMaxRoundPause = std::chrono::milliseconds(50);
 // No pause follows a round shorter than this.
 constexpr Duration kShortRound = std::chrono::milliseconds(1);
@@ -326,7 +326,7 @@
 // by one with more updates instead of keeping them waiting.
 void PlannerService::PauseAfter(Duration round) {
   if (round < kShortRound) return;
-  std::this_thread::sleep_for(std::min(round * kPausePerRound, kMaxRoundPause));
+  std::this_thread::sleep_for(std::min(round * kRoundPauseFactor, kMaxRoundPause));
 }
 
 void PlannerService::RunWriteLoop() {
--- a/servers/pool/pool_agent.cc
+++ b/servers/pool/pool_agent.cc
@@ -73,7 +73,7 @@
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     const WorkerFacts before = state_.worker();
-    state_.TakeAnnouncement(announcement);
+    state_.HandleAnnouncement(announcement);
     const WorkerFacts& after = state_.worker();
     report_needed = before.id != after.id || before.start_time_ms != after.start_time_ms ||
                     before.draining != after.draining;
@@ -86,7 +86,7 @@
 void PoolAgent::WorkerLeft(const std::string& worker_id) {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    state_.TakeDeparture(worker_id);
+    state_.HandleDeparture(worker_id);
   }
   orders_.Submit([this] { EnsureMember(LeaseClock().Now()); });
   RequestUpdate();
@@ -106,7 +106,7 @@
   const Time now = LeaseClock().Now();
   state_.NoteLeaseAnswered(call.lease_until, answer.answer, now);
   if (answer.answer == OrderAnswer::kAccepted) {
-    return state_.TakeLists(answer.lists, call.fence, sent, now);
+    return state_.HandleLists(answer.lists, call.fence, sent, now);
   }
   const bool was_reachable = state_.worker().reachable;
   state_.WorkerFailed(answer.answer);
@@ -234,8 +234,8 @@
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     const int64_t before = state_.epoch();
-    state_.ReportTaken(report);
-    new_orders = state_.TakeOrders(orders, sent, LeaseClock().Now());
+    state_.ReportDelivered(report);
+    new_orders = state_.HandleOrders(orders, sent, LeaseClock().Now());
     planner_lag_ = orders.lag;
     new_planner = state_.epoch() != before || report.epoch != state_.epoch();
   }
@@ -304,7 +304,7 @@
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     state_.NoteLeaseAnswered(call->lease_until, answer, LeaseClock().Now());
-    state_.TakeStartAnswer(order.run, answer);
+    state_.HandleStartAnswer(order.run, answer);
   }
   RequestUpdate();
 }
@@ -316,7 +316,7 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     if (!state_.worker().reachable) {
       // The planner repeats the stop as long as it is needed.
-      state_.TakeStopAnswer(run, OrderAnswer::kNotListening, LeaseClock().Now());
+      state_.HandleStopAnswer(run, OrderAnswer::kNotListening, LeaseClock().Now());
       return;
     }
     worker_id = state_.worker().id;
@@ -330,7 +330,7 @@
             {"epoch", fence},
             {"answer", OrderAnswerName(answer)}});
   const std::lock_guard<std::mutex> lock(mutex_);
-  state_.TakeStopAnswer(run, answer, LeaseClock().Now());
+  state_.HandleStopAnswer(run, answer, LeaseClock().Now());
 }
 
 void PoolAgent::EnsureMember(Time now) {
--- a/servers/pool/pool_view.cc
+++ b/servers/pool/pool_view.cc
@@ -38,7 +38,7 @@
     return ReadIntervalFor(readers_.load(), kReadIntervalPerReader, kMaxReadInterval);
   };
   follower_ = std::make_unique<TopicFollower>(
-      options, log, [this](const KeyedRecord& record) { TakeRecord(record); },
+      options, log, [this](const KeyedRecord& record) { ApplyRecord(record); },
       [this](Offset end, Time requested_at) { CaughtUp(end, requested_at); },
       [this] { Restart(); });
 }
@@ -48,7 +48,7 @@
   rebuilding_.emplace();
 }
 
-void WorkView::TakeRecord(const KeyedRecord& record) {
+void WorkView::ApplyRecord(const KeyedRecord& record) {
   const std::lock_guard<std::mutex> lock(mutex_);
   newest_record_at_ = LeaseClock().Now();
   try {
@@ -107,7 +107,7 @@
   FollowerOptions options;
   options.topic = decoder_->topic();
   follower_ = std::make_unique<TopicFollower>(
-      options, log, [this](const KeyedRecord& record) { TakeRecord(record); },
+      options, log, [this](const KeyedRecord& record) { ApplyRecord(record); },
       [this](Offset end, Time requested_at) { CaughtUp(end, requested_at); },
       [this] {
         const std::lock_guard<std::mutex> lock(mutex_);
@@ -118,7 +118,7 @@
       });
 }
 
-void OperatorView::TakeRecord(const KeyedRecord& record) {
+void OperatorView::ApplyRecord(const KeyedRecord& record) {
   const std::lock_guard<std::mutex> lock(mutex_);
   const int64_t previous_version = next_.config.version;
   try {
@@ -163,7 +163,7 @@
     return ReadIntervalFor(size(), kReadIntervalPerMember, kMaxMembersReadInterval);
   };
   follower_ = std::make_unique<TopicFollower>(
-      options, log, [this](const KeyedRecord& record) { TakeRecord(record); },
+      options, log, [this](const KeyedRecord& record) { ApplyRecord(record); },
       [this](Offset /*end*/, Time requested_at) {
         const std::lock_guard<std::mutex> lock(mutex_);
         freshness_.requested_at = requested_at;
@@ -175,7 +175,7 @@
       });
 }
 
-void MembersView::TakeEntry(const KeyedRecord& record) {
+void MembersView::ApplyEntry(const KeyedRecord& record) {
   const std::string node = record.key.substr(std::string(kEntryPrefix).size());
   if (record.value.empty()) {
     entries_.erase(node);
@@ -188,7 +188,7 @@
   }
 }
 
-void MembersView::TakeRecord(const KeyedRecord& record) {
+void MembersView::ApplyRecord(const KeyedRecord& record) {
   const std::lock_guard<std::mutex> lock(mutex_);
   const std::string prefix = kAgentPrefix;
   if (record.key.rfind(prefix, 0) == 0) {
@@ -200,7 +200,7 @@
     }
     return;
   }
-  if (record.key.rfind(kEntryPrefix, 0) == 0) return TakeEntry(record);
+  if (record.key.rfind(kEntryPrefix, 0) == 0) return ApplyEntry(record);
   if (record.key != kPlannerKey || record.value.empty()) return;
   try {
     PlannerRecord planner = DecodePlanner(record.value);
--- a/servers/pool/pool_view.h
+++ b/servers/pool/pool_view.h
@@ -64,7 +64,7 @@
   void SetReaders(size_t entries) { readers_.store(entries); }
 
  private:
-  void TakeRecord(const KeyedRecord& record);
+  void ApplyRecord(const KeyedRecord& record);
   void CaughtUp(Offset end, Time requested_at);
   void Restart();
   LeadershipView LeadershipLocked() const;
@@ -90,7 +90,7 @@
   Freshness freshness() const;
 
  private:
-  void TakeRecord(const KeyedRecord& record);
+  void ApplyRecord(const KeyedRecord& record);
   void CaughtUp(Offset end, Time requested_at);
 
   const std::unique_ptr<OperatorDecoder> decoder_;
@@ -117,8 +117,8 @@
   Freshness freshness() const;
 
  private:
-  void TakeRecord(const KeyedRecord& record);
-  void TakeEntry(const KeyedRecord& record);
+  void ApplyRecord(const KeyedRecord& record);
+  void ApplyEntry(const KeyedRecord& record);
 
   mutable std::mutex mutex_;
   PlannerRecord planner_;
