--- a/servers/pool/agent_state.h
+++ b/servers/pool/agent_state.h
@@ -24,7 +24,8 @@
   // executes orders with a lower fencing token after that answer. Returns whether the planner
   // should be informed immediately.
   bool HandleLists(const WorkerLists& lists, int64_t fence, Time sent, Time now);
-  // The worker did not answer, or another incarnation answered.
+  // Called when the worker did not answer, or another incarnation answered. Marks the worker as
+  // unreachable.
   void WorkerFailed(OrderAnswer answer);
 
   // Handles the orders in the answer to a report that was sent at `sent`, and returns those that
@@ -36,7 +37,7 @@
 
   // Returns the report to the planner, as of `now`.
   AgentReport Report(Duration wait, Time now);
-  // The planner has processed the report.
+  // Called when the planner has processed the report. Drops the start results that it contained.
   void ReportDelivered(const AgentReport& report);
 
   // Returns the next hold, which acknowledges ends and renews the lease.
@@ -53,7 +54,7 @@
   std::optional<StartCall> PrepareStart(const StartOrder& order, Time until, std::string* reason,
                                         Time now) const;
   void HandleStartAnswer(const RunId& run, OrderAnswer answer);
-  // A start was not sent to the worker.
+  // Records that a start was not sent to the worker, and why.
   void StartNotSent(const RunId& run, const std::string& reason);
   // The worker answered a stop. If it accepted, the run is over or will appear among the ends.
   void HandleStopAnswer(const RunId& run, OrderAnswer answer, Time now);
--- a/servers/pool/planner_elector.cc
+++ b/servers/pool/planner_elector.cc
@@ -195,8 +195,9 @@
 }
 
 // Agents are read again after the claim, because an entry that has just started may know the jobs
-// but not yet the agents. It would wait for no agent and immediately restart tasks that still run
-// on workers it does not know. The symptom is tasks that run twice after all processes were killed.
+// but not yet the agents. Without this the new planner would wait for no agent and immediately
+// restart tasks that still run on workers it does not know. The symptom is tasks that run twice
+// after all processes were killed.
 std::set<std::string> PlannerElector::ReadAgents() const {
   std::set<std::string> agents = members_->agents();
   const std::string prefix = kAgentPrefix;
--- a/servers/pool/planner_elector_test.cc
+++ b/servers/pool/planner_elector_test.cc
@@ -185,7 +185,7 @@
              std::chrono::seconds(1));
   Candidate weak(&log, "a", nullptr, kWeakCapacity);
   ASSERT_TRUE(Eventually([&] { return weak.service.epoch() == 1; }));
-  // The leadership is offered to the missing entry without success.
+  // The weak entry offers its leadership to the missing one, which can't accept.
   ASSERT_TRUE(Eventually([&] { return weak.members.entries().size() == 2; }));
   const Time end = LeaseClock().Now() + milliseconds(2500);
   while (LeaseClock().Now() < end) ASSERT_EQ(weak.service.epoch(), 1);
--- a/servers/pool/planner_router.cc
+++ b/servers/pool/planner_router.cc
@@ -59,8 +59,8 @@
   try {
     return connector_->Connect(planner.address, limit);
   } catch (const Error& error) {
-    // A VM that refuses the connection is reachable; its planner process is not there for any
-    // entry.
+    // A refused connection shows that the VM is reachable but its planner process has ended, so a
+    // relay can't help.
     if (error.kind() != ErrorKind::kDeadlineExceeded) throw;
     LogEvent(LogLevel::kInfo, "planner_silent",
              {{"epoch", planner.epoch}, {"address", planner.address}, {"error", error.what()}});
--- a/servers/pool/planner_service.cc
+++ b/servers/pool/planner_service.cc
@@ -322,8 +322,8 @@
   }
 }
 
-// Agents' polls and callers are handled during the pause, so that a long planning round is followed
-// by one with more updates instead of keeping them waiting.
+// Agents' polls and callers are handled during the pause: long rounds would otherwise keep them
+// waiting. The next round then processes more updates at once.
 void PlannerService::PauseAfter(Duration round) {
   if (round < kShortRound) return;
   std::this_thread::sleep_for(std::min(round * kRoundPauseFactor, kMaxRoundPause));
