--- a/servers/pool/job_front.cc
+++ b/servers/pool/job_front.cc
@@ -174,7 +174,7 @@
             {"data_rack", spec.steps.front().data_rack},
             {"seconds", Seconds(end - now)},
             {"not_run", answer.kind == JobAnswerKind::kNotAccepted},
-            {"planner_epoch", work_->duty().planner.epoch},
+            {"planner_epoch", work_->leadership().planner.epoch},
             {"reason", answer.message}});
   return answer;
 }
@@ -201,7 +201,7 @@
 
 std::shared_ptr<PlannerClient> JobFront::Port(Duration limit) {
   // This entry may have lost the store and been told of a planner that it can't read of.
-  const PlannerRecord read = work_->duty().planner;
+  const PlannerRecord read = work_->leadership().planner;
   const PlannerRecord told = local_->Successor();
   const PlannerRecord& planner = told.epoch > read.epoch ? told : read;
   if (planner.address.empty()) throw Error(ErrorKind::kUnavailable, Outcome::kNotRun, "no planner");
--- a/servers/pool/job_front_test.cc
+++ b/servers/pool/job_front_test.cc
@@ -94,7 +94,7 @@
     JobFrontOptions options;
     options.node = "e1";
     front = std::make_unique<JobFront>(options, &work, &operators, gate.get(), &reach, &metrics);
-    while (operators.state()->config.version == 0 || work.duty().planner.epoch == 0) {
+    while (operators.state()->config.version == 0 || work.leadership().planner.epoch == 0) {
       std::this_thread::yield();
     }
   }
--- a/tests/stand_ins/pool_bed.cc
+++ b/tests/stand_ins/pool_bed.cc
@@ -313,8 +313,8 @@
   } else if (!free.Holds(StepOf(order.run.task)->need)) {
     answer = OrderAnswer::kNoRoom;
   }
-  worker->agent->NoteLease(call->lease_until, answer, now_);
-  worker->agent->TakeStartAnswer(order.run, answer);
+  worker->agent->NoteLeaseAnswered(call->lease_until, answer, now_);
+  worker->agent->HandleStartAnswer(order.run, answer);
   if (answer == OrderAnswer::kFenced) return;
   worker->lease_until = std::max(worker->lease_until, call->lease_until);
   worker->fence = std::max(worker->fence, call->fence);
@@ -346,18 +346,18 @@
   announcement.facts.labels = {"plain", worker->spec.rack};
   announcement.facts.capacity = worker->spec.capacity;
   announcement.facts.draining = worker->draining;
-  worker->agent->TakeAnnouncement(announcement);
+  worker->agent->HandleAnnouncement(announcement);
 }
 
-void PoolBed::TakeOrders(Worker* worker, const AgentOrders& orders, Time sent) {
+void PoolBed::HandleOrders(Worker* worker, const AgentOrders& orders, Time sent) {
   AgentState& agent = *worker->agent;
-  const AgentOrders todo = agent.TakeOrders(orders, sent, now_);
+  const AgentOrders todo = agent.HandleOrders(orders, sent, now_);
   for (const RunId& stop : todo.stops) {
     const auto live = worker->live.find(stop);
     if (live != worker->live.end()) live->second.stop_at = now_ + bounds_.stop / kStopShare;
     int64_t& newest = worker->newest_over[stop.task];
     newest = std::max(newest, stop.number);
-    agent.TakeStopAnswer(stop, OrderAnswer::kAccepted, now_);
+    agent.HandleStopAnswer(stop, OrderAnswer::kAccepted, now_);
   }
   for (const StartOrder& start : todo.starts) {
     StartRun(worker, start, sent + orders.start_window);
@@ -407,9 +407,9 @@
     if (to.poll_sent != sent.sent) return;
     to.poll_sent.reset();
   }
-  to.planner_late = orders.late;
-  to.agent->ReportTaken(sent.report);
-  TakeOrders(&to, orders, sent.sent);
+  to.planner_late = orders.lag;
+  to.agent->ReportDelivered(sent.report);
+  HandleOrders(&to, orders, sent.sent);
 }
 
 void PoolBed::TickAgent(Worker* worker) {
@@ -420,9 +420,9 @@
   } else if (cut_.count(worker->spec.node) == 0) {
     const AgentReport report = agent.Report(Duration::zero(), now_);
     planner_->TakeReport(report, wall_ms(), now_);
-    agent.ReportTaken(report);
+    agent.ReportDelivered(report);
     const AgentOrders orders = planner_->Orders(worker->spec.node, now_);
-    TakeOrders(worker, orders, now_);
+    HandleOrders(worker, orders, now_);
   }
   TickHold(worker);
 }
@@ -435,7 +435,7 @@
   worker->fence = hold.fence;
   if (hold.lease_until) {
     worker->lease_until = std::max(worker->lease_until, *hold.lease_until);
-    agent.NoteLease(hold.lease_until, OrderAnswer::kAccepted, now_);
+    agent.NoteLeaseAnswered(hold.lease_until, OrderAnswer::kAccepted, now_);
   }
   worker->ended.erase(worker->ended.begin(), worker->ended.upper_bound(hold.acked_ends));
   WorkerLists lists;
@@ -446,7 +446,7 @@
     lists.running.push_back({run, live.checkpoint, percent});
   }
   for (const auto& [number, end] : worker->ended) lists.ended.push_back(end);
-  worker->news = agent.TakeLists(lists, hold.fence, now_, now_) || worker->news;
+  worker->news = agent.HandleLists(lists, hold.fence, now_, now_) || worker->news;
 }
 
 StepSpec BedStep(int tasks, int accelerators, Duration estimate) {
