--- a/servers/pool/planner_elector.cc
+++ b/servers/pool/planner_elector.cc
@@ -111,7 +111,7 @@
   if (options_.planning_capacity >= agents) return better_suited;
   for (const auto& [node, entry] : members_->entries()) {
     if (node == options_.node) continue;
-    if (!LeavesPlanningTo(entry.planning_capacity, options_.planning_capacity, agents)) continue;
+    if (!ShouldYieldTo(entry.planning_capacity, options_.planning_capacity, agents)) continue;
     better_suited.push_back(entry);
   }
   std::stable_sort(better_suited.begin(), better_suited.end(),
@@ -168,7 +168,7 @@
 
 void PlannerElector::Claim(Time now) {
   LeadershipView basis;
-  const JobBook book = work_->book(&basis);
+  const JobTable book = work_->book(&basis);
   // Another entry's claim may have been read since the last check. A claim on top of it would
   // succeed, being based on the newest view, and depose a planner that has just started. The
   // symptom is two planners within one tick, and callers that are told "unknown" twice.
--- a/servers/pool/planner_elector.h
+++ b/servers/pool/planner_elector.h
@@ -25,7 +25,7 @@
   std::string address;
   std::string zone;
   // Number of agents that this entry's VM can plan for; see planning_capacity.h.
-  int planning_capacity = kAnyPool;
+  int planning_capacity = kUnlimitedCapacity;
   // A planner that has written nothing for this long is considered failed. A planner writes every
   // 0.25 s; a slow store takes up to 0.4 s for an append and as much for the read that returns it.
   Duration silence_timeout = std::chrono::milliseconds(1200);
--- a/servers/pool/planner_elector_test.cc
+++ b/servers/pool/planner_elector_test.cc
@@ -84,7 +84,7 @@
   Candidate(KeyedLog* log, const std::string& node) : Candidate(log, node, nullptr) {}
   // `connected_entries`: the entries it can reach; null: none.
   Candidate(KeyedLog* log, const std::string& node, LocalConnector* connected_entries,
-            int capacity = kAnyPool)
+            int capacity = kUnlimitedCapacity)
       : work(log),
         operators(log, std::make_unique<platform::OperatorRecords>()),
         members(log, milliseconds(200)),
@@ -180,7 +180,7 @@
 TEST(PlannerElector, PlansOnWeakVmIfBetterSuitedVmIsGone) {
   MemoryKeyedLog log;
   ListAgents(&log);
-  const EntryRecord missing_entry = {"gone", "a", "gone:1", kAnyPool};
+  const EntryRecord missing_entry = {"gone", "a", "gone:1", kUnlimitedCapacity};
   log.Append(kMembersTopic, {{"entry/gone", EncodeEntry(missing_entry), kNoOffset}}, {},
              std::chrono::seconds(1));
   Candidate weak(&log, "a", nullptr, kWeakCapacity);
--- a/servers/pool/planner_service.cc
+++ b/servers/pool/planner_service.cc
@@ -54,7 +54,7 @@
           "this process is not the active planner of the pool"};
 }
 
-void PlannerService::BecomeActive(int64_t epoch, int64_t sequence, const JobBook& book,
+void PlannerService::BecomeActive(int64_t epoch, int64_t sequence, const JobTable& book,
                                   const std::set<std::string>& agents, Time requested_at) {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
@@ -123,15 +123,15 @@
   if (!planner_) return unresponsive;
   for (const std::string& node : agents) {
     const auto known = planner_->workers().find(node);
-    if (known != planner_->workers().end() && now - known->second.heard < limit) continue;
+    if (known != planner_->workers().end() && now - known->second.last_report < limit) continue;
     unresponsive.push_back(node);
   }
   return unresponsive;
 }
 
-std::optional<AdviceQuestion> PlannerService::NextQuestion(Duration limit) {
+std::optional<AdviceRequest> PlannerService::NextQuestion(Duration limit) {
   std::unique_lock<std::mutex> lock(mutex_);
-  std::optional<AdviceQuestion> question;
+  std::optional<AdviceRequest> question;
   advice_ready_.wait_for(lock, limit, [&] {
     if (planner_) question = planner_->advice().Next(LeaseClock().Now());
     return question.has_value() || stopping_;
@@ -139,7 +139,7 @@
   return question;
 }
 
-void PlannerService::HandleAdvice(const AdviceQuestion& question, const AdviceAnswer& answer,
+void PlannerService::HandleAdvice(const AdviceRequest& question, const AdviceResponse& answer,
                                   Time requested_at) {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
@@ -343,7 +343,7 @@
       const Time now = LeaseClock().Now();
       if (!planner_ || (planner_->outbox().empty() && now - last_write_ < options_.beat)) continue;
       records = planner_->outbox().Take();
-      if (records.empty()) records.push_back({kBeatKey, "1", kNoOffset});
+      if (records.empty()) records.push_back({kHeartbeatKey, "1", kNoOffset});
       epoch = planner_->epoch();
       sequence = ++sequence_;
       append_started_at_ = now;
@@ -372,7 +372,7 @@
     append_seconds_.Record(Seconds(LeaseClock().Now() - requested_at));
     const std::lock_guard<std::mutex> lock(mutex_);
     if (!planner_ || planner_->epoch() != epoch) return true;
-    planner_->outbox().Kept();
+    planner_->outbox().MarkDurable();
     planner_->Confirm(requested_at);
     append_started_at_.reset();
     last_write_ = requested_at;
--- a/servers/pool/planner_service.h
+++ b/servers/pool/planner_service.h
@@ -47,7 +47,7 @@
 
   // Becomes the active planner. The claim was written under `sequence`; `book` contains everything
   // before the claim. `requested_at` is when the claim was sent.
-  void BecomeActive(int64_t epoch, int64_t sequence, const JobBook& book,
+  void BecomeActive(int64_t epoch, int64_t sequence, const JobTable& book,
                     const std::set<std::string>& agents, Time requested_at);
   // Called when the previous planner is known to have stepped down.
   void PredecessorGone();
@@ -57,8 +57,8 @@
   // not wait for the silence time-out. Waits up to `limit`.
   void Release(Duration limit);
   // Waits up to `limit` for a request to the advice service.
-  std::optional<AdviceQuestion> NextQuestion(Duration limit);
-  void HandleAdvice(const AdviceQuestion& question, const AdviceAnswer& answer, Time requested_at);
+  std::optional<AdviceRequest> NextQuestion(Duration limit);
+  void HandleAdvice(const AdviceRequest& question, const AdviceResponse& answer, Time requested_at);
   void AdviceFailed(Time now);
   // Sets the newest planner read from the store, and whether this entry would claim the leadership
   // if it were vacant.
--- a/servers/pool/planner_service_test.cc
+++ b/servers/pool/planner_service_test.cc
@@ -43,7 +43,7 @@
 class PlannerServiceTest : public testing::Test {
  protected:
   PlannerServiceTest() {
-    service_.BecomeActive(1, 1, JobBook(), {}, LeaseClock().Now());
+    service_.BecomeActive(1, 1, JobTable(), {}, LeaseClock().Now());
     WaitForAppends(1);
   }
 
--- a/servers/pool/pool_entry.cc
+++ b/servers/pool/pool_entry.cc
@@ -14,7 +14,7 @@
 }  // namespace
 
 PoolEntry::PoolEntry(const PoolEntryOptions& options, KeyedLog* log,
-                     std::unique_ptr<OperatorDecoder> decoder, const CallerDoor* endpoint,
+                     std::unique_ptr<OperatorDecoder> decoder, const CallerEndpoint* endpoint,
                      PlannerConnector* connector, MetricsRegistry* metrics)
     : options_(options),
       log_(log),
@@ -59,7 +59,7 @@
 bool PoolEntry::Leave(Duration limit) {
   const Time until = LeaseClock().Now() + limit;
   leaving_.store(true);
-  front_.AnswerBy(until - kAnswerReserve);
+  front_.SetAnswerDeadline(until - kAnswerReserve);
   LogEvent(LogLevel::kInfo, "leaving", {{"epoch", service_.epoch()}});
   if (elector_) elector_->Leave();
   service_.Release(kReleaseLimit);
--- a/servers/pool/pool_entry.h
+++ b/servers/pool/pool_entry.h
@@ -8,7 +8,7 @@
 
 #include "core/http_server.h"
 #include "core/metrics.h"
-#include "servers/pool/job_front.h"
+#include "servers/pool/job_api.h"
 #include "servers/pool/planner_elector.h"
 #include "servers/pool/planner_service.h"
 #include "servers/pool/pool_view.h"
@@ -23,7 +23,7 @@
   HttpServerOptions readiness;
   PlannerServiceOptions planner;
   ElectorOptions elector;
-  JobFrontOptions front;
+  JobApiOptions front;
   // How long a poll of the members topic waits for a change.
   Duration members_wait = std::chrono::seconds(4);
   // How long a leaving entry continues to accept callers, so that the balancer notices first: it
@@ -35,7 +35,7 @@
  public:
   // All arguments must outlive the entry.
   PoolEntry(const PoolEntryOptions& options, KeyedLog* log,
-            std::unique_ptr<OperatorDecoder> decoder, const CallerDoor* endpoint,
+            std::unique_ptr<OperatorDecoder> decoder, const CallerEndpoint* endpoint,
             PlannerConnector* connector, MetricsRegistry* metrics);
   ~PoolEntry();
   PoolEntry(const PoolEntry&) = delete;
@@ -57,7 +57,7 @@
 
   const PoolEntryOptions options_;
   KeyedLog* const log_;
-  const CallerDoor* const endpoint_;
+  const CallerEndpoint* const endpoint_;
   PlannerConnector* const connector_;
   MetricsRegistry* const metrics_;
   std::atomic<bool> leaving_{false};
@@ -67,7 +67,7 @@
   PlannerRouter router_;
   PlannerService service_;
   std::unique_ptr<PlannerElector> elector_;
-  JobFront front_;
+  JobApi front_;
   std::unique_ptr<HttpServer> callers_;
   std::unique_ptr<HttpServer> readiness_;
 };
--- a/servers/pool/pool_view.cc
+++ b/servers/pool/pool_view.cc
@@ -79,7 +79,7 @@
   return {book_.planner(), end_, freshness_, newest_record_at_};
 }
 
-JobBook WorkView::book(LeadershipView* leadership) const {
+JobTable WorkView::book(LeadershipView* leadership) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   *leadership = LeadershipLocked();
   return book_;
@@ -87,7 +87,7 @@
 
 std::optional<JobState> WorkView::StateOf(const std::string& id) const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  const JobEntry* entry = book_.Find(id);
+  const StoredJob* entry = book_.Find(id);
   if (entry == nullptr) return std::nullopt;
   return entry->progress.state;
 }
--- a/servers/pool/pool_view.h
+++ b/servers/pool/pool_view.h
@@ -10,7 +10,7 @@
 #include <set>
 #include <string>
 
-#include "servers/pool/job_book.h"
+#include "servers/pool/job_table.h"
 #include "servers/pool/pool_config.h"
 #include "servers/pool/topic_follower.h"
 
@@ -54,7 +54,7 @@
 
   LeadershipView leadership() const;
   // Returns a copy of all jobs, and sets `leadership` to the state at the same moment.
-  JobBook book(LeadershipView* leadership) const;
+  JobTable book(LeadershipView* leadership) const;
   // Empty if the view does not contain the job.
   std::optional<JobState> StateOf(const std::string& id) const;
   int Waiting(const std::string& queue) const;
@@ -70,9 +70,9 @@
   LeadershipView LeadershipLocked() const;
 
   mutable std::mutex mutex_;
-  JobBook book_;
+  JobTable book_;
   // Filled while the topic is read anew after a restart, so that readers never see a partial table.
-  std::optional<JobBook> rebuilding_;
+  std::optional<JobTable> rebuilding_;
   Offset end_ = 0;
   Freshness freshness_;
   std::optional<Time> newest_record_at_;
