--- a/servers/pool/advice_cache.cc
+++ b/servers/pool/advice_cache.cc
@@ -1,22 +1,24 @@
-#include <algorithm>
-
 #include "servers/pool/advice_cache.h"
 
+#include <algorithm>
+
 namespace turmericshift::pool {
 namespace {
 
 // A start reaches its worker within a poll and a call, 50 ms as a rule; a ticket that runs out on
 // the way costs a refusal. Of short-lived tickets at most a quarter of their time is given up.
-constexpr Duration kOnTheWay = std::chrono::milliseconds(400);
-constexpr int kShareOnTheWay = 4;
+constexpr Duration kMaxDeliveryMargin = std::chrono::milliseconds(400);
+constexpr int kMarginDivisor = 4;
 // Workers named in one call. The service takes time for each, and the platform reckons with so many
 // when it says how long a job should take.
-constexpr size_t kMostNamed = 30;
+constexpr size_t kMaxWorkersPerCall = 30;
 // After a call that failed or was turned away: the service answers one call in some tens of
 // milliseconds.
-constexpr Duration kPause = std::chrono::milliseconds(100);
+constexpr Duration kRetryDelay = std::chrono::milliseconds(100);
 
-Duration Margin(Duration valid_for) { return std::min(kOnTheWay, valid_for / kShareOnTheWay); }
+Duration DeliveryMargin(Duration valid_for) {
+  return std::min(kMaxDeliveryMargin, valid_for / kMarginDivisor);
+}
 
 }  // namespace
 
@@ -32,7 +34,8 @@
                                                   const AdvisedWorker& worker, Time now) const {
   const Verdict* verdict = Find(step, worker);
   if (verdict == nullptr || verdict->ticket.empty()) return std::nullopt;
-  if (now >= verdict->asked + verdict->valid_for - Margin(verdict->valid_for)) return std::nullopt;
+  if (now >= verdict->asked_at + verdict->valid_for - DeliveryMargin(verdict->valid_for))
+    return std::nullopt;
   return verdict->ticket;
 }
 
@@ -41,7 +44,8 @@
   return verdict == nullptr || verdict->may_run;
 }
 
-bool AdviceCache::Settled(const AdvisedStep& step, const AdvisedWorker& worker, Time now) const {
+bool AdviceCache::NeedsNoRequest(const AdvisedStep& step, const AdvisedWorker& worker,
+                                 Time now) const {
   return !MayRun(step, worker) || TicketFor(step, worker, now);
 }
 
@@ -50,45 +54,47 @@
   std::vector<AdvisedWorker> known_good;
   std::vector<AdvisedWorker> unknown;
   for (const AdvisedWorker& worker : workers) {
-    if (Settled(step, worker, now)) continue;
+    if (NeedsNoRequest(step, worker, now)) continue;
     (Find(step, worker) != nullptr ? known_good : unknown).push_back(worker);
   }
-  AdviceRequest question = {step, std::move(known_good)};
-  question.workers.insert(question.workers.end(), unknown.begin(), unknown.end());
-  if (question.workers.size() > kMostNamed) question.workers.resize(kMostNamed);
-  if (!question.workers.empty()) wanted_.push_back(std::move(question));
+  AdviceRequest request = {step, std::move(known_good)};
+  request.workers.insert(request.workers.end(), unknown.begin(), unknown.end());
+  if (request.workers.size() > kMaxWorkersPerCall) request.workers.resize(kMaxWorkersPerCall);
+  if (!request.workers.empty()) requests_.push_back(std::move(request));
 }
 
 std::optional<AdviceRequest> AdviceCache::Next(Time now) {
-  if (asking_ || now < not_before_) return std::nullopt;
-  while (!wanted_.empty()) {
-    AdviceRequest question = std::move(wanted_.front());
-    wanted_.erase(wanted_.begin());
+  if (request_in_flight_ || now < retry_at_) return std::nullopt;
+  while (!requests_.empty()) {
+    AdviceRequest request = std::move(requests_.front());
+    requests_.erase(requests_.begin());
     // The answer to the question before may have come after this one was wanted.
-    std::erase_if(question.workers,
-                  [&](const AdvisedWorker& worker) { return Settled(question.step, worker, now); });
-    if (question.workers.empty()) continue;
-    asking_ = true;
-    return question;
+    std::erase_if(request.workers, [&](const AdvisedWorker& worker) {
+      return NeedsNoRequest(request.step, worker, now);
+    });
+    if (request.workers.empty()) continue;
+    request_in_flight_ = true;
+    return request;
   }
   return std::nullopt;
 }
 
-void AdviceCache::Take(const AdviceRequest& question, const AdviceResponse& answer, Time asked) {
-  asking_ = false;
+void AdviceCache::Take(const AdviceRequest& request, const AdviceResponse& response,
+                       Time asked_at) {
+  request_in_flight_ = false;
   std::map<std::string, std::string> tickets;
-  for (const AdviceTicket& allowed : answer.allowed) tickets[allowed.worker_id] = allowed.ticket;
-  Verdicts& verdicts = verdicts_[question.step];
-  for (const AdvisedWorker& worker : question.workers) {
+  for (const AdviceTicket& allowed : response.allowed) tickets[allowed.worker_id] = allowed.ticket;
+  Verdicts& verdicts = verdicts_[request.step];
+  for (const AdvisedWorker& worker : request.workers) {
     const auto allowed = tickets.find(worker.id);
     const bool may_run = allowed != tickets.end();
-    verdicts[worker] = {may_run, may_run ? allowed->second : "", asked, answer.valid_for};
+    verdicts[worker] = {may_run, may_run ? allowed->second : "", asked_at, response.valid_for};
   }
 }
 
 void AdviceCache::Failed(Time now) {
-  asking_ = false;
-  not_before_ = now + kPause;
+  request_in_flight_ = false;
+  retry_at_ = now + kRetryDelay;
 }
 
 void AdviceCache::TicketRefused(const AdvisedStep& step, const AdvisedWorker& worker) {
--- a/servers/pool/advice_cache.h
+++ b/servers/pool/advice_cache.h
@@ -27,14 +27,14 @@
   bool MayRun(const AdvisedStep& step, const AdvisedWorker& worker) const;
 
   // What is wanted is told anew in each round, in the order in which it matters.
-  void BeginRound() { wanted_.clear(); }
+  void BeginRound() { requests_.clear(); }
   // The step can't begin on what it has tickets for. `workers`: those on which it might, the best
   // first; those that it has a ticket for or may not run on are left out here.
   void RequestTickets(const AdvisedStep& step, const std::vector<AdvisedWorker>& workers, Time now);
   // What to ask now; nothing while an answer is awaited, or for a moment after a call that failed.
   std::optional<AdviceRequest> Next(Time now);
   // The answer to a question that was asked at `asked`.
-  void Take(const AdviceRequest& question, const AdviceResponse& answer, Time asked);
+  void Take(const AdviceRequest& request, const AdviceResponse& response, Time asked_at);
   // The question was not answered.
   void Failed(Time now);
   // A worker turned the ticket away.
@@ -48,19 +48,19 @@
   struct Verdict {
     bool may_run = false;
     std::string ticket;
-    Time asked{};
+    Time asked_at{};
     Duration valid_for{};
   };
   using Verdicts = std::map<AdvisedWorker, Verdict>;
 
   const Verdict* Find(const AdvisedStep& step, const AdvisedWorker& worker) const;
   // Nothing is to be asked of the worker now.
-  bool Settled(const AdvisedStep& step, const AdvisedWorker& worker, Time now) const;
+  bool NeedsNoRequest(const AdvisedStep& step, const AdvisedWorker& worker, Time now) const;
 
   std::map<AdvisedStep, Verdicts> verdicts_;
-  std::vector<AdviceRequest> wanted_;
-  bool asking_ = false;
-  Time not_before_{};
+  std::vector<AdviceRequest> requests_;
+  bool request_in_flight_ = false;
+  Time retry_at_{};
 };
 
 }  // namespace turmericshift::pool
--- a/servers/pool/advice_cache_test.cc
+++ b/servers/pool/advice_cache_test.cc
@@ -1,6 +1,7 @@
+#include "servers/pool/advice_cache.h"
+
 #include <gtest/gtest.h>
 
-#include "servers/pool/advice_cache.h"
 #include "tests/stand_ins/pool_bed.h"
 
 namespace turmericshift::pool {
@@ -11,78 +12,78 @@
 
 const Time kNow = Time(std::chrono::hours(2));
 const AdvisedStep kStep = {"j", {0, 0}};
-const AdvisedWorker kOne = {"one", 1};
-const AdvisedWorker kTwo = {"two", 1};
+const AdvisedWorker kWorkerOne = {"one", 1};
+const AdvisedWorker kWorkerTwo = {"two", 1};
 
-AdviceResponse Good(const std::string& worker_id) {
+AdviceResponse ResponseAllowing(const std::string& worker_id) {
   return {{{worker_id, "ticket-" + worker_id}}, seconds(3)};
 }
 
 TEST(AdviceCache, KnowsWhoMayRunAStepOnceItIsTold) {
-  AdviceCache book;
-  EXPECT_TRUE(book.MayRun(kStep, kOne));
-  EXPECT_FALSE(book.TicketFor(kStep, kOne, kNow));
-  book.RequestTickets(kStep, {kOne, kTwo}, kNow);
-  const std::optional<AdviceRequest> question = book.Next(kNow);
-  ASSERT_TRUE(question);
-  EXPECT_EQ(question->workers, (std::vector<AdvisedWorker>{kOne, kTwo}));
-  book.Take(*question, Good("one"), kNow);
-  EXPECT_EQ(book.TicketFor(kStep, kOne, kNow), "ticket-one");
-  EXPECT_FALSE(book.MayRun(kStep, kTwo));
+  AdviceCache cache;
+  EXPECT_TRUE(cache.MayRun(kStep, kWorkerOne));
+  EXPECT_FALSE(cache.TicketFor(kStep, kWorkerOne, kNow));
+  cache.RequestTickets(kStep, {kWorkerOne, kWorkerTwo}, kNow);
+  const std::optional<AdviceRequest> request = cache.Next(kNow);
+  ASSERT_TRUE(request);
+  EXPECT_EQ(request->workers, (std::vector<AdvisedWorker>{kWorkerOne, kWorkerTwo}));
+  cache.Take(*request, ResponseAllowing("one"), kNow);
+  EXPECT_EQ(cache.TicketFor(kStep, kWorkerOne, kNow), "ticket-one");
+  EXPECT_FALSE(cache.MayRun(kStep, kWorkerTwo));
 }
 
 // The service answers one call at a time. A second one would wait there, and what it was to tell
 // would be out of date when it comes.
 TEST(AdviceCache, AsksOneQuestionAtATimeAndNoneTwice) {
-  AdviceCache book;
-  book.RequestTickets(kStep, {kOne}, kNow);
-  const std::optional<AdviceRequest> question = book.Next(kNow);
-  ASSERT_TRUE(question);
-  book.RequestTickets(kStep, {kOne}, kNow);
-  EXPECT_FALSE(book.Next(kNow));
-  book.Take(*question, Good("one"), kNow);
-  EXPECT_FALSE(book.Next(kNow));
+  AdviceCache cache;
+  cache.RequestTickets(kStep, {kWorkerOne}, kNow);
+  const std::optional<AdviceRequest> request = cache.Next(kNow);
+  ASSERT_TRUE(request);
+  cache.RequestTickets(kStep, {kWorkerOne}, kNow);
+  EXPECT_FALSE(cache.Next(kNow));
+  cache.Take(*request, ResponseAllowing("one"), kNow);
+  EXPECT_FALSE(cache.Next(kNow));
 }
 
 // A ticket that runs out on its way costs a refusal by the worker.
 TEST(AdviceCache, AsksAgainForATicketThatRunsOut) {
-  AdviceCache book;
-  book.RequestTickets(kStep, {kOne}, kNow);
-  book.Take(*book.Next(kNow), Good("one"), kNow);
-  EXPECT_TRUE(book.TicketFor(kStep, kOne, kNow + seconds(2)));
-  const Time late = kNow + milliseconds(2900);
-  EXPECT_FALSE(book.TicketFor(kStep, kOne, late));
-  book.RequestTickets(kStep, {kOne}, late);
-  EXPECT_TRUE(book.Next(late));
+  AdviceCache cache;
+  cache.RequestTickets(kStep, {kWorkerOne}, kNow);
+  cache.Take(*cache.Next(kNow), ResponseAllowing("one"), kNow);
+  EXPECT_TRUE(cache.TicketFor(kStep, kWorkerOne, kNow + seconds(2)));
+  const Time nearly_expired = kNow + milliseconds(2900);
+  EXPECT_FALSE(cache.TicketFor(kStep, kWorkerOne, nearly_expired));
+  cache.RequestTickets(kStep, {kWorkerOne}, nearly_expired);
+  EXPECT_TRUE(cache.Next(nearly_expired));
 }
 
 // A worker that was born again knows nothing of tickets for the life before.
 TEST(AdviceCache, TrustsNoTicketOfAnotherLife) {
-  AdviceCache book;
-  book.RequestTickets(kStep, {kOne}, kNow);
-  book.Take(*book.Next(kNow), Good("one"), kNow);
-  EXPECT_FALSE(book.TicketFor(kStep, {"one", 2}, kNow));
+  AdviceCache cache;
+  cache.RequestTickets(kStep, {kWorkerOne}, kNow);
+  cache.Take(*cache.Next(kNow), ResponseAllowing("one"), kNow);
+  EXPECT_FALSE(cache.TicketFor(kStep, {"one", 2}, kNow));
 }
 
 // The service turns calls away while many wait there. Asked again at once it would do nothing else.
 TEST(AdviceCache, PausesAfterAQuestionThatWasNotAnswered) {
-  AdviceCache book;
-  book.RequestTickets(kStep, {kOne}, kNow);
-  ASSERT_TRUE(book.Next(kNow));
-  book.Failed(kNow);
-  book.RequestTickets(kStep, {kOne}, kNow);
-  EXPECT_FALSE(book.Next(kNow));
-  EXPECT_TRUE(book.Next(kNow + seconds(1)));
+  AdviceCache cache;
+  cache.RequestTickets(kStep, {kWorkerOne}, kNow);
+  ASSERT_TRUE(cache.Next(kNow));
+  cache.Failed(kNow);
+  cache.RequestTickets(kStep, {kWorkerOne}, kNow);
+  EXPECT_FALSE(cache.Next(kNow));
+  EXPECT_TRUE(cache.Next(kNow + seconds(1)));
 }
 
 TEST(AdviceCache, NamesNoMoreWorkersThanOneCallShould) {
-  AdviceCache book;
+  AdviceCache cache;
   constexpr int kWorkers = 67;
   std::vector<AdvisedWorker> many;
   many.reserve(kWorkers);
   for (int i = 0; i < kWorkers; ++i) many.push_back({"w" + std::to_string(i), 1});
-  book.RequestTickets(kStep, many, kNow);
-  EXPECT_EQ(book.Next(kNow)->workers.size(), 30U);
+  cache.RequestTickets(kStep, many, kNow);
+  EXPECT_EQ(cache.Next(kNow)->workers.size(), 30U);
 }
 
 OperatorState AdvisedOperators() {
--- a/servers/pool/advice_fetcher.cc
+++ b/servers/pool/advice_fetcher.cc
@@ -1,14 +1,15 @@
+#include "servers/pool/advice_fetcher.h"
+
 #include "core/error.h"
 #include "core/logging.h"
-#include "servers/pool/advice_fetcher.h"
 
 namespace turmericshift::pool {
 namespace {
 
 // How long a question is waited for before the thread looks whether it should end.
-constexpr Duration kQuestionWait = std::chrono::milliseconds(500);
+constexpr Duration kStopCheckInterval = std::chrono::milliseconds(500);
 // Thirty workers take the service some hundred milliseconds; calls of other VMs go in between.
-constexpr Duration kAnswerTimeout = std::chrono::milliseconds(2000);
+constexpr Duration kCallTimeout = std::chrono::milliseconds(2000);
 
 }  // namespace
 
@@ -19,22 +20,22 @@
 
 void AdviceFetcher::Run() {
   while (!stopping_.load()) {
-    const std::optional<AdviceRequest> question = planner_->NextQuestion(kQuestionWait);
-    if (!question) continue;
-    const Time asked = LeaseClock().Now();
+    const std::optional<AdviceRequest> request = planner_->NextQuestion(kStopCheckInterval);
+    if (!request) continue;
+    const Time asked_at = LeaseClock().Now();
     try {
-      const AdviceResponse answer = advice_->Ask(*question, kAnswerTimeout);
+      const AdviceResponse response = advice_->Ask(*request, kCallTimeout);
       LogEvent(LogLevel::kInfo, "advice_given",
-               {{"job", question->step.job},
-                {"step", question->step.place.step},
-                {"asked", question->workers.size()},
-                {"good", answer.allowed.size()},
-                {"valid_s", Seconds(answer.valid_for)},
-                {"seconds", Seconds(LeaseClock().Now() - asked)}});
-      planner_->TakeAdvice(*question, answer, asked);
+               {{"job", request->step.job},
+                {"step", request->step.place.step},
+                {"asked", request->workers.size()},
+                {"good", response.allowed.size()},
+                {"valid_s", Seconds(response.valid_for)},
+                {"seconds", Seconds(LeaseClock().Now() - asked_at)}});
+      planner_->TakeAdvice(*request, response, asked_at);
     } catch (const Error& error) {
       LogEvent(LogLevel::kWarning, "advice_missing",
-               {{"job", question->step.job}, {"error", error.what()}});
+               {{"job", request->step.job}, {"error", error.what()}});
       planner_->AdviceFailed(LeaseClock().Now());
     }
   }
--- a/servers/pool/advice_service.h
+++ b/servers/pool/advice_service.h
@@ -49,7 +49,7 @@
   virtual ~AdviceService() = default;
   // Throws Error: kOverloaded when too many calls wait there, kUnavailable, kConnectionLost or
   // kDeadlineExceeded when it does not answer, kInvalidInput for an answer that can't be read.
-  virtual AdviceResponse Ask(const AdviceRequest& question, Duration timeout) = 0;
+  virtual AdviceResponse Ask(const AdviceRequest& request, Duration timeout) = 0;
 };
 
 // Clients by name; the argument is the service's address ("10.0.0.1:8080").
--- a/servers/pool/job_api.cc
+++ b/servers/pool/job_api.cc
@@ -1,19 +1,20 @@
+#include "servers/pool/job_api.h"
+
 #include <algorithm>
 #include <thread>
 
 #include "core/logging.h"
-#include "servers/pool/job_api.h"
 #include "servers/pool/local_port.h"
 
 namespace turmericshift::pool {
 namespace {
 
 // How often a call that waits for a planner looks for one.
-constexpr Duration kLookAgain = std::chrono::milliseconds(60);
+constexpr Duration kRetryInterval = std::chrono::milliseconds(60);
 // A planner in another zone answers a connect within milliseconds.
-constexpr Duration kConnectLimit = std::chrono::milliseconds(700);
+constexpr Duration kConnectTimeout = std::chrono::milliseconds(700);
 // A record is kept and answered for in some 20 ms; with less than this left a try is pointless.
-constexpr Duration kShortestTry = std::chrono::milliseconds(60);
+constexpr Duration kMinAttemptTime = std::chrono::milliseconds(60);
 
 }  // namespace
 
@@ -31,8 +32,8 @@
 
 bool JobApi::Ready(Time now) const {
   return operators_->state()->config.version > 0 &&
-         operators_->freshness().within(options_.key_limit, now) &&
-         work_->freshness().within(options_.key_limit, now);
+         operators_->freshness().within(options_.key_age_limit, now) &&
+         work_->freshness().within(options_.key_age_limit, now);
 }
 
 JobAnswer JobApi::NotAccepted(const std::string& message) const {
@@ -69,7 +70,7 @@
     return answer;
   }
   if (queue->open) return HandleRouted(call, *queue, "", now);
-  if (!freshness.within(options_.key_limit, now)) {
+  if (!freshness.within(options_.key_age_limit, now)) {
     return NotAccepted("keys can't be checked: the store does not answer");
   }
   const Workspace* workspace = state->config.WorkspaceForKey(call.key);
@@ -92,7 +93,7 @@
       answer.message = "a job's id is missing";
       return answer;
     }
-    if (!work_->freshness().within(options_.view_limit, now)) {
+    if (!work_->freshness().within(options_.view_age_limit, now)) {
       return NotAccepted("the store does not answer");
     }
     JobAnswer answer;
@@ -122,7 +123,7 @@
     return answer;
   }
   // Only a view that is fresh enough to know every job may say that there is none.
-  if (!freshness.within(options_.view_limit, now)) {
+  if (!freshness.within(options_.view_age_limit, now)) {
     return NotAccepted("the store does not answer");
   }
   answer.kind = JobAnswerKind::kNoSuchJob;
@@ -151,9 +152,9 @@
     LogEvent(LogLevel::kWarning, "job_refused", {{"job", id}, {"reason", error.what()}});
     return answer;
   }
-  answer = AskPlanner([&](PlannerPort* port, Duration limit) { port->Submit(spec, limit); },
-                      [&] { return work_->StateOf(id).has_value(); }, JobAnswerKind::kAccepted,
-                      now + call.timeout - options_.reserve);
+  answer = CallPlanner([&](PlannerPort* port, Duration limit) { port->Submit(spec, limit); },
+                       [&] { return work_->StateOf(id).has_value(); }, JobAnswerKind::kAccepted,
+                       now + call.timeout - options_.response_margin);
   const Time end = LeaseClock().Now();
   submit_seconds_.Record(Seconds(end - now));
   const bool accepted = answer.kind == JobAnswerKind::kAccepted;
@@ -184,12 +185,12 @@
     answer.kind = JobAnswerKind::kCancelled;
     return answer;
   }
-  answer = AskPlanner([&](PlannerPort* port, Duration limit) { port->Cancel(id, limit); },
-                      [&] {
-                        const std::optional<JobState> seen = work_->StateOf(id);
-                        return seen && IsOver(*seen);
-                      },
-                      JobAnswerKind::kCancelled, now + timeout - options_.reserve);
+  answer = CallPlanner([&](PlannerPort* port, Duration limit) { port->Cancel(id, limit); },
+                       [&] {
+                         const std::optional<JobState> seen = work_->StateOf(id);
+                         return seen && IsOver(*seen);
+                       },
+                       JobAnswerKind::kCancelled, now + timeout - options_.response_margin);
   LogEvent(LogLevel::kInfo, "job_cancel",
            {{"job", id},
             {"cancelled", answer.kind == JobAnswerKind::kCancelled},
@@ -199,9 +200,9 @@
 
 std::shared_ptr<PlannerPort> JobApi::Port(Duration limit) {
   // This entry may have lost the store and been told of a planner that it can't read of.
-  const PlannerRecord read = work_->duty().planner;
-  const PlannerRecord told = local_->Successor();
-  const PlannerRecord& planner = told.epoch > read.epoch ? told : read;
+  const PlannerRecord recorded = work_->duty().planner;
+  const PlannerRecord announced = local_->Successor();
+  const PlannerRecord& planner = announced.epoch > recorded.epoch ? announced : recorded;
   if (planner.address.empty()) throw Error(ErrorKind::kUnavailable, Outcome::kNotRun, "no planner");
   if (planner.node == options_.node) return std::make_shared<LocalPort>(local_);
   {
@@ -209,35 +210,36 @@
     if (port_ && port_epoch_ == planner.epoch) return port_;
   }
   std::shared_ptr<PlannerPort> port =
-      reach_->Connect(planner, std::min(limit, kConnectLimit), LeaseClock().Now());
+      reach_->Connect(planner, std::min(limit, kConnectTimeout), LeaseClock().Now());
   const std::lock_guard<std::mutex> lock(mutex_);
   port_ = port;
   port_epoch_ = planner.epoch;
   return port;
 }
 
-void JobApi::DropPort(const std::shared_ptr<PlannerPort>& port) {
+void JobApi::DiscardPort(const std::shared_ptr<PlannerPort>& port) {
   const std::lock_guard<std::mutex> lock(mutex_);
   if (port_ == port) port_.reset();
 }
 
-JobAnswer JobApi::AskPlanner(const std::function<void(PlannerPort*, Duration)>& ask,
-                             const std::function<bool()>& known, JobAnswerKind done, Time until) {
+JobAnswer JobApi::CallPlanner(const std::function<void(PlannerPort*, Duration)>& call,
+                              const std::function<bool()>& already_done, JobAnswerKind done,
+                              Time until) {
   JobAnswer answer;
-  bool maybe = false;
+  bool may_have_run = false;
   while (true) {
-    if (known()) {
+    if (already_done()) {
       answer.kind = done;
       answer.message = "";
       return answer;
     }
     const Time now = LeaseClock().Now();
     const Time end = std::min(until, answer_by_.load());
-    if (end - now < kShortestTry) break;
+    if (end - now < kMinAttemptTime) break;
     std::shared_ptr<PlannerPort> port;
     try {
       port = Port(end - now);
-      ask(port.get(), std::min(end - now, options_.try_limit));
+      call(port.get(), std::min(end - now, options_.attempt_timeout));
       answer.kind = done;
       answer.message = "";
       return answer;
@@ -248,16 +250,16 @@
         return answer;
       }
       const bool not_run = error.outcome() == Outcome::kNotRun;
-      if (!not_run) maybe = true;
+      if (!not_run) may_have_run = true;
       // The planner is there and can't keep anything now: waiting would not help the caller.
-      if (not_run && !maybe && error.kind() == ErrorKind::kLogUnavailable) {
+      if (not_run && !may_have_run && error.kind() == ErrorKind::kLogUnavailable) {
         return NotAccepted(error.what());
       }
-      if (port) DropPort(port);
+      if (port) DiscardPort(port);
     }
-    std::this_thread::sleep_for(kLookAgain);
+    std::this_thread::sleep_for(kRetryInterval);
   }
-  if (!maybe) return NotAccepted(answer.message);
+  if (!may_have_run) return NotAccepted(answer.message);
   answer.kind = JobAnswerKind::kUnknown;
   return answer;
 }
--- a/servers/pool/job_api.h
+++ b/servers/pool/job_api.h
@@ -66,13 +66,13 @@
 struct JobApiOptions {
   std::string node;
   // Without word of the operators for so long, a key may have been taken away unheard of.
-  Duration key_limit = std::chrono::milliseconds(4000);
+  Duration key_age_limit = std::chrono::milliseconds(4000);
   // A view older than this may miss a job taken in elsewhere that has to be known by now.
-  Duration view_limit = std::chrono::milliseconds(2000);
+  Duration view_age_limit = std::chrono::milliseconds(2000);
   // Left of a caller's patience for the answer's way back.
-  Duration reserve = std::chrono::milliseconds(250);
+  Duration response_margin = std::chrono::milliseconds(250);
   // One try at the planner.
-  Duration try_limit = std::chrono::milliseconds(1500);
+  Duration attempt_timeout = std::chrono::milliseconds(1500);
   // Suggested when nothing better is known: a change of planner, or a store that is away, for a
   // moment.
   Duration retry_after = std::chrono::seconds(1);
@@ -100,10 +100,10 @@
   JobAnswer Cancel(const std::string& id, Duration timeout, Time now);
   // Tries `ask` at whoever plans until it is answered or `until`; `known` tells whether the view
   // shows that it has happened.
-  JobAnswer AskPlanner(const std::function<void(PlannerPort*, Duration)>& ask,
-                       const std::function<bool()>& known, JobAnswerKind done, Time until);
+  JobAnswer CallPlanner(const std::function<void(PlannerPort*, Duration)>& call,
+                        const std::function<bool()>& already_done, JobAnswerKind done, Time until);
   std::shared_ptr<PlannerPort> Port(Duration limit);
-  void DropPort(const std::shared_ptr<PlannerPort>& port);
+  void DiscardPort(const std::shared_ptr<PlannerPort>& port);
   JobAnswer NotAccepted(const std::string& message) const;
 
   const JobApiOptions options_;
--- a/servers/pool/job_api_test.cc
+++ b/servers/pool/job_api_test.cc
@@ -1,3 +1,5 @@
+#include "servers/pool/job_api.h"
+
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -5,7 +7,6 @@
 
 #include "core/error.h"
 #include "modules/stand_ins/memory_keyed_log.h"
-#include "servers/pool/job_api.h"
 
 namespace turmericshift::pool {
 namespace {
@@ -13,7 +14,7 @@
 using std::chrono::milliseconds;
 
 // Operators that lay down one open queue, whatever the record says.
-class OneQueue : public OperatorDecoder {
+class SingleQueueDecoder : public OperatorDecoder {
  public:
   std::string topic() const override { return "documents"; }
   void Apply(const KeyedRecord& /*record*/, OperatorState* state) const override {
@@ -28,7 +29,7 @@
 };
 
 // A planner whose store is silent: it takes jobs in and never answers.
-class SilentGate : public PlannerGate {
+class UnresponsiveGate : public PlannerGate {
  public:
   int submissions() const { return submissions_.load(); }
   void Exchange(const AgentReport& /*report*/,
@@ -46,7 +47,7 @@
 };
 
 // A planner that has lost the store and been told who follows it.
-class FollowedGate : public SilentGate {
+class SupersededGate : public UnresponsiveGate {
  public:
   PlannerRecord Successor() const override { return {2, "e2", "there"}; }
   void Submit(const JobSpec& /*spec*/, std::function<void(Attempt<Done>)> done) override {
@@ -57,7 +58,7 @@
 };
 
 // Takes everything in.
-class WillingPort : public PlannerPort {
+class AcceptingPort : public PlannerPort {
  public:
   AgentOrders Exchange(const AgentReport& /*report*/, Duration /*timeout*/) override { return {}; }
   void Submit(const JobSpec& /*spec*/, Duration /*timeout*/) override {}
@@ -67,15 +68,15 @@
 };
 
 // Reaches the planner at "there".
-class OneNeighbour : public PlannerConnector {
+class SinglePlannerConnector : public PlannerConnector {
  public:
   std::shared_ptr<PlannerPort> Connect(const std::string& address, Duration /*limit*/) override {
     if (address != "there") throw Error(ErrorKind::kUnavailable, Outcome::kNotRun, "nobody there");
-    return std::make_shared<WillingPort>();
+    return std::make_shared<AcceptingPort>();
   }
 };
 
-class NoConnector : public PlannerConnector {
+class FailingConnector : public PlannerConnector {
  public:
   std::shared_ptr<PlannerPort> Connect(const std::string& /*address*/,
                                        Duration /*limit*/) override {
@@ -83,16 +84,18 @@
   }
 };
 
-struct Front {
-  Front() : Front(std::make_unique<SilentGate>(), std::make_unique<NoConnector>()) {}
-  Front(std::unique_ptr<PlannerGate> planner, std::unique_ptr<PlannerConnector> neighbours)
-      : gate(std::move(planner)), connector(std::move(neighbours)) {
+struct ApiFixture {
+  ApiFixture()
+      : ApiFixture(std::make_unique<UnresponsiveGate>(), std::make_unique<FailingConnector>()) {}
+  ApiFixture(std::unique_ptr<PlannerGate> planner,
+             std::unique_ptr<PlannerConnector> planner_connector)
+      : gate(std::move(planner)), connector(std::move(planner_connector)) {
     log.Append("documents", {{"document", "1"}}, {}, std::chrono::seconds(1));
     log.Append(kWorkTopic, {{kPlannerKey, EncodePlanner({1, "e1", "here"})}}, {},
                std::chrono::seconds(1));
     JobApiOptions options;
     options.node = "e1";
-    front = std::make_unique<JobApi>(options, &work, &operators, gate.get(), &reach, &metrics);
+    api = std::make_unique<JobApi>(options, &work, &operators, gate.get(), &reach, &metrics);
     while (operators.state()->config.version == 0 || work.duty().planner.epoch == 0) {
       std::this_thread::yield();
     }
@@ -105,46 +108,46 @@
     call.path = "/jobs/" + id;
     call.timeout = timeout;
     call.read_body = [](JobSpec* spec) { spec->steps.emplace_back(); };
-    return front->Handle(call, LeaseClock().Now()).kind;
+    return api->Handle(call, LeaseClock().Now()).kind;
   }
 
   MemoryKeyedLog log;
   WorkView work{&log};
-  OperatorView operators{&log, std::make_unique<OneQueue>()};
+  OperatorView operators{&log, std::make_unique<SingleQueueDecoder>()};
   std::unique_ptr<PlannerGate> gate;
   std::unique_ptr<PlannerConnector> connector;
   MembersView members{&log, std::chrono::milliseconds(200)};
   PlannerReach reach{"e1", "a", &members, connector.get()};
   MetricsRegistry metrics;
-  std::unique_ptr<JobApi> front;
+  std::unique_ptr<JobApi> api;
 };
 
 // The store goes silent as a job is on its way into it, and the caller is told that nobody knows.
 // It comes again with little patience left, too little to ask anyone. Were it told that its job
 // never runs, it would order anew, and be charged twice once the store is back.
 TEST(JobApi, DoesNotRefuseAJobThatItMayHaveTakenInBefore) {
-  Front front;
-  EXPECT_EQ(front.Submit("j", milliseconds(500)), JobAnswerKind::kUnknown);
-  EXPECT_EQ(front.Submit("j", milliseconds(100)), JobAnswerKind::kUnknown);
-  EXPECT_EQ(front.Submit("other", milliseconds(100)), JobAnswerKind::kNotAccepted);
+  ApiFixture fixture;
+  EXPECT_EQ(fixture.Submit("j", milliseconds(500)), JobAnswerKind::kUnknown);
+  EXPECT_EQ(fixture.Submit("j", milliseconds(100)), JobAnswerKind::kUnknown);
+  EXPECT_EQ(fixture.Submit("other", milliseconds(100)), JobAnswerKind::kNotAccepted);
 }
 
 // The planner has lost the store and is followed, and its own view of the store still shows itself.
 // A caller that comes to it then waited until its patience was gone, and had none left to try
 // another entry.
 TEST(JobApi, GoesToThePlannerThatItHasBeenToldOf) {
-  Front front(std::make_unique<FollowedGate>(), std::make_unique<OneNeighbour>());
-  EXPECT_EQ(front.Submit("j", milliseconds(1000)), JobAnswerKind::kAccepted);
+  ApiFixture fixture(std::make_unique<SupersededGate>(), std::make_unique<SinglePlannerConnector>());
+  EXPECT_EQ(fixture.Submit("j", milliseconds(1000)), JobAnswerKind::kAccepted);
 }
 
 // The process ends before the caller's patience does: the call must be answered, not cut, and a job
 // that no planner was asked about never runs.
 TEST(JobApi, AnswersBeforeTheProcessEnds) {
-  auto gate = std::make_unique<SilentGate>();
-  const SilentGate& planner = *gate;
-  Front front(std::move(gate), std::make_unique<NoConnector>());
-  front.front->SetAnswerDeadline(LeaseClock().Now());
-  EXPECT_EQ(front.Submit("j", std::chrono::hours(1)), JobAnswerKind::kNotAccepted);
+  auto gate = std::make_unique<UnresponsiveGate>();
+  const UnresponsiveGate& planner = *gate;
+  ApiFixture fixture(std::move(gate), std::make_unique<FailingConnector>());
+  fixture.api->SetAnswerDeadline(LeaseClock().Now());
+  EXPECT_EQ(fixture.Submit("j", std::chrono::hours(1)), JobAnswerKind::kNotAccepted);
   EXPECT_EQ(planner.submissions(), 0);
 }
 
--- a/servers/pool/job_estimator.cc
+++ b/servers/pool/job_estimator.cc
@@ -1,27 +1,27 @@
-#include <algorithm>
-
 #include "servers/pool/job_estimator.h"
 
+#include <algorithm>
+
 namespace turmericshift::pool {
 namespace {
 
 // A step that needs more than one in so many of the pool's accelerators, processors or memory is
 // not expected to have them all at once: its job is due later accordingly.
-constexpr int64_t kFairShare = 4;
+constexpr int64_t kFairShareDivisor = 4;
 
 // How many times the share of the pool that a step may have at once goes into `needed`.
-int64_t Waves(int64_t needed, int64_t whole) {
-  const int64_t share = std::max<int64_t>(whole / kFairShare, 1);
-  return whole == 0 ? 1 : (needed + share - 1) / share;
+int64_t Waves(int64_t needed, int64_t total) {
+  const int64_t share = std::max<int64_t>(total / kFairShareDivisor, 1);
+  return total == 0 ? 1 : (needed + share - 1) / share;
 }
 
 // In how many goes the step is done by a pool of `whole`. A gang is done in one.
-int64_t WavesOf(const StepSpec& step, const Room& whole) {
+int64_t WavesOf(const StepSpec& step, const Room& total) {
   if (step.gang) return 1;
   return std::max({int64_t{1},
-                   Waves(step.tasks * step.need.processor_millis, whole.processor_millis),
-                   Waves(step.tasks * step.need.memory_mib, whole.memory_mib),
-                   Waves(step.tasks * step.need.accelerators, whole.accelerators)});
+                   Waves(step.tasks * step.need.processor_millis, total.processor_millis),
+                   Waves(step.tasks * step.need.memory_mib, total.memory_mib),
+                   Waves(step.tasks * step.need.accelerators, total.accelerators)});
 }
 
 }  // namespace
@@ -35,16 +35,16 @@
   run_times_.Note(queue, estimate, actual);
 }
 
-void JobEstimator::ResetJobs() { usual_work_.clear(); }
+void JobEstimator::ResetJobs() { work_by_queue_.clear(); }
 
 void JobEstimator::RecordJob(const JobSpec& spec) {
-  Mean& mean = usual_work_[spec.queue];
-  mean.sum += WorkOf(spec);
+  Mean& mean = work_by_queue_[spec.queue];
+  mean.sum += WorkInCoreSeconds(spec);
   ++mean.count;
 }
 
 Duration JobEstimator::ExpectedTime(const JobSpec& spec, const StepSpec& step) const {
-  if (!Uses(Mechanism::kLearnedTimes)) return step.estimate;
+  if (!Enabled(Mechanism::kLearnedTimes)) return step.estimate;
   return run_times_.Expect(spec.queue, step.estimate);
 }
 
@@ -54,21 +54,22 @@
   timing.elapsed = std::chrono::milliseconds(wall_ms - ReleaseMs(spec, place.occurrence));
   timing.remaining = CriticalPathFrom(
       spec, place.step, [&](const StepSpec& step) { return ExpectedTime(spec, step); });
-  timing.critical_path = FairChain(spec, terms.service);
+  timing.critical_path = FairShareCriticalPath(spec, terms.service);
   timing.stretch = terms.stretch;
   timing.target_latency = terms.target_latency;
-  if (Uses(Mechanism::kLikelihood)) timing.spread = run_times_.SpreadOf(spec.queue);
+  if (Enabled(Mechanism::kLikelihood)) timing.spread = run_times_.SpreadOf(spec.queue);
   return timing;
 }
 
 double JobEstimator::ValueOf(const JobSpec& spec, const QueueTerms& terms) const {
-  const double work = WorkOf(spec);
-  const auto found = usual_work_.find(spec.queue);
-  const double usual = found == usual_work_.end() ? work : found->second.sum / found->second.count;
-  return ValueOnTime(terms.priority, work, usual);
+  const double work = WorkInCoreSeconds(spec);
+  const auto found = work_by_queue_.find(spec.queue);
+  const double mean_work =
+      found == work_by_queue_.end() ? work : found->second.sum / found->second.count;
+  return ValueOnTime(terms.priority, work, mean_work);
 }
 
-double JobEstimator::WorkOf(const JobSpec& spec) const {
+double JobEstimator::WorkInCoreSeconds(const JobSpec& spec) const {
   double work = 0;
   for (const StepSpec& step : spec.steps) {
     work += CoreEquivalent(step.need) * step.tasks * Seconds(ExpectedTime(spec, step));
@@ -76,11 +77,12 @@
   return work;
 }
 
-Duration JobEstimator::FairChain(const JobSpec& spec, const std::string& service) const {
+Duration JobEstimator::FairShareCriticalPath(const JobSpec& spec,
+                                             const std::string& service) const {
   const auto found = capacity_.find(service);
-  const Room whole = found == capacity_.end() ? Room() : found->second;
+  const Room total = found == capacity_.end() ? Room() : found->second;
   return CriticalPath(spec, [&](const StepSpec& step) {
-    return ExpectedTime(spec, step) * (Uses(Mechanism::kWideInGoes) ? WavesOf(step, whole) : 1);
+    return ExpectedTime(spec, step) * (Enabled(Mechanism::kWideInGoes) ? WavesOf(step, total) : 1);
   });
 }
 
--- a/servers/pool/job_estimator.h
+++ b/servers/pool/job_estimator.h
@@ -41,18 +41,18 @@
     int count = 0;
   };
 
-  bool Uses(Mechanism mechanism) const { return off_.count(mechanism) == 0; }
+  bool Enabled(Mechanism mechanism) const { return off_.count(mechanism) == 0; }
   // Core-seconds of all its steps.
-  double WorkOf(const JobSpec& spec) const;
+  double WorkInCoreSeconds(const JobSpec& spec) const;
   // What the longest chain of steps should take a pool that works on the job as its caller may
   // expect: no step has more than a share of the pool at once.
-  Duration FairChain(const JobSpec& spec, const std::string& service) const;
+  Duration FairShareCriticalPath(const JobSpec& spec, const std::string& service) const;
 
   const MechanismsOff off_;
   RunTimes run_times_;
   std::map<std::string, Room> capacity_;
   // By queue, in core-seconds.
-  std::map<std::string, Mean> usual_work_;
+  std::map<std::string, Mean> work_by_queue_;
 };
 
 // Milliseconds since 1970 when the job was handed in or its occurrence was due to begin.
--- a/servers/pool/job_intake.cc
+++ b/servers/pool/job_intake.cc
@@ -9,7 +9,7 @@
 namespace turmericshift::pool {
 namespace {
 
-Error StoreAway() {
+Error StoreUnavailable() {
   return {ErrorKind::kLogUnavailable, Outcome::kNotRun, "the store does not answer"};
 }
 
@@ -18,8 +18,8 @@
 void JobIntake::Submit(const JobSpec& spec, std::optional<Time> append_sent, PoolPlanner* planner,
                        OnDone done, Time now, Replies* replies) {
   const bool joins = planner->Knows(spec.id);
-  if (!joins && Stuck(append_sent, now)) {
-    replies->push_back(Failed(std::move(done), StoreAway()));
+  if (!joins && StoreStalled(append_sent, now)) {
+    replies->push_back(Failed(std::move(done), StoreUnavailable()));
     return;
   }
   const Ticket ticket = planner->Submit(spec);
@@ -39,7 +39,8 @@
   if (!result.known) {
     // Without the store a successor may have taken the job in unheard of.
     const Error unknown(ErrorKind::kNotFound, Outcome::kNotRun, "no such job");
-    replies->push_back(Failed(std::move(done), planner->Confirmed(now) ? unknown : StoreAway()));
+    replies->push_back(
+        Failed(std::move(done), planner->Confirmed(now) ? unknown : StoreUnavailable()));
     return;
   }
   waiters_.push_back({"", result.ticket, now, std::move(done)});
@@ -53,8 +54,8 @@
     replies->push_back(Succeeded(std::move(waiter.done), Done{}));
     return true;
   });
-  if (!Stuck(append_sent, now)) return;
-  for (const std::string& id : LateSubmissions(now)) Withdraw(id, planner, now, replies);
+  if (!StoreStalled(append_sent, now)) return;
+  for (const std::string& id : TimedOutSubmissions(now)) Withdraw(id, planner, now, replies);
 }
 
 void JobIntake::End(Replies* replies) {
@@ -66,18 +67,18 @@
   waiters_.clear();
 }
 
-bool JobIntake::Stuck(std::optional<Time> append_sent, Time now) const {
-  return append_sent && now - *append_sent > stuck_after_;
+bool JobIntake::StoreStalled(std::optional<Time> append_sent, Time now) const {
+  return append_sent && now - *append_sent > stall_timeout_;
 }
 
-std::vector<std::string> JobIntake::LateSubmissions(Time now) const {
-  std::set<std::string> late;
+std::vector<std::string> JobIntake::TimedOutSubmissions(Time now) const {
+  std::set<std::string> timed_out;
   for (const Waiter& waiter : waiters_) {
-    if (!waiter.submitted.empty() && now - waiter.since > stuck_after_) {
-      late.insert(waiter.submitted);
+    if (!waiter.submitted.empty() && now - waiter.since > stall_timeout_) {
+      timed_out.insert(waiter.submitted);
     }
   }
-  return {late.begin(), late.end()};
+  return {timed_out.begin(), timed_out.end()};
 }
 
 void JobIntake::Withdraw(const std::string& id, PoolPlanner* planner, Time now, Replies* replies) {
@@ -88,7 +89,7 @@
     if (waiter.submitted != id) return false;
     ++callers;
     first = std::min(first, waiter.since);
-    replies->push_back(Failed(std::move(waiter.done), StoreAway()));
+    replies->push_back(Failed(std::move(waiter.done), StoreUnavailable()));
     return true;
   });
   LogEvent(LogLevel::kWarning, "submission_withdrawn",
--- a/servers/pool/job_intake.h
+++ b/servers/pool/job_intake.h
@@ -17,8 +17,8 @@
  public:
   using OnDone = std::function<void(Attempt<Done>)>;
 
-  // `stuck_after`: an append unanswered for this long means that the store does not answer.
-  explicit JobIntake(Duration stuck_after) : stuck_after_(stuck_after) {}
+  // `stall_timeout`: an append unanswered for this long means that the store does not answer.
+  explicit JobIntake(Duration stall_timeout) : stall_timeout_(stall_timeout) {}
 
   // `append_sent`: when the append that is on its way was first sent, if one is.
   void Submit(const JobSpec& spec, std::optional<Time> append_sent, PoolPlanner* planner,
@@ -40,14 +40,14 @@
     OnDone done;
   };
 
-  bool Stuck(std::optional<Time> append_sent, Time now) const;
+  bool StoreStalled(std::optional<Time> append_sent, Time now) const;
   // Jobs with a submission that has waited for too long, each once.
-  std::vector<std::string> LateSubmissions(Time now) const;
+  std::vector<std::string> TimedOutSubmissions(Time now) const;
   // Withdraws the job for all of its callers: whoever joined its record has nothing else to wait
   // for.
   void Withdraw(const std::string& id, PoolPlanner* planner, Time now, Replies* replies);
 
-  const Duration stuck_after_;
+  const Duration stall_timeout_;
   std::vector<Waiter> waiters_;
 };
 
--- a/servers/pool/job_intake_test.cc
+++ b/servers/pool/job_intake_test.cc
@@ -13,23 +13,23 @@
 
 using std::chrono::milliseconds;
 
-constexpr Duration kStuckAfter = milliseconds(700);
+constexpr Duration kStallTimeout = milliseconds(700);
 constexpr Duration kStep = milliseconds(50);
-constexpr Duration kBeat = milliseconds(250);
+constexpr Duration kHeartbeat = milliseconds(250);
 const Time kBegin = Time(std::chrono::hours(1));
 
 // A planner with its intake and a store of a few lines, in passed-in time.
-class IntakeBed {
+class IntakeFixture {
  public:
-  IntakeBed() { NewPlanner(); }
+  IntakeFixture() { NewPlanner(); }
 
   // What each try of a job was told, in the order of the answers.
   std::vector<Outcome> submitted(const std::string& id) const { return At(submitted_, id); }
   std::vector<Outcome> cancelled(const std::string& id) const { return At(cancelled_, id); }
   // What the store has of a job.
-  const StoredJob* Find(const std::string& id) const { return book_.Find(id); }
+  const StoredJob* Find(const std::string& id) const { return table_.Find(id); }
   // False once a job was called accepted that the store does not have.
-  bool truthful() const { return truthful_; }
+  bool answers_consistent() const { return answers_consistent_; }
 
   void Submit(const std::string& id) {
     JobSpec spec;
@@ -38,7 +38,7 @@
     Replies replies;
     const auto done = [this, id](const Attempt<Done>& attempt) {
       submitted_[id].push_back(OutcomeOf(attempt));
-      if (!attempt.error && Find(id) == nullptr) truthful_ = false;
+      if (!attempt.error && Find(id) == nullptr) answers_consistent_ = false;
     };
     intake_.Submit(spec, sent_, planner_.get(), done, now_, &replies);
     RunAll(replies);
@@ -60,8 +60,8 @@
 
   // The duty ends and another planner begins with what the store has. The append that is on its way
   // may come before the claim of the new one, or is refused.
-  void ReplacePlanner(bool append_lands) {
-    if (append_lands) Land();
+  void ReplacePlanner(bool append_applied) {
+    if (append_applied) ApplyAppend();
     Replies replies;
     intake_.End(&replies);
     RunAll(replies);
@@ -73,40 +73,40 @@
   }
 
  private:
-  using Told = std::map<std::string, std::vector<Outcome>>;
+  using OutcomesById = std::map<std::string, std::vector<Outcome>>;
 
-  static std::vector<Outcome> At(const Told& told, const std::string& id) {
-    const auto found = told.find(id);
-    return found == told.end() ? std::vector<Outcome>() : found->second;
+  static std::vector<Outcome> At(const OutcomesById& answers, const std::string& id) {
+    const auto found = answers.find(id);
+    return found == answers.end() ? std::vector<Outcome>() : found->second;
   }
   static Outcome OutcomeOf(const Attempt<Done>& attempt) {
     return attempt.error ? attempt.error->outcome() : Outcome::kRan;
   }
 
   void NewPlanner() {
-    planner_ = std::make_unique<PoolPlanner>(PlannerOptions(), ++epoch_, book_,
+    planner_ = std::make_unique<PoolPlanner>(PlannerOptions(), ++epoch_, table_,
                                              std::set<std::string>(), now_);
     planner_->Confirm(now_);
-    on_way_.clear();
+    in_flight_.clear();
     sent_.reset();
   }
 
   // The store carries the append out, once.
-  void Land() {
-    for (KeyedRecord& record : on_way_) {
+  void ApplyAppend() {
+    for (KeyedRecord& record : in_flight_) {
       record.offset = offset_++;
-      book_.Apply(record);
+      table_.Apply(record);
     }
-    on_way_.clear();
+    in_flight_.clear();
   }
 
   void Step() {
     now_ += kStep;
-    if (!sent_ && (!planner_->outbox().empty() || now_ - last_write_ >= kBeat)) {
-      on_way_ = planner_->outbox().Take();
+    if (!sent_ && (!planner_->outbox().empty() || now_ - last_write_ >= kHeartbeat)) {
+      in_flight_ = planner_->outbox().Take();
       sent_ = now_;
     }
-    if (sent_ && store_up_) Land();
+    if (sent_ && store_up_) ApplyAppend();
     if (sent_ && store_up_ && !answers_lost_) {
       planner_->outbox().MarkDurable();
       planner_->Confirm(now_);
@@ -120,140 +120,141 @@
     RunAll(replies);
   }
 
-  JobIntake intake_{kStuckAfter};
+  JobIntake intake_{kStallTimeout};
   std::unique_ptr<PoolPlanner> planner_;
-  JobTable book_;
+  JobTable table_;
   Offset offset_ = 0;
   int64_t epoch_ = 0;
   Time now_ = kBegin;
   Time last_write_{};
-  std::vector<KeyedRecord> on_way_;
+  std::vector<KeyedRecord> in_flight_;
   std::optional<Time> sent_;
   bool store_up_ = true;
   bool answers_lost_ = false;
-  Told submitted_;
-  Told cancelled_;
-  bool truthful_ = true;
+  OutcomesById submitted_;
+  OutcomesById cancelled_;
+  bool answers_consistent_ = true;
 };
 
 using Outcomes = std::vector<Outcome>;
 
 // An append is on its way and unanswered, so that what comes next stays in the outbox.
-void LoseStore(IntakeBed* bed) {
-  bed->SetStore(false, false);
-  bed->RunFor(kBeat + kStep);
+void LoseStore(IntakeFixture* fixture) {
+  fixture->SetStore(false, false);
+  fixture->RunFor(kHeartbeat + kStep);
 }
 
 // The second try of a withdrawn job must not be told that it is accepted when a later append is
 // kept.
 TEST(JobIntake, WithdrawsAJobForEachOfItsCallers) {
-  IntakeBed bed;
-  LoseStore(&bed);
-  bed.Submit("j");
-  bed.RunFor(milliseconds(300));
-  bed.Submit("j");
-  bed.RunFor(kStuckAfter);
-  EXPECT_EQ(bed.submitted("j"), (Outcomes{Outcome::kNotRun, Outcome::kNotRun}));
-  bed.SetStore(true, false);
-  bed.RunFor(kStuckAfter);
-  EXPECT_EQ(bed.Find("j"), nullptr);
+  IntakeFixture fixture;
+  LoseStore(&fixture);
+  fixture.Submit("j");
+  fixture.RunFor(milliseconds(300));
+  fixture.Submit("j");
+  fixture.RunFor(kStallTimeout);
+  EXPECT_EQ(fixture.submitted("j"), (Outcomes{Outcome::kNotRun, Outcome::kNotRun}));
+  fixture.SetStore(true, false);
+  fixture.RunFor(kStallTimeout);
+  EXPECT_EQ(fixture.Find("j"), nullptr);
 }
 
 // A try that joins in the moment of the withdrawal must not wait for a record that is gone.
 TEST(JobIntake, LeavesNoCallerOfAWithdrawnJobWaiting) {
-  IntakeBed bed;
-  LoseStore(&bed);
-  bed.Submit("j");
-  bed.RunFor(kStuckAfter - kStep);
-  bed.Submit("j");
-  bed.Submit("other");
-  bed.RunFor(2 * kStep);
-  EXPECT_EQ(bed.submitted("j"), (Outcomes{Outcome::kNotRun, Outcome::kNotRun}));
+  IntakeFixture fixture;
+  LoseStore(&fixture);
+  fixture.Submit("j");
+  fixture.RunFor(kStallTimeout - kStep);
+  fixture.Submit("j");
+  fixture.Submit("other");
+  fixture.RunFor(2 * kStep);
+  EXPECT_EQ(fixture.submitted("j"), (Outcomes{Outcome::kNotRun, Outcome::kNotRun}));
 }
 
 // The store is back before anybody has waited too long: both tries are accepted.
 TEST(JobIntake, AcceptsEachTryOfAJobThatIsKept) {
-  IntakeBed bed;
-  LoseStore(&bed);
-  bed.Submit("j");
-  bed.Submit("j");
-  bed.SetStore(true, false);
-  bed.RunFor(2 * kStep);
-  EXPECT_EQ(bed.submitted("j"), (Outcomes{Outcome::kRan, Outcome::kRan}));
+  IntakeFixture fixture;
+  LoseStore(&fixture);
+  fixture.Submit("j");
+  fixture.Submit("j");
+  fixture.SetStore(true, false);
+  fixture.RunFor(2 * kStep);
+  EXPECT_EQ(fixture.submitted("j"), (Outcomes{Outcome::kRan, Outcome::kRan}));
 }
 
 // A record that has left may be kept at any time, so that nobody is told "not run".
 TEST(JobIntake, LetsCallersWaitForARecordThatHasLeft) {
-  IntakeBed bed;
-  bed.SetStore(true, true);
-  bed.Submit("j");
-  bed.RunFor(kStep);
-  bed.Submit("j");
-  bed.RunFor(4 * kStuckAfter);
-  EXPECT_EQ(bed.submitted("j"), Outcomes());
-  bed.SetStore(true, false);
-  bed.RunFor(2 * kStep);
-  EXPECT_EQ(bed.submitted("j"), (Outcomes{Outcome::kRan, Outcome::kRan}));
+  IntakeFixture fixture;
+  fixture.SetStore(true, true);
+  fixture.Submit("j");
+  fixture.RunFor(kStep);
+  fixture.Submit("j");
+  fixture.RunFor(4 * kStallTimeout);
+  EXPECT_EQ(fixture.submitted("j"), Outcomes());
+  fixture.SetStore(true, false);
+  fixture.RunFor(2 * kStep);
+  EXPECT_EQ(fixture.submitted("j"), (Outcomes{Outcome::kRan, Outcome::kRan}));
 }
 
 // A job that is stored must be called accepted at once, also while the store is away and a later
 // record of the job waits for it.
 TEST(JobIntake, AcceptsARepeatOfAStoredJobWhileTheStoreIsAway) {
-  IntakeBed bed;
-  bed.Submit("j");
-  bed.RunFor(2 * kStep);
-  LoseStore(&bed);
-  bed.Cancel("j");
-  bed.Submit("j");
-  bed.RunFor(kStep);
-  EXPECT_EQ(bed.submitted("j"), (Outcomes{Outcome::kRan, Outcome::kRan}));
-  EXPECT_EQ(bed.cancelled("j"), Outcomes());
+  IntakeFixture fixture;
+  fixture.Submit("j");
+  fixture.RunFor(2 * kStep);
+  LoseStore(&fixture);
+  fixture.Cancel("j");
+  fixture.Submit("j");
+  fixture.RunFor(kStep);
+  EXPECT_EQ(fixture.submitted("j"), (Outcomes{Outcome::kRan, Outcome::kRan}));
+  EXPECT_EQ(fixture.cancelled("j"), Outcomes());
 }
 
 // A third try after the withdrawal is refused at once while the store is away, and taken in anew
 // once it is back.
 TEST(JobIntake, TakesAWithdrawnJobInAnew) {
-  IntakeBed bed;
-  LoseStore(&bed);
-  bed.Submit("j");
-  bed.Submit("j");
-  bed.RunFor(2 * kStuckAfter);
-  bed.Submit("j");
-  EXPECT_EQ(bed.submitted("j"), (Outcomes{Outcome::kNotRun, Outcome::kNotRun, Outcome::kNotRun}));
-  bed.SetStore(true, false);
-  bed.RunFor(2 * kStep);
-  bed.Submit("j");
-  bed.RunFor(2 * kStep);
-  EXPECT_EQ(bed.submitted("j").back(), Outcome::kRan);
+  IntakeFixture fixture;
+  LoseStore(&fixture);
+  fixture.Submit("j");
+  fixture.Submit("j");
+  fixture.RunFor(2 * kStallTimeout);
+  fixture.Submit("j");
+  EXPECT_EQ(fixture.submitted("j"),
+            (Outcomes{Outcome::kNotRun, Outcome::kNotRun, Outcome::kNotRun}));
+  fixture.SetStore(true, false);
+  fixture.RunFor(2 * kStep);
+  fixture.Submit("j");
+  fixture.RunFor(2 * kStep);
+  EXPECT_EQ(fixture.submitted("j").back(), Outcome::kRan);
 }
 
 // The duty ends while two tries wait: neither may take a later planner's record for its own.
 TEST(JobIntake, TellsEachTryNothingSureWhenTheDutyEnds) {
-  IntakeBed bed;
-  LoseStore(&bed);
-  bed.Submit("j");
-  bed.Submit("j");
-  bed.ReplacePlanner(false);
-  bed.SetStore(true, false);
-  bed.RunFor(kStuckAfter);
-  EXPECT_EQ(bed.submitted("j"), (Outcomes{Outcome::kUnknown, Outcome::kUnknown}));
+  IntakeFixture fixture;
+  LoseStore(&fixture);
+  fixture.Submit("j");
+  fixture.Submit("j");
+  fixture.ReplacePlanner(false);
+  fixture.SetStore(true, false);
+  fixture.RunFor(kStallTimeout);
+  EXPECT_EQ(fixture.submitted("j"), (Outcomes{Outcome::kUnknown, Outcome::kUnknown}));
 }
 
 // A cancellation that was acknowledged must hold for later tries of the job, although its first try
 // was never accepted.
 TEST(JobIntake, KeepsACancellationOfAJobThatIsNotStoredYet) {
-  IntakeBed bed;
-  LoseStore(&bed);
-  bed.Submit("j");
-  bed.Cancel("j");
-  bed.RunFor(2 * kStuckAfter);
-  bed.SetStore(true, false);
-  bed.RunFor(2 * kStep);
-  bed.Submit("j");
-  bed.RunFor(2 * kStep);
-  EXPECT_EQ(bed.cancelled("j"), Outcomes{Outcome::kRan});
-  ASSERT_NE(bed.Find("j"), nullptr);
-  EXPECT_EQ(bed.Find("j")->progress.state, JobState::kCancelled);
+  IntakeFixture fixture;
+  LoseStore(&fixture);
+  fixture.Submit("j");
+  fixture.Cancel("j");
+  fixture.RunFor(2 * kStallTimeout);
+  fixture.SetStore(true, false);
+  fixture.RunFor(2 * kStep);
+  fixture.Submit("j");
+  fixture.RunFor(2 * kStep);
+  EXPECT_EQ(fixture.cancelled("j"), Outcomes{Outcome::kRan});
+  ASSERT_NE(fixture.Find("j"), nullptr);
+  EXPECT_EQ(fixture.Find("j")->progress.state, JobState::kCancelled);
 }
 
 // Random histories of callers who repeat and cancel, a store that comes and goes, and planners that
@@ -266,52 +267,52 @@
   void Act() {
     switch (Below(10)) {
       case 0:
-        return bed_.SetStore(false, false);
+        return fixture_.SetStore(false, false);
       case 1:
-        return bed_.SetStore(true, true);
+        return fixture_.SetStore(true, true);
       case 2:
       case 3:
-        return bed_.SetStore(true, false);
+        return fixture_.SetStore(true, false);
       case 4:
-        if (Below(4) == 0) bed_.ReplacePlanner(Below(2) == 0);
+        if (Below(4) == 0) fixture_.ReplacePlanner(Below(2) == 0);
         return;
       case 5:
-        return bed_.Cancel(AnyJob());
+        return fixture_.Cancel(AnyJob());
       default:
-        return bed_.Submit(AnyJob());
+        return fixture_.Submit(AnyJob());
     }
   }
 
-  void Play() {
+  void RunHistory() {
     for (int step = 0; step < kSteps; ++step) {
       Act();
-      bed_.RunFor(milliseconds(Below(400)));
+      fixture_.RunFor(milliseconds(Below(400)));
     }
-    bed_.SetStore(true, false);
-    bed_.RunFor(2 * kStuckAfter);
+    fixture_.SetStore(true, false);
+    fixture_.RunFor(2 * kStallTimeout);
   }
 
   static constexpr int kJobs = 12;
   static constexpr int kSteps = 60;
   std::mt19937 random_{GetParam()};
-  IntakeBed bed_;
+  IntakeFixture fixture_;
 };
 
 // No accepted job is ever missing from the store, none that was refused each time is in it, and
 // none runs whose cancellation was acknowledged.
 TEST_P(IntakeHistory, TellsTheTruth) {
-  Play();
-  EXPECT_TRUE(bed_.truthful()) << "seed " << GetParam();
+  RunHistory();
+  EXPECT_TRUE(fixture_.answers_consistent()) << "seed " << GetParam();
   for (int number = 0; number < kJobs; ++number) {
     const std::string id = "j" + std::to_string(number);
-    const Outcomes told = bed_.submitted(id);
-    const bool refused = std::all_of(told.begin(), told.end(),
+    const Outcomes answers = fixture_.submitted(id);
+    const bool refused = std::all_of(answers.begin(), answers.end(),
                                      [](Outcome outcome) { return outcome == Outcome::kNotRun; });
-    EXPECT_FALSE(refused && bed_.Find(id) != nullptr) << id << ", seed " << GetParam();
-    const Outcomes cancelled = bed_.cancelled(id);
+    EXPECT_FALSE(refused && fixture_.Find(id) != nullptr) << id << ", seed " << GetParam();
+    const Outcomes cancelled = fixture_.cancelled(id);
     if (std::count(cancelled.begin(), cancelled.end(), Outcome::kRan) == 0) continue;
-    ASSERT_NE(bed_.Find(id), nullptr) << id << ", seed " << GetParam();
-    EXPECT_TRUE(IsOver(bed_.Find(id)->progress.state)) << id << ", seed " << GetParam();
+    ASSERT_NE(fixture_.Find(id), nullptr) << id << ", seed " << GetParam();
+    EXPECT_TRUE(IsOver(fixture_.Find(id)->progress.state)) << id << ", seed " << GetParam();
   }
 }
 
--- a/servers/pool/job_table.cc
+++ b/servers/pool/job_table.cc
@@ -1,11 +1,11 @@
+#include "servers/pool/job_table.h"
+
 #include <algorithm>
 #include <utility>
 
-#include "servers/pool/job_table.h"
-
 namespace turmericshift::pool {
 
-bool JobTable::IsNews(const KeyedRecord& record) {
+bool JobTable::RecordIfNewer(const KeyedRecord& record) {
   const auto known = offsets_.find(record.key);
   if (known != offsets_.end() && known->second >= record.offset) return false;
   // A dropped key needs no memory: its records lie before this offset and are read in order.
@@ -18,10 +18,10 @@
 }
 
 void JobTable::Apply(const KeyedRecord& record) {
-  newest_beat_ = std::max(newest_beat_, record.offset);
+  newest_offset_ = std::max(newest_offset_, record.offset);
   if (record.key == kHeartbeatKey) return;
   const Offset before = offsets_.count(record.key) > 0 ? offsets_[record.key] : kNoOffset;
-  if (!IsNews(record)) return;
+  if (!RecordIfNewer(record)) return;
   try {
     if (record.key == kPlannerKey) {
       planner_ = record.value.empty() ? PlannerRecord{} : DecodePlanner(record.value);
@@ -44,21 +44,21 @@
   JobSpec spec = DecodeSpec(id, record.value);
   StoredJob& entry = jobs_[id];
   entry.spec = std::move(spec);
-  const auto waiting = early_.find(id);
-  if (waiting == early_.end()) return;
-  entry.progress = std::move(waiting->second);
-  early_.erase(waiting);
+  const auto orphan = orphaned_progress_.find(id);
+  if (orphan == orphaned_progress_.end()) return;
+  entry.progress = std::move(orphan->second);
+  orphaned_progress_.erase(orphan);
 }
 
 void JobTable::ApplyProgress(const std::string& id, const KeyedRecord& record) {
   if (record.value.empty()) {
-    early_.erase(id);
+    orphaned_progress_.erase(id);
     return;
   }
   JobProgress progress = DecodeProgress(record.value);
   const auto found = jobs_.find(id);
   if (found == jobs_.end()) {
-    early_[id] = std::move(progress);
+    orphaned_progress_[id] = std::move(progress);
     return;
   }
   found->second.progress = std::move(progress);
--- a/servers/pool/job_table.h
+++ b/servers/pool/job_table.h
@@ -27,22 +27,22 @@
   const StoredJob* Find(const std::string& id) const;
   const PlannerRecord& planner() const { return planner_; }
   // Offset of the newest sign of life of the planner.
-  Offset newest_beat() const { return newest_beat_; }
+  Offset newest_offset() const { return newest_offset_; }
   // Jobs of the queue that wait with nothing started, as far as the records tell.
   int Waiting(const std::string& queue) const;
 
  private:
   // Whether `record` is newer than what was taken in of its key; notes its offset if so.
-  bool IsNews(const KeyedRecord& record);
+  bool RecordIfNewer(const KeyedRecord& record);
   void ApplySpec(const std::string& id, const KeyedRecord& record);
   void ApplyProgress(const std::string& id, const KeyedRecord& record);
 
   std::map<std::string, StoredJob> jobs_;
   // Progress whose job has not been read yet: pages come in the order of keys.
-  std::map<std::string, JobProgress> early_;
+  std::map<std::string, JobProgress> orphaned_progress_;
   std::map<std::string, Offset> offsets_;
   PlannerRecord planner_;
-  Offset newest_beat_ = kNoOffset;
+  Offset newest_offset_ = kNoOffset;
 };
 
 }  // namespace turmericshift::pool
--- a/servers/pool/job_table_test.cc
+++ b/servers/pool/job_table_test.cc
@@ -1,7 +1,8 @@
+#include "servers/pool/job_table.h"
+
 #include <gtest/gtest.h>
 
 #include "core/error.h"
-#include "servers/pool/job_table.h"
 #include "tests/stand_ins/pool_bed.h"
 
 namespace turmericshift::pool {
@@ -54,34 +55,34 @@
 }
 
 TEST(JobTable, TakesProgressThatComesBeforeItsJob) {
-  JobTable book;
+  JobTable table;
   JobProgress progress;
   progress.state = JobState::kCompleted;
-  book.Apply({"p/x", EncodeProgress(progress), 7});
-  book.Apply({"j/x", EncodeSpec(FullJob()), 6});
-  ASSERT_NE(book.Find("x"), nullptr);
-  EXPECT_EQ(book.Find("x")->progress.state, JobState::kCompleted);
+  table.Apply({"p/x", EncodeProgress(progress), 7});
+  table.Apply({"j/x", EncodeSpec(FullJob()), 6});
+  ASSERT_NE(table.Find("x"), nullptr);
+  EXPECT_EQ(table.Find("x")->progress.state, JobState::kCompleted);
 }
 
 // Pages of the newest records overlap with the history that is read after them. An older record
 // that is read later must not bring a finished job back to life.
 TEST(JobTable, IgnoresRecordsOlderThanWhatItHas) {
-  JobTable book;
+  JobTable table;
   JobProgress progress;
-  book.Apply({"j/x", EncodeSpec(FullJob()), 1});
+  table.Apply({"j/x", EncodeSpec(FullJob()), 1});
   progress.state = JobState::kCompleted;
-  book.Apply({"p/x", EncodeProgress(progress), 9});
+  table.Apply({"p/x", EncodeProgress(progress), 9});
   progress.state = JobState::kRunning;
-  book.Apply({"p/x", EncodeProgress(progress), 5});
-  EXPECT_EQ(book.Find("x")->progress.state, JobState::kCompleted);
+  table.Apply({"p/x", EncodeProgress(progress), 5});
+  EXPECT_EQ(table.Find("x")->progress.state, JobState::kCompleted);
 }
 
 TEST(JobTable, ForgetsADroppedJob) {
-  JobTable book;
-  book.Apply({"j/x", EncodeSpec(FullJob()), 1});
-  book.Apply({"j/x", "", 2});
-  book.Apply({"p/x", "", 3});
-  EXPECT_EQ(book.Find("x"), nullptr);
+  JobTable table;
+  table.Apply({"j/x", EncodeSpec(FullJob()), 1});
+  table.Apply({"j/x", "", 2});
+  table.Apply({"p/x", "", 3});
+  EXPECT_EQ(table.Find("x"), nullptr);
 }
 
 }  // namespace
--- a/servers/pool/job_value.h
+++ b/servers/pool/job_value.h
@@ -39,7 +39,7 @@
 double CoreEquivalent(const Room& room);
 
 // Worth of a job in time, in core-seconds of others' work that it makes up for. `work`: its own, in
-// core-seconds; `usual_work`: what jobs of its queue have on the average.
-double ValueOnTime(int priority, double work, double usual_work);
+// core-seconds; `mean_work`: what jobs of its queue have on the average.
+double ValueOnTime(int priority, double work, double mean_work);
 
 }  // namespace turmericshift::pool
--- a/servers/pool/order_sender.cc
+++ b/servers/pool/order_sender.cc
@@ -4,30 +4,30 @@
 namespace {
 
 // With one order in twenty unanswered, one in eight thousand still is after so many tries.
-constexpr int kTries = 3;
+constexpr int kMaxAttempts = 3;
 
 template <typename Send>
 OrderAnswer SendUntilAnswered(Send&& send) {
-  for (int tries = 1; tries <= kTries; ++tries) {
+  for (int attempt = 1; attempt <= kMaxAttempts; ++attempt) {
     const OrderAnswer answer = send();
     if (answer == OrderAnswer::kUnanswered) continue;
     // Only the first try's refusal proves that nothing was done.
-    return tries == 1 || answer == OrderAnswer::kTaken ? answer : OrderAnswer::kUnanswered;
+    return attempt == 1 || answer == OrderAnswer::kTaken ? answer : OrderAnswer::kUnanswered;
   }
   return OrderAnswer::kUnanswered;
 }
 
 }  // namespace
 
-OrderSender::OrderSender(PoolWorker* worker, Duration try_timeout)
-    : worker_(worker), try_timeout_(try_timeout) {}
+OrderSender::OrderSender(PoolWorker* worker, Duration attempt_timeout)
+    : worker_(worker), attempt_timeout_(attempt_timeout) {}
 
 OrderAnswer OrderSender::Start(const StartCall& call) const {
-  return SendUntilAnswered([&] { return worker_->Start(call, try_timeout_); });
+  return SendUntilAnswered([&] { return worker_->Start(call, attempt_timeout_); });
 }
 
 OrderAnswer OrderSender::Stop(const std::string& worker_id, const RunId& run, int64_t fence) const {
-  return SendUntilAnswered([&] { return worker_->Stop(worker_id, run, fence, try_timeout_); });
+  return SendUntilAnswered([&] { return worker_->Stop(worker_id, run, fence, attempt_timeout_); });
 }
 
 }  // namespace turmericshift::pool
--- a/servers/pool/order_sender.h
+++ b/servers/pool/order_sender.h
@@ -11,8 +11,8 @@
 
 class OrderSender {
  public:
-  // `worker` must outlive the sender. One try is waited for during `try_timeout`.
-  OrderSender(PoolWorker* worker, Duration try_timeout);
+  // `worker` must outlive the sender. One try is waited for during `attempt_timeout`.
+  OrderSender(PoolWorker* worker, Duration attempt_timeout);
 
   // kUnanswered also when a later try was refused: the first one may have been carried out, or may
   // still be.
@@ -21,7 +21,7 @@
 
  private:
   PoolWorker* const worker_;
-  const Duration try_timeout_;
+  const Duration attempt_timeout_;
 };
 
 }  // namespace turmericshift::pool
--- a/servers/pool/outbox.cc
+++ b/servers/pool/outbox.cc
@@ -12,8 +12,9 @@
 
 Ticket Outbox::Put(const std::string& key, const std::string& value) {
   const Ticket ticket = next_++;
-  const auto earlier = std::find_if(waiting_.begin(), waiting_.end(),
-                                    [&](const Waiting& each) { return each.record.key == key; });
+  const auto earlier =
+      std::find_if(waiting_.begin(), waiting_.end(),
+                   [&](const PendingRecord& each) { return each.record.key == key; });
   if (earlier == waiting_.end()) {
     waiting_.push_back({{key, value, kNoOffset}, ticket});
   } else {
@@ -24,7 +25,8 @@
 }
 
 bool Outbox::Withdraw(const std::string& key) {
-  return std::erase_if(waiting_, [&](const Waiting& each) { return each.record.key == key; }) > 0;
+  return std::erase_if(waiting_,
+                       [&](const PendingRecord& each) { return each.record.key == key; }) > 0;
 }
 
 std::vector<KeyedRecord> Outbox::Take() {
@@ -33,14 +35,14 @@
   auto last = waiting_.begin();
   for (; last != waiting_.end(); ++last) {
     bytes += last->record.key.size() + last->record.value.size() + kRecordOverhead;
-    if (!records.empty() && bytes > most_bytes_) break;
+    if (!records.empty() && bytes > max_bytes_) break;
     records.push_back(last->record);
   }
   waiting_.erase(waiting_.begin(), last);
-  on_way_ = waiting_.empty() ? next_ - 1 : waiting_.front().ticket - 1;
+  in_flight_ = waiting_.empty() ? next_ - 1 : waiting_.front().ticket - 1;
   return records;
 }
 
-void Outbox::MarkDurable() { kept_ = std::max(kept_, on_way_); }
+void Outbox::MarkDurable() { durable_ = std::max(durable_, in_flight_); }
 
 }  // namespace turmericshift::pool
--- a/servers/pool/outbox.h
+++ b/servers/pool/outbox.h
@@ -16,8 +16,8 @@
 
 class Outbox {
  public:
-  // `most_bytes`: what one append may carry; a setting of the platform.
-  explicit Outbox(size_t most_bytes) : most_bytes_(most_bytes) {}
+  // `max_bytes`: what one append may carry; a setting of the platform.
+  explicit Outbox(size_t max_bytes) : max_bytes_(max_bytes) {}
 
   // A later record of the same key that is not on its way yet replaces the earlier one.
   Ticket Put(const std::string& key, const std::string& value);
@@ -32,19 +32,19 @@
   bool empty() const { return waiting_.empty(); }
   size_t waiting() const { return waiting_.size(); }
   Ticket newest() const { return next_ - 1; }
-  Ticket durable() const { return kept_; }
+  Ticket durable() const { return durable_; }
 
  private:
-  struct Waiting {
+  struct PendingRecord {
     KeyedRecord record;
     Ticket ticket = 0;
   };
 
-  const size_t most_bytes_;
-  std::vector<Waiting> waiting_;
+  const size_t max_bytes_;
+  std::vector<PendingRecord> waiting_;
   Ticket next_ = 1;
-  Ticket on_way_ = 0;
-  Ticket kept_ = 0;
+  Ticket in_flight_ = 0;
+  Ticket durable_ = 0;
 };
 
 }  // namespace turmericshift::pool
--- a/servers/pool/planning_capacity.cc
+++ b/servers/pool/planning_capacity.cc
@@ -7,7 +7,7 @@
 
 // What an agent costs its planner: polls, reports, orders and its share of the rounds, with as much
 // again for the moments at which all of them come at once.
-constexpr double kProcessorPerAgent = 0.0016;
+constexpr double kCoresPerAgent = 0.0016;
 constexpr double kLinkMbitPerAgent = 0.06;
 
 int Capacity(double resource, double per_agent) {
@@ -17,7 +17,7 @@
 }  // namespace
 
 int PlanningCapacity(const VmResources& vm) {
-  return std::min(Capacity(vm.processor_share * vm.processor_speed, kProcessorPerAgent),
+  return std::min(Capacity(vm.processor_share * vm.processor_speed, kCoresPerAgent),
                   Capacity(vm.link_mbit_s, kLinkMbitPerAgent));
 }
 
--- a/servers/pool/pool_bounds_test.cc
+++ b/servers/pool/pool_bounds_test.cc
@@ -13,11 +13,11 @@
 
 using std::chrono::milliseconds;
 
-constexpr int kDraws = 2000;
+constexpr int kRounds = 2000;
 
-class BoundsDraw {
+class BoundsGenerator {
  public:
-  explicit BoundsDraw(unsigned seed) : random_(seed) {}
+  explicit BoundsGenerator(unsigned seed) : random_(seed) {}
 
   PoolBounds Next() {
     PoolBounds bounds;
@@ -43,9 +43,9 @@
 // Another deployment lays down other bounds. Limits that stayed as they were for the first would
 // start tasks of cancelled jobs, or in zones that are out, or leave gangs waiting for a member.
 TEST(PoolBounds, AreKeptByTheLimitsWhateverTheyAre) {
-  BoundsDraw draw(1);
-  for (int i = 0; i < kDraws; ++i) {
-    const PoolBounds bounds = draw.Next();
+  BoundsGenerator generator(1);
+  for (int i = 0; i < kRounds; ++i) {
+    const PoolBounds bounds = generator.Next();
     const PlannerOptions options = PlannerOptionsFor(bounds);
     EXPECT_LT(options.lease, bounds.longest_lease);
     EXPECT_LT(options.confirm_limit + options.start_window, bounds.cancel);
@@ -56,19 +56,19 @@
     EXPECT_LT(options.owed_stray_after, bounds.reclaim);
     EXPECT_LT(options.owed_patience, bounds.reclaim);
     EXPECT_GT(options.reservation_limit, bounds.stop);
-    JobApiOptions front;
-    ApplyBounds(bounds, &front);
-    EXPECT_LT(front.key_limit, bounds.key_withdrawn);
-    EXPECT_LT(front.view_limit, bounds.visible);
+    JobApiOptions api;
+    ApplyBounds(bounds, &api);
+    EXPECT_LT(api.key_age_limit, bounds.key_withdrawn);
+    EXPECT_LT(api.view_age_limit, bounds.visible);
   }
 }
 
 // Room that others use must be theirs who are owed it within the bound: what is waited for first,
 // a stop and a start have to fit.
 TEST(PoolBounds, LeaveTimeToReclaimWhereItCanBeDone) {
-  BoundsDraw draw(2);
-  for (int i = 0; i < kDraws; ++i) {
-    const PoolBounds bounds = draw.Next();
+  BoundsGenerator generator(2);
+  for (int i = 0; i < kRounds; ++i) {
+    const PoolBounds bounds = generator.Next();
     const PlannerOptions options = PlannerOptionsFor(bounds);
     const Duration stop_and_start = bounds.stop + milliseconds(200);
     if (!UnattainableBounds(bounds).empty()) {
@@ -94,8 +94,8 @@
   EXPECT_THROW(PlannerOptionsFor(bounds), Error);
   bounds = PoolBounds();
   bounds.key_withdrawn = milliseconds(1000);
-  JobApiOptions front;
-  EXPECT_THROW(ApplyBounds(bounds, &front), Error);
+  JobApiOptions api;
+  EXPECT_THROW(ApplyBounds(bounds, &api), Error);
 }
 
 TEST(PoolBounds, TellOfAGuaranteeThatComesTooLate) {
--- a/servers/pool/urgent_reserve.cc
+++ b/servers/pool/urgent_reserve.cc
@@ -10,12 +10,12 @@
 
 // At most this share of the pool is kept free: others would hardly be served at all else, and a
 // pool that stands idle beside work that waits has forgotten it.
-constexpr double kMostKept = 0.4;
+constexpr double kMaxReservedShare = 0.4;
 // The highest demand seen counts half after this.
 constexpr Duration kHalfLife = std::chrono::seconds(60);
 // A job can wait if beginning so much later costs less than this share of its worth.
-constexpr Duration kWait = std::chrono::seconds(5);
-constexpr double kLittleWorth = 0.05;
+constexpr Duration kAcceptableWait = std::chrono::seconds(5);
+constexpr double kNegligibleLoss = 0.05;
 
 double ShareOf(int64_t part, int64_t total) {
   return total > 0 ? static_cast<double>(part) / static_cast<double>(total) : 0.0;
@@ -41,15 +41,17 @@
 int UrgentReserve::TasksOutsideReserve(const PoolRoom& pool, const Room& need, int tasks,
                                        Time now) const {
   // Room that is short of either is of no use to those for whom it is kept.
-  const double kept = std::min(Peak(now), kMostKept);
-  Room spare = pool.free;
-  spare -= {Part(pool.total.processor_millis, kept), 0, Part(pool.total.accelerators, kept)};
-  return FitCount(spare, need, tasks);
+  const double reserved = std::min(Peak(now), kMaxReservedShare);
+  Room available = pool.free;
+  available -=
+      {Part(pool.total.processor_millis, reserved), 0, Part(pool.total.accelerators, reserved)};
+  return FitCount(available, need, tasks);
 }
 
 bool CanWait(const JobTiming& timing) {
-  return ExpectedValueShare(timing, Duration::zero()) - ExpectedValueShare(timing, kWait) <
-         kLittleWorth;
+  return ExpectedValueShare(timing, Duration::zero()) -
+             ExpectedValueShare(timing, kAcceptableWait) <
+         kNegligibleLoss;
 }
 
 }  // namespace turmericshift::pool
--- a/servers/pool/worker_health_tracker.h
+++ b/servers/pool/worker_health_tracker.h
@@ -32,19 +32,19 @@
     std::string job;
     Time at{};
   };
-  struct Sheet {
+  struct WorkerHistory {
     std::deque<Failure> failures;
-    Time aside_until{};
-    int times_aside = 0;
+    Time quarantined_until{};
+    int quarantine_count = 0;
   };
 
   // Jobs that failed lately at this worker and have not failed elsewhere.
-  int BlamedJobs(const std::string& worker, const Sheet& sheet, Time now) const;
-  void Judge(const std::string& worker, Time now);
+  int CountBlamedJobs(const std::string& worker, const WorkerHistory& history, Time now) const;
+  void Evaluate(const std::string& worker, Time now);
   // Until then at least.
-  void KeepAside(const std::string& worker, Time until);
+  void QuarantineUntil(const std::string& worker, Time until);
 
-  std::map<std::string, Sheet> sheets_;
+  std::map<std::string, WorkerHistory> histories_;
 };
 
 }  // namespace turmericshift::pool
--- a/servers/pool/worker_state.cc
+++ b/servers/pool/worker_state.cc
@@ -5,7 +5,7 @@
 
 // An agent that has not reported for so long gets no new work: it polls each second, so that two
 // polls were lost.
-constexpr Duration kSilence = std::chrono::milliseconds(2200);
+constexpr Duration kReportTimeout = std::chrono::milliseconds(2200);
 
 }  // namespace
 
@@ -20,7 +20,7 @@
 
 bool WorkerState::usable(Time now) const {
   return known && !facts.id.empty() && facts.reachable && !facts.draining &&
-         now - last_report < kSilence;
+         now - last_report < kReportTimeout;
 }
 
 }  // namespace turmericshift::pool
