--- a/servers/pool/job_intake.cc
+++ b/servers/pool/job_intake.cc
@@ -10,7 +10,7 @@
 namespace {
 
 Error StoreUnavailable() {
-  return {ErrorKind::kLogUnavailable, Outcome::kNotRun, "the store does not answer"};
+  return {ErrorKind::kLogUnavailable, Outcome::kNotRun, "the store is not responding"};
 }
 
 }  // namespace
@@ -37,7 +37,8 @@
                        Time now, Replies* replies) {
   const CancelResult result = planner->Cancel(id, wall_ms);
   if (!result.known) {
-    // Without the store a successor may have taken the job in unheard of.
+    // While the store is unresponsive, a successor may have accepted the job unknown to this
+    // planner.
     const Error unknown(ErrorKind::kNotFound, Outcome::kNotRun, "no such job");
     replies->push_back(
         Failed(std::move(done), planner->Confirmed(now) ? unknown : StoreUnavailable()));
@@ -62,7 +63,7 @@
   for (Waiter& waiter : waiters_) {
     replies->push_back(Failed(std::move(waiter.done),
                               Error(ErrorKind::kConnectionLost, Outcome::kUnknown,
-                                    "the planner's duty ended before the record was kept")));
+                                    "the planner stepped down before the record was durable")));
   }
   waiters_.clear();
 }
--- a/servers/pool/job_intake.h
+++ b/servers/pool/job_intake.h
@@ -1,5 +1,6 @@
-// Takes jobs and cancellations in for a planner, and tells each caller what became of its own call.
-// Plain decisions with the time passed in; PlannerService has the threads and the store.
+// Accepts submissions and cancellations for the planner, and answers each caller once the outcome
+// of its own call is known. It has neither threads nor store: the time is passed in, and
+// PlannerService owns both.
 #pragma once
 
 #include <functional>
@@ -17,23 +18,26 @@
  public:
   using OnDone = std::function<void(Attempt<Done>)>;
 
-  // `stall_timeout`: an append unanswered for this long means that the store does not answer.
+  // `stall_timeout`: the store is considered unresponsive once an append has been unanswered for
+  // this long.
   explicit JobIntake(Duration stall_timeout) : stall_timeout_(stall_timeout) {}
 
-  // `append_sent`: when the append that is on its way was first sent, if one is.
+  // `append_sent`: when the append in flight was first sent; empty if none is in flight.
   void Submit(const JobSpec& spec, std::optional<Time> append_sent, PoolPlanner* planner,
               OnDone done, Time now, Replies* replies);
   void Cancel(const std::string& id, int64_t wall_ms, PoolPlanner* planner, OnDone done, Time now,
               Replies* replies);
-  // Answers the callers whose records are kept. While the store does not answer, withdraws the jobs
-  // whose callers have waited too long and whose records have not left.
+  // Answers the callers whose records are durable. While the store is unresponsive, withdraws the
+  // jobs whose callers have waited longer than the stall timeout and whose records have not been
+  // sent.
   void Answer(std::optional<Time> append_sent, PoolPlanner* planner, Time now, Replies* replies);
-  // The planner plans no more: what its callers wait for may be kept or not.
+  // This process stops being the active planner: all waiting callers get outcome kUnknown, since
+  // their records may become durable or not.
   void End(Replies* replies);
 
  private:
   struct Waiter {
-    // The job whose submission waits; empty for a cancellation.
+    // Id of the job that the caller submitted; empty for a cancellation.
     std::string submitted;
     Ticket ticket = 0;
     Time since{};
@@ -41,10 +45,11 @@
   };
 
   bool StoreStalled(std::optional<Time> append_sent, Time now) const;
-  // Jobs with a submission that has waited for too long, each once.
+  // Ids of the jobs with a submission that has waited longer than the stall timeout, without
+  // duplicates.
   std::vector<std::string> TimedOutSubmissions(Time now) const;
-  // Withdraws the job for all of its callers: whoever joined its record has nothing else to wait
-  // for.
+  // Withdraws the job and answers all its callers: callers that joined the same record would
+  // otherwise wait forever.
   void Withdraw(const std::string& id, PoolPlanner* planner, Time now, Replies* replies);
 
   const Duration stall_timeout_;
--- a/servers/pool/job_intake_test.cc
+++ b/servers/pool/job_intake_test.cc
@@ -18,17 +18,17 @@
 constexpr Duration kHeartbeat = milliseconds(250);
 const Time kBegin = Time(std::chrono::hours(1));
 
-// A planner with its intake and a store of a few lines, in passed-in time.
+// A planner with its intake and a simulated store, driven by a simulated clock.
 class IntakeFixture {
  public:
   IntakeFixture() { NewPlanner(); }
 
-  // What each try of a job was told, in the order of the answers.
+  // Outcomes of the submissions of a job, in the order of the answers.
   std::vector<Outcome> submitted(const std::string& id) const { return At(submitted_, id); }
   std::vector<Outcome> cancelled(const std::string& id) const { return At(cancelled_, id); }
-  // What the store has of a job.
+  // The stored job; null if there is none.
   const StoredJob* Find(const std::string& id) const { return table_.Find(id); }
-  // False once a job was called accepted that the store does not have.
+  // False once a job that the store does not have was reported as accepted.
   bool answers_consistent() const { return answers_consistent_; }
 
   void Submit(const std::string& id) {
@@ -58,8 +58,8 @@
     answers_lost_ = answers_lost;
   }
 
-  // The duty ends and another planner begins with what the store has. The append that is on its way
-  // may come before the claim of the new one, or is refused.
+  // Another planner becomes active with the stored state. The append in flight is either applied
+  // before the new planner's claim or refused.
   void ReplacePlanner(bool append_applied) {
     if (append_applied) ApplyAppend();
     Replies replies;
@@ -91,7 +91,7 @@
     sent_.reset();
   }
 
-  // The store carries the append out, once.
+  // The store applies the append in flight, once.
   void ApplyAppend() {
     for (KeyedRecord& record : in_flight_) {
       record.offset = offset_++;
@@ -138,15 +138,15 @@
 
 using Outcomes = std::vector<Outcome>;
 
-// An append is on its way and unanswered, so that what comes next stays in the outbox.
+// Leaves an unanswered append in flight, so that later records stay in the outbox.
 void LoseStore(IntakeFixture* fixture) {
   fixture->SetStore(false, false);
   fixture->RunFor(kHeartbeat + kStep);
 }
 
-// The second try of a withdrawn job must not be told that it is accepted when a later append is
-// kept.
-TEST(JobIntake, WithdrawsAJobForEachOfItsCallers) {
+// Guards against telling the second submission of a withdrawn job that it was accepted once a later
+// append is durable.
+TEST(JobIntake, WithdrawsAJobForAllItsCallers) {
   IntakeFixture fixture;
   LoseStore(&fixture);
   fixture.Submit("j");
@@ -159,8 +159,9 @@
   EXPECT_EQ(fixture.Find("j"), nullptr);
 }
 
-// A try that joins in the moment of the withdrawal must not wait for a record that is gone.
-TEST(JobIntake, LeavesNoCallerOfAWithdrawnJobWaiting) {
+// Guards against a submission that joins just before the withdrawal and then waits for a record
+// that no longer exists.
+TEST(JobIntake, AnswersEveryCallerOfAWithdrawnJob) {
   IntakeFixture fixture;
   LoseStore(&fixture);
   fixture.Submit("j");
@@ -171,8 +172,8 @@
   EXPECT_EQ(fixture.submitted("j"), (Outcomes{Outcome::kNotRun, Outcome::kNotRun}));
 }
 
-// The store is back before anybody has waited too long: both tries are accepted.
-TEST(JobIntake, AcceptsEachTryOfAJobThatIsKept) {
+// The store recovers before the stall timeout: both submissions are accepted.
+TEST(JobIntake, AcceptsEverySubmissionOfADurableJob) {
   IntakeFixture fixture;
   LoseStore(&fixture);
   fixture.Submit("j");
@@ -182,8 +183,8 @@
   EXPECT_EQ(fixture.submitted("j"), (Outcomes{Outcome::kRan, Outcome::kRan}));
 }
 
-// A record that has left may be kept at any time, so that nobody is told "not run".
-TEST(JobIntake, LetsCallersWaitForARecordThatHasLeft) {
+// A record that has been sent may become durable at any time, so no caller may be told "not run".
+TEST(JobIntake, KeepsCallersWaitingForARecordInFlight) {
   IntakeFixture fixture;
   fixture.SetStore(true, true);
   fixture.Submit("j");
@@ -196,9 +197,9 @@
   EXPECT_EQ(fixture.submitted("j"), (Outcomes{Outcome::kRan, Outcome::kRan}));
 }
 
-// A job that is stored must be called accepted at once, also while the store is away and a later
-// record of the job waits for it.
-TEST(JobIntake, AcceptsARepeatOfAStoredJobWhileTheStoreIsAway) {
+// A stored job must be reported as accepted immediately, also while the store is unresponsive and a
+// later record of the job is pending.
+TEST(JobIntake, AcceptsARepeatOfAStoredJobWhileTheStoreIsUnresponsive) {
   IntakeFixture fixture;
   fixture.Submit("j");
   fixture.RunFor(2 * kStep);
@@ -210,9 +211,9 @@
   EXPECT_EQ(fixture.cancelled("j"), Outcomes());
 }
 
-// A third try after the withdrawal is refused at once while the store is away, and taken in anew
-// once it is back.
-TEST(JobIntake, TakesAWithdrawnJobInAnew) {
+// A third submission after the withdrawal is refused immediately while the store is unresponsive,
+// and accepted once the store has recovered.
+TEST(JobIntake, AcceptsAWithdrawnJobAgain) {
   IntakeFixture fixture;
   LoseStore(&fixture);
   fixture.Submit("j");
@@ -228,8 +229,9 @@
   EXPECT_EQ(fixture.submitted("j").back(), Outcome::kRan);
 }
 
-// The duty ends while two tries wait: neither may take a later planner's record for its own.
-TEST(JobIntake, TellsEachTryNothingSureWhenTheDutyEnds) {
+// The planner steps down while two submissions wait: neither may be answered from a record of the
+// next planner.
+TEST(JobIntake, ReportsUnknownToAllCallersWhenThePlannerStepsDown) {
   IntakeFixture fixture;
   LoseStore(&fixture);
   fixture.Submit("j");
@@ -240,9 +242,9 @@
   EXPECT_EQ(fixture.submitted("j"), (Outcomes{Outcome::kUnknown, Outcome::kUnknown}));
 }
 
-// A cancellation that was acknowledged must hold for later tries of the job, although its first try
-// was never accepted.
-TEST(JobIntake, KeepsACancellationOfAJobThatIsNotStoredYet) {
+// An acknowledged cancellation must apply to later submissions of the job, although the first
+// submission was never accepted.
+TEST(JobIntake, AppliesACancellationOfAJobThatIsNotStoredYet) {
   IntakeFixture fixture;
   LoseStore(&fixture);
   fixture.Submit("j");
@@ -257,8 +259,7 @@
   EXPECT_EQ(fixture.Find("j")->progress.state, JobState::kCancelled);
 }
 
-// Random histories of callers who repeat and cancel, a store that comes and goes, and planners that
-// are replaced.
+// Random sequences of submissions, cancellations, store failures and planner changes.
 class IntakeHistory : public testing::TestWithParam<unsigned> {
  protected:
   int Below(int limit) { return static_cast<int>(random_() % static_cast<unsigned>(limit)); }
@@ -298,9 +299,9 @@
   IntakeFixture fixture_;
 };
 
-// No accepted job is ever missing from the store, none that was refused each time is in it, and
-// none runs whose cancellation was acknowledged.
-TEST_P(IntakeHistory, TellsTheTruth) {
+// An accepted job is always stored, a job whose submissions were all refused is not, and no job
+// runs after its cancellation was acknowledged.
+TEST_P(IntakeHistory, AnswersMatchTheStoredState) {
   RunHistory();
   EXPECT_TRUE(fixture_.answers_consistent()) << "seed " << GetParam();
   for (int number = 0; number < kJobs; ++number) {
--- a/servers/pool/job_model.cc
+++ b/servers/pool/job_model.cc
@@ -54,7 +54,7 @@
   for (const StateName& row : kStateNames) {
     if (name == row.name) return row.state;
   }
-  throw Error(ErrorKind::kInvalidInput, "'" + name + "' is no state of a job");
+  throw Error(ErrorKind::kInvalidInput, "'" + name + "' is not a job state");
 }
 
 int64_t TotalTasks(const JobSpec& spec) {
@@ -101,7 +101,8 @@
 
 Duration CriticalPathFrom(const JobSpec& spec, int step,
                           const std::function<Duration(const StepSpec& step)>& time_of) {
-  // When each step ends, counted from the beginning of `step`; none for those that do not follow.
+  // End of each step, relative to the start of `step`; empty for steps that do not depend on
+  // `step`.
   std::vector<std::optional<Duration>> ends(spec.steps.size());
   Duration longest{};
   for (size_t i = static_cast<size_t>(step); i < spec.steps.size(); ++i) {
--- a/servers/pool/job_model.h
+++ b/servers/pool/job_model.h
@@ -1,4 +1,5 @@
-// Jobs of a pool as callers hand them in: steps of equal tasks, in an order, some of them gangs.
+// Jobs that callers submit to a pool: a dependency graph of steps, each a set of equal tasks; a
+// step may be a gang.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +11,7 @@
 
 namespace turmericshift::pool {
 
-// Room that one task takes, or that a worker has.
+// Resources that one task needs, or that a worker has.
 struct Room {
   int64_t processor_millis = 0;
   int64_t memory_mib = 0;
@@ -24,31 +25,34 @@
 struct StepSpec {
   int tasks = 1;
   Room need;
-  // What the caller thinks a task takes; often far off, so no promise rests on it.
+  // The caller's estimate of a task's run time. Estimates are often far off, so no guarantee rests
+  // on them.
   Duration estimate{};
-  // Numbers of earlier steps whose tasks must all be done first.
+  // Numbers of the earlier steps that this step depends on: all their tasks must be done first.
   std::vector<int> after;
-  // Tasks work only while all of them run.
+  // The tasks of a gang make progress only while all of them run.
   bool gang = false;
-  // The gang is slowed down when it spans racks.
+  // The gang is slowed down if its tasks are spread over several racks.
   bool one_rack = false;
   bool checkpoints = false;
-  // Copies of a task may run side by side; the first to finish counts.
+  // Several copies of a task may run at the same time (speculative execution); the first to finish
+  // counts.
   bool copies_allowed = false;
-  // Runs until the job is cancelled, and is started again however it ends.
+  // The task runs until the job is cancelled, and is restarted however it ends.
   bool long_running = false;
-  // Takes what others leave unused; its processors do not count against a worker.
+  // The task uses only what others leave unused, so its processors do not count against the
+  // worker's capacity.
   bool best_effort = false;
-  // The worker must carry this label; empty: any.
+  // Label that the worker must carry; empty: any worker.
   std::string label;
-  // Tasks are slowed down on any other rack; empty: none.
+  // Rack of the step's data: tasks are slowed down on any other rack. Empty: no preference.
   std::string data_rack;
-  // At most so many tasks of the step on one worker; 0: any number.
+  // Upper limit on tasks of the step on one worker; 0: no limit.
   int max_per_worker = 0;
   std::string image;
 };
 
-// When a job's steps run more than once.
+// Schedule of a job whose steps run more than once.
 struct Schedule {
   int occurrences = 0;
   // Milliseconds since 1970.
@@ -56,20 +60,19 @@
   int64_t interval_ms = 0;
 };
 
-// What a queue lays down for its jobs. Kept with each job, since operators may drop the queue
-// before the job is done.
+// Terms that a queue sets for its jobs. They are stored with each job because operators may remove
+// the queue before the job is done.
 struct QueueTerms {
   // The group of workers that runs the queue's tasks.
   std::string service;
-  // 0 comes first and may interrupt others.
+  // Priority 0 is the highest; its jobs may preempt others.
   int priority = 0;
-  // Runs of a task, or a gang, that may end failed before its job is failed.
+  // Number of failed runs of a task or gang after which the job fails.
   int max_attempts = 1;
-  // A job should be done within its longest chain of work times this,
+  // A job is due after `stretch` times its critical path plus `target_latency`.
   double stretch = 1.0;
-  // and so much more.
   Duration target_latency{};
-  // Only workers that the advice service names may run the queue's steps.
+  // Only workers that the advice service allows may run the queue's steps.
   bool advised = false;
 };
 
@@ -78,11 +81,12 @@
   std::string queue;
   std::string workspace;
   QueueTerms terms;
-  // Handed to every task as it came.
+  // Passed unchanged to every task.
   std::string payload;
   std::vector<StepSpec> steps;
   Schedule schedule;
-  // Milliseconds since 1970 when an entry took the job in; orders jobs, decides no safety.
+  // Milliseconds since 1970 when an entry accepted the job. Used to order jobs; safety does not
+  // depend on it.
   int64_t accepted_ms = 0;
 
   int occurrences() const { return schedule.occurrences > 0 ? schedule.occurrences : 1; }
@@ -91,18 +95,19 @@
 // Tasks and accelerators of all steps of one occurrence.
 int64_t TotalTasks(const JobSpec& spec);
 int64_t TotalAccelerators(const JobSpec& spec);
-// The most of each kind that a step needs when all its tasks run at once.
+// Peak demand per resource: the maximum over the steps, each with all its tasks running.
 Room PeakNeed(const JobSpec& spec);
-// The longest chain of steps by the caller's estimates.
+// Critical path of the job's steps, by the caller's estimates.
 Duration EstimatedCriticalPath(const JobSpec& spec);
-// The longest chain of steps by `time_of` each.
+// Critical path of the job's steps, with `time_of` giving the time of each.
 Duration CriticalPath(const JobSpec& spec,
                       const std::function<Duration(const StepSpec& step)>& time_of);
-// The longest chain that begins with `step` (counted from 0), that step included.
+// Length of the longest path through the steps that begins with `step` (an index from 0), including
+// `step`.
 Duration CriticalPathFrom(const JobSpec& spec, int step,
                           const std::function<Duration(const StepSpec& step)>& time_of);
 
-// Names one task: occurrence, step and index within the step.
+// Identifies a task by job, occurrence, step and index within the step.
 struct TaskId {
   std::string job;
   int occurrence = 0;
@@ -113,9 +118,9 @@
 };
 
 enum class JobState { kQueued, kRunning, kCompleted, kFailed, kCancelled };
-// The names of the table in job_model.cc.
+// Returns the state's stored name, from the table in job_model.cc.
 const char* JobStateName(JobState state);
-// Throws Error(kInvalidInput) for a name that is none of ours.
+// Throws Error(kInvalidInput) for an unknown name.
 JobState JobStateFromName(const std::string& name);
 
 inline bool IsOver(JobState state) {
--- a/servers/pool/job_model_test.cc
+++ b/servers/pool/job_model_test.cc
@@ -14,7 +14,7 @@
   return step;
 }
 
-// Steps 1 and 2 follow the first one, and the last one follows both; step 3 stands by itself.
+// Steps 1 and 2 depend on step 0, and step 4 on both; step 3 is independent.
 JobSpec Diamond() {
   JobSpec spec;
   spec.steps = {Step(1, {}), Step(5, {0}), Step(2, {0}), Step(9, {}), Step(3, {1, 2})};
@@ -23,13 +23,13 @@
 
 Duration EstimateOf(const StepSpec& step) { return step.estimate; }
 
-TEST(JobModel, FollowsTheLongestWayThroughAllSteps) {
+TEST(JobModel, CriticalPathIsTheLongestPathThroughAllSteps) {
   EXPECT_EQ(CriticalPath(Diamond(), EstimateOf), seconds(9));
 }
 
-// A job at its last step needs no more than that. Taken for one that has all before it, it would be
-// held for hopeless and passed over just before its end.
-TEST(JobModel, CountsOnlyWhatComesFromAStepOn) {
+// If the whole critical path were counted for a job at its last step, the job would be considered
+// hopeless and be passed over shortly before its end.
+TEST(JobModel, CriticalPathFromCountsOnlyTheStepAndItsDependents) {
   EXPECT_EQ(CriticalPathFrom(Diamond(), 0, EstimateOf), seconds(9));
   EXPECT_EQ(CriticalPathFrom(Diamond(), 1, EstimateOf), seconds(8));
   EXPECT_EQ(CriticalPathFrom(Diamond(), 2, EstimateOf), seconds(5));
--- a/servers/pool/job_progress.h
+++ b/servers/pool/job_progress.h
@@ -1,5 +1,5 @@
-// How far a job has come, as it is kept in the store: which tasks are done, which failed how often,
-// where an interrupted one goes on.
+// A job's progress as stored in the log: which tasks are done, the failed runs of each task, and
+// the checkpoints of interrupted tasks.
 #pragma once
 
 #include <map>
@@ -10,7 +10,7 @@
 
 namespace turmericshift::pool {
 
-// A task within its job.
+// Position of a task within its job.
 struct TaskPlace {
   int occurrence = 0;
   int step = 0;
@@ -19,7 +19,7 @@
   auto operator<=>(const TaskPlace&) const = default;
 };
 
-// A step within its job, once for each occurrence.
+// Position of a step within its job, one for each occurrence.
 struct StepPlace {
   int occurrence = 0;
   int step = 0;
@@ -29,23 +29,25 @@
 
 struct JobProgress {
   JobState state = JobState::kQueued;
-  // Tasks that ended done. A gang that ended done counts all its tasks.
+  // Indices of the tasks that are done. When a gang is done, all its tasks are.
   std::map<StepPlace, std::set<int>> done;
-  // Numbers of the runs that ended failed; a gang's are counted at index 0. Ends are reported until
-  // they are known to be kept, so a new planner hears again of some that are counted already, and
-  // of others for the first time, in any order. A count beside the newest number misses an older
-  // failure that is heard later, and the task is run more often than its queue allows. There are at
-  // most as many as its queue allows tries.
+  // Numbers of the runs that failed; a gang's are stored at index 0. The set is at most as large as
+  // the number of attempts that the queue allows.
+  //
+  // Ends are reported until they are known to be durable, so a new planner may receive some that
+  // are already counted and others for the first time, in any order. A counter with the newest
+  // number would miss an older failure that is reported later, and the task would run more often
+  // than its queue allows.
   std::map<TaskPlace, std::set<int64_t>> failures;
-  // Newest saved state of tasks that were interrupted; a gang's at index 0.
+  // Newest checkpoints of interrupted tasks; a gang's is stored at index 0.
   std::map<TaskPlace, std::string> checkpoints;
-  // Milliseconds since 1970 when the job ended; 0 while it has not.
+  // Milliseconds since 1970 when the job ended; 0 if it has not.
   int64_t ended_ms = 0;
 
   int done_count(const StepPlace& place) const;
   bool task_done(const TaskPlace& place) const;
   bool step_done(const JobSpec& spec, const StepPlace& place) const;
-  // All earlier steps that `place` waits for are done.
+  // Whether all steps that the step at `place` depends on are done.
   bool dependencies_done(const JobSpec& spec, const StepPlace& place) const;
   bool all_done(const JobSpec& spec) const;
 };
--- a/servers/pool/outbox.cc
+++ b/servers/pool/outbox.cc
@@ -18,7 +18,8 @@
   if (earlier == waiting_.end()) {
     waiting_.push_back({{key, value, kNoOffset}, ticket});
   } else {
-    // Keeps its place: who waits for the earlier ticket must not wait for all put in between.
+    // The record keeps its position and earlier ticket: a caller that waits for that ticket must
+    // not wait for all records queued in between.
     earlier->record.value = value;
   }
   return ticket;
--- a/servers/pool/outbox.h
+++ b/servers/pool/outbox.h
@@ -1,5 +1,5 @@
-// Records on their way into the work topic. Everything that waits goes out in one append as soon as
-// the one before is answered, so the number of appends does not grow with the load.
+// Records to be appended to the work topic. All pending records go out in one append as soon as the
+// previous append is answered, so the number of appends does not grow with the load.
 #pragma once
 
 #include <cstdint>
@@ -10,23 +10,25 @@
 
 namespace turmericshift::pool {
 
-// Numbers the records in the order in which they were put: a record is kept once `kept` has reached
-// its ticket.
+// Numbers the records in the order of Put. A record is durable once `durable` has reached its
+// ticket.
 using Ticket = int64_t;
 
 class Outbox {
  public:
-  // `max_bytes`: what one append may carry; a setting of the platform.
+  // `max_bytes`: size limit of one append, set by the platform.
   explicit Outbox(size_t max_bytes) : max_bytes_(max_bytes) {}
 
-  // A later record of the same key that is not on its way yet replaces the earlier one.
+  // Queues a record. It replaces a queued record with the same key that has not been sent.
   Ticket Put(const std::string& key, const std::string& value);
-  // Takes a record back that is not on its way yet; false when it is, so that its fate is open.
+  // Removes a record that has not been sent. Returns false if none is queued: a record that was
+  // sent may still become durable.
   bool Withdraw(const std::string& key);
 
-  // The records of the next append, at most as many as one may carry; they count as on their way.
+  // Returns the records of the next append, up to its size limit but at least one if any is queued,
+  // and marks them as in flight.
   std::vector<KeyedRecord> Take();
-  // The append of what Take gave last is answered.
+  // Marks the records of the last Take as durable; called when their append is answered.
   void MarkDurable();
 
   bool empty() const { return waiting_.empty(); }
--- a/servers/pool/outbox_test.cc
+++ b/servers/pool/outbox_test.cc
@@ -5,7 +5,7 @@
 namespace turmericshift::pool {
 namespace {
 
-TEST(Outbox, SendsWhatWaitsInOneAppendAndKeepsItOnceAnswered) {
+TEST(Outbox, SendsAllPendingRecordsInOneAppend) {
   Outbox outbox(1000);
   const Ticket first = outbox.Put("a", "1");
   const Ticket second = outbox.Put("b", "2");
@@ -26,9 +26,9 @@
   EXPECT_GE(outbox.durable(), newest);
 }
 
-// Records put while an append is on its way are not in it. Were their tickets counted as kept with
-// it, a caller would be told that a job is stored which no other entry has ever heard of.
-TEST(Outbox, CountsOnlyWhatTheAnsweredAppendHeld) {
+// Records queued while an append is in flight are not part of it. If their tickets counted as
+// durable with the append, a caller would be told that a job is stored which no other entry knows.
+TEST(Outbox, MarksOnlyTheAnsweredAppendAsDurable) {
   Outbox outbox(1000);
   outbox.Put("a", "1");
   outbox.Take();
@@ -37,7 +37,7 @@
   EXPECT_LT(outbox.durable(), later);
 }
 
-TEST(Outbox, SplitsWhatOneAppendMayNotCarry) {
+TEST(Outbox, SplitsRecordsThatExceedTheAppendLimit) {
   Outbox outbox(40);
   outbox.Put("a", std::string(20, 'x'));
   const Ticket second = outbox.Put("b", std::string(20, 'y'));
@@ -49,7 +49,7 @@
   EXPECT_GE(outbox.durable(), second);
 }
 
-TEST(Outbox, TakesBackOnlyWhatHasNotLeft) {
+TEST(Outbox, WithdrawsOnlyRecordsThatWereNotSent) {
   Outbox outbox(1000);
   outbox.Put("a", "1");
   EXPECT_TRUE(outbox.Withdraw("a"));
