--- a/servers/pool/advice_cache.cc
+++ b/servers/pool/advice_cache.cc
@@ -5,15 +5,14 @@
 namespace turmericshift::pool {
 namespace {
 
-// A start reaches its worker within a poll and a call, 50 ms as a rule; a ticket that runs out on
-// the way costs a refusal. Of short-lived tickets at most a quarter of their time is given up.
+// A start reaches its worker within a poll and a call, usually 50 ms; a ticket that expires on the
+// way costs a refusal. For short-lived tickets the margin is at most a quarter of their validity.
 constexpr Duration kMaxDeliveryMargin = std::chrono::milliseconds(400);
 constexpr int kMarginDivisor = 4;
-// Workers named in one call. The service takes time for each, and the platform reckons with so many
-// when it says how long a job should take.
+// Limit of workers per call. The service takes time for each worker, and the platform assumes this
+// number when it states how long a job should take.
 constexpr size_t kMaxWorkersPerCall = 30;
-// After a call that failed or was turned away: the service answers one call in some tens of
-// milliseconds.
+// Delay after a failed or refused call; the service answers one call in some tens of milliseconds.
 constexpr Duration kRetryDelay = std::chrono::milliseconds(100);
 
 Duration DeliveryMargin(Duration valid_for) {
@@ -68,7 +67,7 @@
   while (!requests_.empty()) {
     AdviceRequest request = std::move(requests_.front());
     requests_.erase(requests_.begin());
-    // The answer to the question before may have come after this one was wanted.
+    // A response may have arrived since the request was added.
     std::erase_if(request.workers, [&](const AdvisedWorker& worker) {
       return NeedsNoRequest(request.step, worker, now);
     });
--- a/servers/pool/advice_cache.h
+++ b/servers/pool/advice_cache.h
@@ -1,10 +1,10 @@
-// What the advice service has said of the steps whose queue asks it: which workers may run a step,
-// and until when the tickets hold that their starts have to carry. Decides what to ask next; the
-// asking itself is AdviceFetcher's.
+// Cache of the advice service's answers for steps of advised queues: which workers may run a step,
+// and until when the tickets that their starts must carry are valid. Chooses the next request;
+// AdviceFetcher makes the calls.
 //
-// Load pattern: many steps wait at once, and the service answers one call at a time, each the later
-// the more workers it names. So a call names a bounded number of workers, the steps that go first
-// are asked for first, and nothing is asked again while the answer still holds.
+// Load pattern: many steps wait at the same time, and the service answers one call at a time, more
+// slowly the more workers it names. So a call names a bounded number of workers, requests follow
+// the order in which steps will start, and nothing is requested again while its answer is valid.
 #pragma once
 
 #include <map>
@@ -19,32 +19,32 @@
 
 class AdviceCache {
  public:
-  // The ticket for a start on a worker, good for long enough to get there; empty when there is
-  // none.
+  // Returns a ticket for a start on the worker that stays valid long enough to reach it; empty if
+  // there is none.
   std::optional<std::string> TicketFor(const AdvisedStep& step, const AdvisedWorker& worker,
                                        Time now) const;
-  // Whether the worker may come to run the step, as far as is known.
+  // Whether the worker may run the step; true if that is not known yet.
   bool MayRun(const AdvisedStep& step, const AdvisedWorker& worker) const;
 
-  // What is wanted is told anew in each round, in the order in which it matters.
+  // Clears the pending requests. They are added again in each planning round, most important first.
   void BeginRound() { requests_.clear(); }
-  // The step can't begin on what it has tickets for. `workers`: those on which it might, the best
-  // first; those that it has a ticket for or may not run on are left out here.
+  // Requests tickets for a step that cannot start with the valid ones. `workers`: candidates, best
+  // first; workers with a valid ticket or a negative answer are left out.
   void RequestTickets(const AdvisedStep& step, const std::vector<AdvisedWorker>& workers, Time now);
-  // What to ask now; nothing while an answer is awaited, or for a moment after a call that failed.
+  // Returns the next request; empty while a call is in flight or shortly after a failed call.
   std::optional<AdviceRequest> Next(Time now);
-  // The answer to a question that was asked at `asked`.
+  // Stores the response to a request that was sent at `asked_at`.
   void Take(const AdviceRequest& request, const AdviceResponse& response, Time asked_at);
-  // The question was not answered.
+  // Records that the call failed.
   void Failed(Time now);
-  // A worker turned the ticket away.
+  // A worker refused the ticket, so it is discarded.
   void TicketRefused(const AdvisedStep& step, const AdvisedWorker& worker);
-  // The job is over.
+  // Removes the verdicts of a job that has ended.
   void Forget(const std::string& job);
 
  private:
-  // Nothing is known of workers that have no verdict. That one may run a step does not change, but
-  // its ticket runs out.
+  // Workers without a verdict are unknown. `may_run` does not change over time, but the ticket
+  // expires.
   struct Verdict {
     bool may_run = false;
     std::string ticket;
@@ -54,7 +54,7 @@
   using Verdicts = std::map<AdvisedWorker, Verdict>;
 
   const Verdict* Find(const AdvisedStep& step, const AdvisedWorker& worker) const;
-  // Nothing is to be asked of the worker now.
+  // Whether no request is needed: the worker has a valid ticket or may not run the step.
   bool NeedsNoRequest(const AdvisedStep& step, const AdvisedWorker& worker, Time now) const;
 
   std::map<AdvisedStep, Verdicts> verdicts_;
--- a/servers/pool/advice_cache_test.cc
+++ b/servers/pool/advice_cache_test.cc
@@ -19,7 +19,7 @@
   return {{{worker_id, "ticket-" + worker_id}}, seconds(3)};
 }
 
-TEST(AdviceCache, KnowsWhoMayRunAStepOnceItIsTold) {
+TEST(AdviceCache, StoresWhichWorkersMayRunAStep) {
   AdviceCache cache;
   EXPECT_TRUE(cache.MayRun(kStep, kWorkerOne));
   EXPECT_FALSE(cache.TicketFor(kStep, kWorkerOne, kNow));
@@ -32,9 +32,9 @@
   EXPECT_FALSE(cache.MayRun(kStep, kWorkerTwo));
 }
 
-// The service answers one call at a time. A second one would wait there, and what it was to tell
-// would be out of date when it comes.
-TEST(AdviceCache, AsksOneQuestionAtATimeAndNoneTwice) {
+// The service answers one call at a time. A second call would wait there, and its answer would be
+// outdated on arrival.
+TEST(AdviceCache, SendsOneRequestAtATimeAndNoneTwice) {
   AdviceCache cache;
   cache.RequestTickets(kStep, {kWorkerOne}, kNow);
   const std::optional<AdviceRequest> request = cache.Next(kNow);
@@ -45,8 +45,8 @@
   EXPECT_FALSE(cache.Next(kNow));
 }
 
-// A ticket that runs out on its way costs a refusal by the worker.
-TEST(AdviceCache, AsksAgainForATicketThatRunsOut) {
+// A worker refuses a ticket that expired on the way.
+TEST(AdviceCache, RequestsANewTicketBeforeTheOldOneExpires) {
   AdviceCache cache;
   cache.RequestTickets(kStep, {kWorkerOne}, kNow);
   cache.Take(*cache.Next(kNow), ResponseAllowing("one"), kNow);
@@ -57,16 +57,16 @@
   EXPECT_TRUE(cache.Next(nearly_expired));
 }
 
-// A worker that was born again knows nothing of tickets for the life before.
-TEST(AdviceCache, TrustsNoTicketOfAnotherLife) {
+// A new incarnation of a worker does not know the tickets of the previous one.
+TEST(AdviceCache, IgnoresTicketsOfAnotherIncarnation) {
   AdviceCache cache;
   cache.RequestTickets(kStep, {kWorkerOne}, kNow);
   cache.Take(*cache.Next(kNow), ResponseAllowing("one"), kNow);
   EXPECT_FALSE(cache.TicketFor(kStep, {"one", 2}, kNow));
 }
 
-// The service turns calls away while many wait there. Asked again at once it would do nothing else.
-TEST(AdviceCache, PausesAfterAQuestionThatWasNotAnswered) {
+// The service refuses calls while many wait; immediate retries would keep it busy refusing.
+TEST(AdviceCache, DelaysTheNextRequestAfterAFailedCall) {
   AdviceCache cache;
   cache.RequestTickets(kStep, {kWorkerOne}, kNow);
   ASSERT_TRUE(cache.Next(kNow));
@@ -76,7 +76,7 @@
   EXPECT_TRUE(cache.Next(kNow + seconds(1)));
 }
 
-TEST(AdviceCache, NamesNoMoreWorkersThanOneCallShould) {
+TEST(AdviceCache, LimitsTheWorkersNamedInOneCall) {
   AdviceCache cache;
   constexpr int kWorkers = 67;
   std::vector<AdvisedWorker> many;
@@ -92,9 +92,9 @@
   return operators;
 }
 
-// A queue lets only the workers of one rack run its steps, and only the service knows which.
-// Without asking, each start is turned away and the job never ends.
-TEST(PoolPlannerAdvice, StartsOnlyWhereTheServiceLetsIt) {
+// Only workers of one rack may run the queue's steps, and only the service knows which. Without its
+// advice each start is refused and the job never ends.
+TEST(PoolPlannerAdvice, StartsOnlyOnAllowedWorkers) {
   PoolBed bed(BedRacks(3), AdvisedOperators());
   bed.advises = [](const std::string& /*job*/, const std::string& node) {
     return node.rfind("w1", 0) == 0;
@@ -111,9 +111,10 @@
   EXPECT_EQ(bed.violations(), std::vector<std::string>());
 }
 
-// The pool is full of work that may be stopped, and urgent work within its guarantee comes that may
-// run on one worker only. It has to learn which before anybody is stopped, and still be in time.
-TEST(PoolPlannerAdvice, HasAGuaranteeBackOnAWorkerThatIsNamed) {
+// The pool is full of preemptible work when an urgent job within its guarantee arrives that only
+// one worker may run. The planner has to learn which worker before it preempts a task, and still
+// start the job in time.
+TEST(PoolPlannerAdvice, ReclaimsAGuaranteeOnTheAllowedWorker) {
   PoolBed bed(BedRacks(1), AdvisedOperators());
   bed.Submit(BedJob("bulk", "bulk", "two", BedStep(3, 8, seconds(30))));
   bed.RunFor(seconds(3));
--- a/servers/pool/advice_fetcher.cc
+++ b/servers/pool/advice_fetcher.cc
@@ -6,9 +6,10 @@
 namespace turmericshift::pool {
 namespace {
 
-// How long a question is waited for before the thread looks whether it should end.
+// Longest wait for a request before the thread checks whether to stop.
 constexpr Duration kStopCheckInterval = std::chrono::milliseconds(500);
-// Thirty workers take the service some hundred milliseconds; calls of other VMs go in between.
+// A call that names thirty workers takes the service some hundred milliseconds; calls of other VMs
+// may be served before it.
 constexpr Duration kCallTimeout = std::chrono::milliseconds(2000);
 
 }  // namespace
--- a/servers/pool/advice_fetcher.h
+++ b/servers/pool/advice_fetcher.h
@@ -1,5 +1,5 @@
-// Asks the advice service what the planner of this process wants to know, one question at a time:
-// the service answers a VM's calls in turn, and a second one would only wait there.
+// Sends the requests of this process's planner to the advice service, one at a time: the service
+// answers a VM's calls in turn, so a second call would only wait there.
 #pragma once
 
 #include <atomic>
@@ -12,7 +12,7 @@
 
 class AdviceFetcher {
  public:
-  // Both must outlive the asker.
+  // Both must outlive the fetcher.
   AdviceFetcher(AdviceService* advice, PlannerService* planner);
   ~AdviceFetcher();
   AdviceFetcher(const AdviceFetcher&) = delete;
--- a/servers/pool/advice_service.h
+++ b/servers/pool/advice_service.h
@@ -1,5 +1,5 @@
-// The service that knows which workers may run the steps of some queues. An adapter speaks a
-// platform's own protocol behind it.
+// The service that decides which workers may run the steps of advised queues. An adapter implements
+// a platform's protocol for it.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +19,7 @@
   auto operator<=>(const AdvisedStep&) const = default;
 };
 
-// One life of a worker: another one's tickets are of no use to it.
+// One incarnation of a worker; tickets of other incarnations are invalid for it.
 struct AdvisedWorker {
   std::string id;
   int64_t born_ms = 0;
@@ -38,21 +38,22 @@
 };
 
 struct AdviceResponse {
-  // Workers that may run the step; the others that were named may not.
+  // Workers that may run the step; the other workers named in the request may not.
   std::vector<AdviceTicket> allowed;
-  // How long the tickets hold.
+  // How long the tickets are valid.
   Duration valid_for{};
 };
 
 class AdviceService {
  public:
   virtual ~AdviceService() = default;
-  // Throws Error: kOverloaded when too many calls wait there, kUnavailable, kConnectionLost or
-  // kDeadlineExceeded when it does not answer, kInvalidInput for an answer that can't be read.
+  // Throws Error: kOverloaded when the service refuses the call because too many wait;
+  // kUnavailable, kConnectionLost or kDeadlineExceeded when it does not answer; kInvalidInput for a
+  // malformed answer.
   virtual AdviceResponse Ask(const AdviceRequest& request, Duration timeout) = 0;
 };
 
-// Clients by name; the argument is the service's address ("10.0.0.1:8080").
+// Clients by name; the argument is the service's address, such as "10.0.0.1:8080".
 using AdviceServiceRegistry = PluginRegistry<AdviceService, const std::string&>;
 
 }  // namespace turmericshift::pool
--- a/servers/pool/pool_bounds.cc
+++ b/servers/pool/pool_bounds.cc
@@ -11,53 +11,56 @@
 
 using std::chrono::milliseconds;
 
-// Longer leases gain nothing, since a change of planner takes three seconds, and a lost worker's
-// tasks wait for them.
+// Longer leases bring no benefit, since a change of planner takes three seconds, and the tasks of a
+// lost worker wait for the lease to expire.
 constexpr Duration kMaxLease = milliseconds(4000);
-// What a lease keeps of what workers grant at most, so that none is shortened there unseen.
+// Leases stay this much below the workers' limit, so that no worker shortens a lease without the
+// planner's knowledge.
 constexpr Duration kLeaseReserve = milliseconds(500);
-// Workers' clocks may run so much slow.
+// Workers' clocks may run slow by this share.
 constexpr double kClockSlack = 0.02;
-// From the end of a lease until the planner may count on it, besides slow clocks and the stop.
+// Margin before the planner treats a lease as expired, in addition to clock skew and the stop time.
 constexpr Duration kLeaseExpiryMargin = milliseconds(120);
 
-// The longest that limits are of use: a planner asks the store each quarter of a second, agents ask
-// the planner each half.
+// Upper limits; longer ones bring no benefit: a planner polls the store four times a second, and
+// agents poll the planner twice a second.
 constexpr Duration kMaxConfirmLimit = milliseconds(1200);
 constexpr Duration kMaxDocumentLimit = milliseconds(2000);
 constexpr Duration kMaxStartWindow = milliseconds(1500);
-// Of a bound on starts, what is kept for the start itself,
+// Part of a bound on starts that is reserved for the start itself.
 constexpr Duration kStartReserve = milliseconds(300);
-// and the share of the rest that an order may be under way; the other is for hearing of the change.
+// Share of the remaining time that an order may be in transit; the other part is for learning of
+// the change.
 constexpr double kStartWindowShare = 5.0 / 9;
-// A store's slow answer and an agent's poll have to fit into the shortest limit.
+// A slow answer of the store and an agent's poll have to fit into the shortest limit.
 constexpr Duration kMinLimit = milliseconds(500);
 
 constexpr Duration kMaxGangStart = milliseconds(1300);
-// Of the time that members wait for each other, what the stop order takes to arrive.
+// Time for the stop order to arrive, out of the time that gang members wait for each other.
 constexpr Duration kStopOrderDelay = milliseconds(400);
 constexpr Duration kMinGangStart = milliseconds(300);
 
-// From the decision to the start of a member on room that is free.
+// Time from the decision to the start of a gang member on free room.
 constexpr Duration kStartLatency = milliseconds(200);
-// Reclaiming is weighed again after this at the latest.
+// Longest interval between two evaluations of reclaiming.
 constexpr Duration kReclaimInterval = milliseconds(300);
-// Spare for a decision that has to be made twice, as when a worker turns a start away.
+// Reserve for a second decision, for example after a worker refused a start.
 constexpr Duration kRetryReserve = milliseconds(700);
-// Forecasts of when room comes free are off by about this.
+// Typical error of forecasts of when room becomes free.
 constexpr Duration kForecastError = milliseconds(1000);
-// Room that is freed is held for this long beyond the stop: two orders and their polls.
+// Freed room stays reserved this much longer than the stop takes: two orders and their polls.
 constexpr Duration kReservationMargin = milliseconds(1100);
 
-// Of the bounds on keys and on what every entry knows, what a call takes.
+// Duration of a call, subtracted from the bounds on withdrawn keys and on visibility of accepted
+// jobs.
 constexpr Duration kCallReserve = milliseconds(1000);
 constexpr Duration kStatusReserve = std::chrono::seconds(10);
 
 Duration CheckedLimit(const char* bound, Duration limit, Duration minimum) {
   if (limit >= minimum) return limit;
   throw Error(ErrorKind::kInvalidInput, std::string(bound) + " leaves a limit of " +
-                                            std::to_string(Seconds(limit)) + " s, and " +
-                                            std::to_string(Seconds(minimum)) + " s are needed");
+                                            std::to_string(Seconds(limit)) + " s; at least " +
+                                            std::to_string(Seconds(minimum)) + " s are required");
 }
 
 }  // namespace
@@ -97,14 +100,14 @@
 void ApplyBounds(const PoolBounds& bounds, JobApiOptions* options) {
   options->key_age_limit =
       CheckedLimit("the bound on withdrawn keys", bounds.key_withdrawn - kCallReserve, kMinLimit);
-  options->view_age_limit =
-      CheckedLimit("the bound on knowing accepted jobs", bounds.visible - kCallReserve, kMinLimit);
+  options->view_age_limit = CheckedLimit("the bound on visibility of accepted jobs",
+                                         bounds.visible - kCallReserve, kMinLimit);
 }
 
 std::vector<std::string> UnattainableBounds(const PoolBounds& bounds) {
   std::vector<std::string> unattainable;
   if (bounds.reclaim < bounds.stop + kStartLatency + kReclaimInterval) {
-    unattainable.push_back("room that others use comes back after up to " +
+    unattainable.push_back("reclaiming room takes up to " +
                            std::to_string(Seconds(bounds.stop + kStartLatency + kReclaimInterval)) +
                            " s, and guarantees are due after " +
                            std::to_string(Seconds(bounds.reclaim)) + " s");
--- a/servers/pool/pool_bounds.h
+++ b/servers/pool/pool_bounds.h
@@ -1,6 +1,6 @@
-// The bounds that a platform and its operators lay down, and the limits that keep them. Everything
-// that has to fit into a bound is worked out here, so that another deployment's figures change the
-// limits and no code.
+// The time bounds set by a platform and its operators, and the limits derived from them. All limits
+// are computed here, so that another deployment's bounds change the limits without a change of
+// code.
 #pragma once
 
 #include <string>
@@ -14,38 +14,38 @@
 struct PlannerOptions;
 
 struct PoolBounds {
-  // How long workers let runs go on without word at most.
+  // Longest lease that workers grant a run without a renewal.
   Duration longest_lease = std::chrono::seconds(6);
-  // Nothing of a cancelled job starts later than this after the cancellation was accepted,
+  // No task of a cancelled job starts later than this after the cancellation was accepted.
   Duration cancel = std::chrono::seconds(3);
-  // nothing in a zone later than this after operators took it out,
+  // No task starts in a zone later than this after operators took the zone out.
   Duration zone_out = std::chrono::seconds(5);
-  // and no call with a key later than this after operators took the key away.
+  // No call with a key is accepted later than this after operators withdrew the key.
   Duration key_withdrawn = std::chrono::seconds(5);
-  // An accepted job is known at every entry after this.
+  // An accepted job is visible at every entry after this time.
   Duration visible = std::chrono::seconds(3);
-  // A member of a gang waits so long at its worker for the others.
+  // Longest time that a gang member waits on its worker for the others.
   Duration gang_wait = std::chrono::seconds(3);
-  // A stop takes so long at most.
+  // Longest time that a stop takes.
   Duration stop = std::chrono::milliseconds(400);
-  // Urgent jobs within their workspace's guarantee have begun after this.
+  // Urgent jobs within their workspace's guarantee start within this time.
   Duration reclaim = std::chrono::milliseconds(2900);
-  // Going on from a saved state takes so long.
+  // Time to restore a task from a checkpoint.
   Duration restore = std::chrono::milliseconds(600);
-  // Ended jobs can be asked for at least so long.
+  // Shortest time for which the state of an ended job can be queried.
   Duration status_kept = std::chrono::seconds(120);
-  // Tasks away from their data, and gangs torn over racks, take so many times as long.
+  // Slowdown of tasks off their data's rack, and of gangs spread over racks.
   double stray_factor = 3;
 };
 
-// Limits within the bounds. Throw Error(kInvalidInput) when a bound leaves too little to work with:
-// an entry that may never start anything would look well and serve nobody.
+// Returns limits that keep the bounds. Throws Error(kInvalidInput) if a bound leaves too little
+// time: an entry that may never start a task would look healthy and serve nobody.
 PlannerOptions PlannerOptionsFor(const PoolBounds& bounds);
-// Sets what of the options bounds decide.
+// Sets the options that depend on the bounds. Throws Error(kInvalidInput) like PlannerOptionsFor.
 void ApplyBounds(const PoolBounds& bounds, JobApiOptions* options);
 
-// Bounds that can be missed on a sound pool, each as a sentence. They are worked towards all the
-// same, since a guarantee that comes late is better than none.
+// Describes, one sentence each, the bounds that a healthy pool may miss. They are still aimed for,
+// since a late guarantee is better than none.
 std::vector<std::string> UnattainableBounds(const PoolBounds& bounds);
 
 }  // namespace turmericshift::pool
--- a/servers/pool/pool_bounds_test.cc
+++ b/servers/pool/pool_bounds_test.cc
@@ -40,9 +40,9 @@
   std::mt19937 random_;
 };
 
-// Another deployment lays down other bounds. Limits that stayed as they were for the first would
-// start tasks of cancelled jobs, or in zones that are out, or leave gangs waiting for a member.
-TEST(PoolBounds, AreKeptByTheLimitsWhateverTheyAre) {
+// Bounds differ by deployment. Limits that did not follow them would start tasks of cancelled jobs
+// or in zones that are out, or leave gangs waiting for a member.
+TEST(PoolBounds, LimitsKeepRandomBounds) {
   BoundsGenerator generator(1);
   for (int i = 0; i < kRounds; ++i) {
     const PoolBounds bounds = generator.Next();
@@ -51,7 +51,7 @@
     EXPECT_LT(options.confirm_limit + options.start_window, bounds.cancel);
     EXPECT_LT(options.document_limit + options.start_window, bounds.zone_out);
     EXPECT_LT(options.gang_start_limit + bounds.stop, bounds.gang_wait);
-    // A lease on the slowest clock, and a stop on top.
+    // The lease's clock skew on the slowest clock, plus the stop time.
     EXPECT_GT(options.lease_margin, bounds.stop + options.lease / 50);
     EXPECT_LT(options.owed_stray_after, bounds.reclaim);
     EXPECT_LT(options.owed_patience, bounds.reclaim);
@@ -63,9 +63,9 @@
   }
 }
 
-// Room that others use must be theirs who are owed it within the bound: what is waited for first,
-// a stop and a start have to fit.
-TEST(PoolBounds, LeaveTimeToReclaimWhereItCanBeDone) {
+// Guaranteed room must be reclaimed within the bound: the initial wait, a stop and a start have to
+// fit.
+TEST(PoolBounds, LimitsLeaveTimeToReclaimWhereAttainable) {
   BoundsGenerator generator(2);
   for (int i = 0; i < kRounds; ++i) {
     const PoolBounds bounds = generator.Next();
@@ -80,9 +80,9 @@
   }
 }
 
-// A deployment whose bounds leave no time to work with is told so at the start. An entry that
-// started all the same would take jobs in and never begin one.
-TEST(PoolBounds, RefuseWhatLeavesNoTime) {
+// Bounds that leave too little time are rejected at start-up. An entry that ran with them would
+// accept jobs and never start one.
+TEST(PoolBounds, RejectsBoundsThatLeaveTooLittleTime) {
   PoolBounds bounds;
   bounds.cancel = milliseconds(600);
   EXPECT_THROW(PlannerOptionsFor(bounds), Error);
@@ -98,7 +98,7 @@
   EXPECT_THROW(ApplyBounds(bounds, &api), Error);
 }
 
-TEST(PoolBounds, TellOfAGuaranteeThatComesTooLate) {
+TEST(PoolBounds, ReportsAnUnattainableReclaimBound) {
   PoolBounds bounds;
   EXPECT_TRUE(UnattainableBounds(bounds).empty());
   bounds.reclaim = bounds.stop;
--- a/servers/pool/worker_health_tracker.cc
+++ b/servers/pool/worker_health_tracker.cc
@@ -6,17 +6,18 @@
 namespace turmericshift::pool {
 namespace {
 
-// Failures older than this say nothing any more: troubles of workers last for seconds here.
+// Failures older than this are ignored: faults of workers last for seconds here.
 constexpr Duration kFailureWindow = std::chrono::seconds(10);
-// So many different jobs failing at one worker, and nowhere else, condemn it: a sound worker fails
-// one run in two hundred, so that two within the memory are unlikely to be chance.
+// A worker is quarantined after failures of this many different jobs that failed nowhere else. A
+// sound worker fails one run in two hundred, so two failures within the window are unlikely to be
+// chance.
 constexpr int kQuarantineThreshold = 2;
-// First time aside; doubled each time it fails again.
+// Length of the first quarantine, doubled with each further one.
 constexpr Duration kInitialQuarantine = std::chrono::seconds(3);
 constexpr int kMaxDoublings = 2;
-// An order that is not taken is tried elsewhere for this long.
+// After a failed order, work goes to other workers for this long.
 constexpr Duration kOrderFailureQuarantine = std::chrono::milliseconds(700);
-// Renewed with every report as long as what runs there stands still.
+// Renewed with every report while the worker's runs make no progress.
 constexpr Duration kStallQuarantine = std::chrono::milliseconds(1500);
 
 }  // namespace
--- a/servers/pool/worker_health_tracker.h
+++ b/servers/pool/worker_health_tracker.h
@@ -1,6 +1,7 @@
-// Tells sick workers from sick jobs by how runs end. A worker that fails whatever it is given looks
-// idle and draws work, so that one of eleven spoils far more than its share; it is set aside for a
-// while and tried again. A job whose runs fail on several workers is at fault itself.
+// Distinguishes faulty workers from faulty jobs by how runs end. A worker that fails every run
+// looks idle and attracts work, so one of eleven ruins far more than its share; such a worker is
+// quarantined for a while and then tried again. A job whose runs fail on several workers is itself
+// at fault.
 #pragma once
 
 #include <deque>
@@ -15,16 +16,16 @@
  public:
   void RunFailed(const std::string& worker, const std::string& job, Time now);
   void RunDone(const std::string& worker);
-  // The worker turned an order away or did not answer it.
+  // The worker refused an order or did not answer it.
   void OrderFailed(const std::string& worker, Time now);
-  // Nothing that runs at the worker gets any further.
+  // None of the worker's runs makes progress.
   void StandsStill(const std::string& worker, Time now);
-  // A new life of a worker starts with a clean sheet.
+  // Clears the worker's history when a new incarnation of the worker starts.
   void Forget(const std::string& worker);
 
-  // Gets no work now.
+  // Whether the worker is quarantined and gets no work.
   bool IsQuarantined(const std::string& worker, Time now) const;
-  // Failed something lately: comes last.
+  // Whether the worker has failed a run recently; suspect workers are chosen last.
   bool IsSuspect(const std::string& worker, Time now) const;
 
  private:
@@ -38,10 +39,10 @@
     int quarantine_count = 0;
   };
 
-  // Jobs that failed lately at this worker and have not failed elsewhere.
+  // Counts the jobs that failed recently on this worker and on no other.
   int CountBlamedJobs(const std::string& worker, const WorkerHistory& history, Time now) const;
   void Evaluate(const std::string& worker, Time now);
-  // Until then at least.
+  // Extends the worker's quarantine to `until` if it would end earlier.
   void QuarantineUntil(const std::string& worker, Time until);
 
   std::map<std::string, WorkerHistory> histories_;
--- a/servers/pool/worker_state.cc
+++ b/servers/pool/worker_state.cc
@@ -3,7 +3,7 @@
 namespace turmericshift::pool {
 namespace {
 
-// An agent that has not reported for so long gets no new work: it polls each second, so that two
+// An agent that has not reported for this long gets no new work. Agents poll every second, so two
 // polls were lost.
 constexpr Duration kReportTimeout = std::chrono::milliseconds(2200);
 
--- a/servers/pool/worker_state.h
+++ b/servers/pool/worker_state.h
@@ -1,5 +1,5 @@
-// What the planner knows of its workers: who they are, what runs there, and until when it may go on
-// running although nobody hears of it.
+// The planner's record of each worker: identity, live runs, and the time until which those runs may
+// continue although the agent has not reported.
 #pragma once
 
 #include <deque>
@@ -15,11 +15,11 @@
 
 namespace turmericshift::pool {
 
-// Where a run stands, as far as the planner knows.
+// State of a run as known to the planner.
 enum class RunPhase {
   kOrdered,
-  // Ordered from an agent whose process has been replaced since: it may run or may not, and the
-  // new process can't tell by itself.
+  // The start was ordered from an agent process that has since been replaced. The run may exist or
+  // not; the new process cannot tell.
   kUncertain,
   kRunning,
   kStopping,
@@ -29,24 +29,25 @@
   RunId run;
   RunPhase phase = RunPhase::kOrdered;
   Room need;
-  // Ordered, or first heard of.
+  // Time when the start was ordered, or the run was first reported.
   Time since{};
   std::string checkpoint;
   RunProgress progress;
-  // What it should take where it was put.
+  // Expected run time with its placement.
   Duration estimate{};
-  // It can be stopped and go on later from where it was.
+  // The run can be stopped and later continue from a checkpoint.
   bool saved = false;
-  // Begun from nothing, where it takes no longer than it must: its time tells of others.
+  // The run began without a checkpoint and with a placement that does not slow it down, so its run
+  // time is a valid sample for other estimates.
   bool representative = false;
-  // When it was asked to stop for another's sake.
+  // Time when the run was asked to stop to make room for others.
   std::optional<Time> stopping_since;
-  // The start is ordered once this record is kept; see PoolPlanner::Start.
+  // The start is ordered once the record with this ticket is durable; see PoolPlanner::Start.
   Ticket released_by = 0;
-  // What the start hands over; empty for runs that were found running.
+  // Sent with the start order; empty for runs that were found running.
   std::string payload;
   std::string ticket;
-  // Its processors do not count.
+  // The run's processors do not count against the worker's capacity.
   bool best_effort = false;
 };
 
@@ -59,33 +60,34 @@
   std::string node;
   std::string zone;
   std::string incarnation;
-  // When the agent's process was first heard.
+  // Time of the first report of the agent's process.
   Time incarnation_since{};
-  // The newest of the processes before it; see PoolPlanner::TakeIncarnation.
+  // The most recent previous incarnations; see PoolPlanner::TakeIncarnation.
   std::deque<std::string> former_incarnations;
   int64_t sequence = -1;
   WorkerFacts facts;
-  // The lists under this planner's epoch have been heard, so nothing older can start there.
+  // The agent's task lists under this planner's epoch have been received, so no order of an older
+  // planner can start anything on the worker.
   bool known = false;
-  // When the last report came.
+  // Time of the last report.
   Time last_report{};
-  // Whatever runs there has ended by then, unless a lease is renewed.
+  // All live runs have ended by this time unless a lease is renewed.
   Time lease_until{};
   std::map<RunId, LiveRun> live;
-  // Ends that were taken in, with the ticket of the record that keeps each.
+  // Processed ends, each with the ticket of the record that makes it durable.
   std::deque<RecordedEnd> ends;
   int64_t ends_seen = 0;
   int64_t ends_kept = 0;
-  // What the agent has been told, and what there is to tell.
+  // Version of the newest orders for the agent, and the newest version that it has acknowledged.
   int64_t version = 0;
   int64_t version_seen = 0;
 
-  // What is left as of this round of planning; see PoolPlanner::Plan.
+  // Free room in the current planning round; see PoolPlanner::Plan.
   Room left;
-  // What is live, as of this round.
+  // Kind of the live runs in the current planning round.
   Tenants tenants = Tenants::kNone;
 
-  // Capacity less what is live; what is being stopped still counts.
+  // Capacity less the room of live runs. Runs that are being stopped still count.
   Room free() const;
   bool usable(Time now) const;
 };
