--- a/servers/pool/job_api.cc
+++ b/servers/pool/job_api.cc
@@ -9,11 +9,12 @@
 namespace turmericshift::pool {
 namespace {
 
-// How often a call that waits for a planner looks for one.
+// Interval between the attempts of a call that waits for a planner.
 constexpr Duration kRetryInterval = std::chrono::milliseconds(60);
-// A planner in another zone answers a connect within milliseconds.
+// A planner in another zone answers a connection request within milliseconds.
 constexpr Duration kConnectTimeout = std::chrono::milliseconds(700);
-// A record is kept and answered for in some 20 ms; with less than this left a try is pointless.
+// A record becomes durable and is acknowledged in some 20 ms; an attempt with less time than this
+// is pointless.
 constexpr Duration kMinAttemptTime = std::chrono::milliseconds(60);
 
 }  // namespace
@@ -58,20 +59,20 @@
 }
 
 JobAnswer JobApi::HandleCall(const JobCall& call, Time now) {
-  // Read first, so that the document is at least as new as this says.
+  // Read before the document, so that the document is at least as new as this freshness.
   const Freshness freshness = operators_->freshness();
   const std::shared_ptr<const OperatorState> state = operators_->state();
-  if (state->config.version == 0) return NotAccepted("no configuration has been read yet");
+  if (state->config.version == 0) return NotAccepted("the configuration has not been read yet");
   const Queue* queue = state->config.Route(call.host, call.path);
   if (queue == nullptr) {
     JobAnswer answer;
     answer.kind = JobAnswerKind::kNoSuchQueue;
-    answer.message = "no queue at this address";
+    answer.message = "no queue at this host and path";
     return answer;
   }
   if (queue->open) return HandleRouted(call, *queue, "", now);
   if (!freshness.within(options_.key_age_limit, now)) {
-    return NotAccepted("keys can't be checked: the store does not answer");
+    return NotAccepted("keys cannot be checked: the store is not responding");
   }
   const Workspace* workspace = state->config.WorkspaceForKey(call.key);
   if (workspace == nullptr) {
@@ -90,11 +91,11 @@
     if (call.kind != JobCall::Kind::kState) {
       JobAnswer answer;
       answer.kind = JobAnswerKind::kBadRequest;
-      answer.message = "a job's id is missing";
+      answer.message = "the path lacks a job id";
       return answer;
     }
     if (!work_->freshness().within(options_.view_age_limit, now)) {
-      return NotAccepted("the store does not answer");
+      return NotAccepted("the store is not responding");
     }
     JobAnswer answer;
     answer.kind = JobAnswerKind::kWaiting;
@@ -114,7 +115,8 @@
 
 JobAnswer JobApi::State(const std::string& id, Time now) const {
   JobAnswer answer;
-  // Read first: a view that catches up in between would vouch for what it did not show yet.
+  // Read before the state: if the view caught up in between, its freshness would not apply to the
+  // state read earlier.
   const Freshness freshness = work_->freshness();
   const std::optional<JobState> state = work_->StateOf(id);
   if (state) {
@@ -122,9 +124,9 @@
     answer.state = *state;
     return answer;
   }
-  // Only a view that is fresh enough to know every job may say that there is none.
+  // Only a view that is recent enough to contain every job may report that there is none.
   if (!freshness.within(options_.view_age_limit, now)) {
-    return NotAccepted("the store does not answer");
+    return NotAccepted("the store is not responding");
   }
   answer.kind = JobAnswerKind::kNoSuchJob;
   return answer;
@@ -199,7 +201,8 @@
 }
 
 std::shared_ptr<PlannerPort> JobApi::Port(Duration limit) {
-  // This entry may have lost the store and been told of a planner that it can't read of.
+  // This entry may have lost the store and have been told of a newer planner that it cannot read
+  // about.
   const PlannerRecord recorded = work_->duty().planner;
   const PlannerRecord announced = local_->Successor();
   const PlannerRecord& planner = announced.epoch > recorded.epoch ? announced : recorded;
@@ -251,7 +254,7 @@
       }
       const bool not_run = error.outcome() == Outcome::kNotRun;
       if (!not_run) may_have_run = true;
-      // The planner is there and can't keep anything now: waiting would not help the caller.
+      // The planner is reachable but cannot store anything now: waiting would not help the caller.
       if (not_run && !may_have_run && error.kind() == ErrorKind::kLogUnavailable) {
         return NotAccepted(error.what());
       }
--- a/servers/pool/job_api.h
+++ b/servers/pool/job_api.h
@@ -1,9 +1,9 @@
-// What an entry answers callers: it routes, checks keys, hands jobs to the planner and tells their
-// state from its own view of the store.
+// API handler of an entry for callers: routes calls, checks keys, submits jobs to the planner, and
+// reports job states from the entry's own view of the store.
 //
-// Load pattern: bursts of submissions, and a planner that is being replaced under them. A call
-// waits through a change of planner, which takes two seconds, since callers try again at once and
-// would use up their tries; it is turned away at once when the store is known not to answer.
+// Load pattern: bursts of submissions while the planner is being replaced. A call waits through a
+// change of planner, which takes two seconds, since callers retry immediately and would use up
+// their attempts. A call is refused immediately when the store is known to be unresponsive.
 #pragma once
 
 #include <atomic>
@@ -22,36 +22,36 @@
 
 namespace turmericshift::pool {
 
-// A caller's call, read by an adapter.
+// A caller's call, decoded by an adapter.
 struct JobCall {
   enum class Kind { kSubmit, kState, kCancel };
   Kind kind = Kind::kState;
   std::string host;
   std::string path;
-  // Empty when the caller showed none.
+  // Empty if the caller sent none.
   std::string key;
-  // How long the caller waits.
+  // How long the caller waits for an answer.
   Duration timeout = std::chrono::seconds(3);
   size_t body_bytes = 0;
-  // Reads the body's payload, steps and schedule into a job; throws Error(kInvalidInput).
+  // Parses the body's payload, steps and schedule into a job; throws Error(kInvalidInput).
   std::function<void(JobSpec*)> read_body;
 };
 
 enum class JobAnswerKind {
-  // The job is in the store.
+  // The job is durable.
   kAccepted,
-  // `state` tells the job's state.
+  // `state` holds the job's state.
   kState,
-  // `waiting` tells how many jobs of the queue wait.
+  // `waiting` holds the number of the queue's waiting jobs.
   kWaiting,
   kCancelled,
   kNoSuchQueue,
   kNoSuchJob,
   kUnknownKey,
   kBadRequest,
-  // Surely not taken in; may be tried again after `retry_after`.
+  // The call certainly had no effect; it may be repeated after `retry_after`.
   kNotAccepted,
-  // Not known whether it was taken in; the same call again is harmless.
+  // It is unknown whether the call took effect; repeating it is harmless.
   kUnknown,
 };
 
@@ -65,29 +65,32 @@
 
 struct JobApiOptions {
   std::string node;
-  // Without word of the operators for so long, a key may have been taken away unheard of.
+  // Oldest operator view for which keys are accepted: with an older one, a withdrawn key might
+  // still be in it.
   Duration key_age_limit = std::chrono::milliseconds(4000);
-  // A view older than this may miss a job taken in elsewhere that has to be known by now.
+  // Oldest view of the work topic that counts as complete: an older one may lack jobs accepted by
+  // other entries that must be visible by now.
   Duration view_age_limit = std::chrono::milliseconds(2000);
-  // Left of a caller's patience for the answer's way back.
+  // Part of the caller's timeout that is reserved for sending the answer.
   Duration response_margin = std::chrono::milliseconds(250);
-  // One try at the planner.
+  // Timeout of one attempt at the planner.
   Duration attempt_timeout = std::chrono::milliseconds(1500);
-  // Suggested when nothing better is known: a change of planner, or a store that is away, for a
-  // moment.
+  // Default retry delay suggested to callers, for example during a change of planner or a short
+  // outage of the store.
   Duration retry_after = std::chrono::seconds(1);
 };
 
 class JobApi {
  public:
-  // `local`: the planner of this process, used when the duty is here.
+  // `local`: this process's planner, used while it is the active one.
   JobApi(const JobApiOptions& options, const WorkView* work, const OperatorView* operators,
          PlannerGate* local, PlannerReach* reach, MetricsRegistry* metrics);
 
   JobAnswer Handle(const JobCall& call, Time now);
-  // Every call has its answer by then, also one whose caller would wait longer: the process ends.
+  // Sets the time by which every call is answered, also if its caller would wait longer, because
+  // the process ends.
   void SetAnswerDeadline(Time limit) { answer_by_.store(limit); }
-  // Whether callers are served well here.
+  // Whether this entry can serve callers: its views of the store are recent.
   bool Ready(Time now) const;
 
  private:
@@ -98,8 +101,8 @@
                    const std::string& workspace, Time now);
   JobAnswer State(const std::string& id, Time now) const;
   JobAnswer Cancel(const std::string& id, Duration timeout, Time now);
-  // Tries `ask` at whoever plans until it is answered or `until`; `known` tells whether the view
-  // shows that it has happened.
+  // Repeats `call` at the active planner until it is answered or `until` is reached; `already_done`
+  // tells whether the view shows that the call has taken effect.
   JobAnswer CallPlanner(const std::function<void(PlannerPort*, Duration)>& call,
                         const std::function<bool()>& already_done, JobAnswerKind done, Time until);
   std::shared_ptr<PlannerPort> Port(Duration limit);
@@ -122,12 +125,12 @@
   int64_t port_epoch_ = 0;
 };
 
-// Reads a platform's calls and writes its answers.
+// Translates between a platform's HTTP calls and the JobApi.
 class CallerEndpoint {
  public:
   virtual ~CallerEndpoint() = default;
   virtual HttpResponse Handle(const HttpRequest& request, JobApi* front, Time now) const = 0;
-  // The path at which the platform's balancer asks whether this entry is ready.
+  // Path at which the platform's load balancer checks whether this entry is ready.
   virtual std::string ready_path() const = 0;
 };
 
--- a/servers/pool/job_api_test.cc
+++ b/servers/pool/job_api_test.cc
@@ -13,7 +13,7 @@
 
 using std::chrono::milliseconds;
 
-// Operators that lay down one open queue, whatever the record says.
+// Configures one open queue, whatever the record contains.
 class SingleQueueDecoder : public OperatorDecoder {
  public:
   std::string topic() const override { return "documents"; }
@@ -28,7 +28,7 @@
   }
 };
 
-// A planner whose store is silent: it takes jobs in and never answers.
+// A planner whose store is unresponsive: it accepts jobs and never answers.
 class UnresponsiveGate : public PlannerGate {
  public:
   int submissions() const { return submissions_.load(); }
@@ -46,7 +46,7 @@
   std::atomic<int> submissions_{0};
 };
 
-// A planner that has lost the store and been told who follows it.
+// A planner that has lost the store and been told of its successor.
 class SupersededGate : public UnresponsiveGate {
  public:
   PlannerRecord Successor() const override { return {2, "e2", "there"}; }
@@ -57,7 +57,7 @@
   }
 };
 
-// Takes everything in.
+// Accepts every call.
 class AcceptingPort : public PlannerPort {
  public:
   AgentOrders Exchange(const AgentReport& /*report*/, Duration /*timeout*/) override { return {}; }
@@ -67,7 +67,7 @@
   void Offer(Duration /*timeout*/) override {}
 };
 
-// Reaches the planner at "there".
+// Connects to the planner at "there" only.
 class SinglePlannerConnector : public PlannerConnector {
  public:
   std::shared_ptr<PlannerPort> Connect(const std::string& address, Duration /*limit*/) override {
@@ -122,26 +122,28 @@
   std::unique_ptr<JobApi> api;
 };
 
-// The store goes silent as a job is on its way into it, and the caller is told that nobody knows.
-// It comes again with little patience left, too little to ask anyone. Were it told that its job
-// never runs, it would order anew, and be charged twice once the store is back.
-TEST(JobApi, DoesNotRefuseAJobThatItMayHaveTakenInBefore) {
+// The store becomes unresponsive while a job's record is in flight, and the caller gets kUnknown.
+// The caller repeats the call with too little time left to contact a planner. If the answer were
+// that the job never runs, the caller would order again and be charged twice once the store is
+// back.
+TEST(JobApi, DoesNotRefuseAJobThatMayHaveBeenAccepted) {
   ApiFixture fixture;
   EXPECT_EQ(fixture.Submit("j", milliseconds(500)), JobAnswerKind::kUnknown);
   EXPECT_EQ(fixture.Submit("j", milliseconds(100)), JobAnswerKind::kUnknown);
   EXPECT_EQ(fixture.Submit("other", milliseconds(100)), JobAnswerKind::kNotAccepted);
 }
 
-// The planner has lost the store and is followed, and its own view of the store still shows itself.
-// A caller that comes to it then waited until its patience was gone, and had none left to try
+// This entry's planner has lost the store and been superseded, but the entry's view still shows it
+// as active. Guards against a call that waits there until its timeout and leaves no time to try
 // another entry.
-TEST(JobApi, GoesToThePlannerThatItHasBeenToldOf) {
-  ApiFixture fixture(std::make_unique<SupersededGate>(), std::make_unique<SinglePlannerConnector>());
+TEST(JobApi, CallsTheAnnouncedSuccessor) {
+  ApiFixture fixture(std::make_unique<SupersededGate>(),
+                     std::make_unique<SinglePlannerConnector>());
   EXPECT_EQ(fixture.Submit("j", milliseconds(1000)), JobAnswerKind::kAccepted);
 }
 
-// The process ends before the caller's patience does: the call must be answered, not cut, and a job
-// that no planner was asked about never runs.
+// The process ends before the caller's timeout: the call must be answered rather than cut off, and
+// a job that was never passed to a planner does not run.
 TEST(JobApi, AnswersBeforeTheProcessEnds) {
   auto gate = std::make_unique<UnresponsiveGate>();
   const UnresponsiveGate& planner = *gate;
@@ -151,7 +153,7 @@
   EXPECT_EQ(planner.submissions(), 0);
 }
 
-TEST(UnresolvedCalls, ForgetsAfterAWhile) {
+TEST(UnresolvedCalls, ExpireAfterAMinute) {
   UnresolvedCalls calls;
   const Time now = Time(std::chrono::hours(1));
   calls.Note("a", now);
--- a/servers/pool/job_estimator.cc
+++ b/servers/pool/job_estimator.cc
@@ -5,17 +5,18 @@
 namespace turmericshift::pool {
 namespace {
 
-// A step that needs more than one in so many of the pool's accelerators, processors or memory is
-// not expected to have them all at once: its job is due later accordingly.
+// A step is not expected to get more than this fraction (one in kFairShareDivisor) of the pool's
+// accelerators, processors or memory at a time: a wider step runs in waves, and its job is due
+// correspondingly later.
 constexpr int64_t kFairShareDivisor = 4;
 
-// How many times the share of the pool that a step may have at once goes into `needed`.
+// Number of waves in which `needed` fits into a step's share of `total`.
 int64_t Waves(int64_t needed, int64_t total) {
   const int64_t share = std::max<int64_t>(total / kFairShareDivisor, 1);
   return total == 0 ? 1 : (needed + share - 1) / share;
 }
 
-// In how many goes the step is done by a pool of `whole`. A gang is done in one.
+// Number of waves in which a pool of capacity `total` runs the step. A gang runs in a single wave.
 int64_t WavesOf(const StepSpec& step, const Room& total) {
   if (step.gang) return 1;
   return std::max({int64_t{1},
--- a/servers/pool/job_estimator.h
+++ b/servers/pool/job_estimator.h
@@ -1,5 +1,5 @@
-// Says of jobs how long they should take, when they are due, and what it is worth to have them in
-// time, from what has been seen of their queues and of the pool.
+// Estimates how long jobs take, when they are due, and the value of finishing them on time, from
+// the observed runs of their queues and the pool's capacity.
 #pragma once
 
 #include <map>
@@ -18,21 +18,22 @@
  public:
   explicit JobEstimator(const MechanismsOff& off) : off_(off) {}
 
-  // A task of the queue that was estimated to take `estimate` took `actual`, undisturbed.
+  // Records the run time of a task that ran undisturbed: the caller's `estimate` and the `actual`
+  // time.
   void RecordRun(const std::string& queue, Duration estimate, Duration actual);
-  // What the workers of a service hold when nothing runs there, all of them together.
+  // Sets the total capacity of each service's workers, with no tasks running.
   void SetCapacity(const std::map<std::string, Room>& by_service) { capacity_ = by_service; }
-  // Jobs that queues have had of late, as one list: what is usual is their mean.
+  // ResetJobs, followed by RecordJob for each recent job, sets the mean work of a job by queue.
   void ResetJobs();
   void RecordJob(const JobSpec& spec);
 
-  // What a task of the step should take.
+  // Expected run time of a task of the step.
   Duration ExpectedTime(const JobSpec& spec, const StepSpec& step) const;
-  // Of a job whose step `place` comes next. `terms`: what its queue lays down now; `wall_ms`:
+  // Timing of a job from step `place` on. `terms`: the queue's current terms; `wall_ms`:
   // milliseconds since 1970.
   JobTiming TimingOf(const JobSpec& spec, const QueueTerms& terms, const StepPlace& place,
                      int64_t wall_ms) const;
-  // What it is worth to have the job in time, in core-seconds of others' work.
+  // Value of finishing the job on time, in core-seconds of other work.
   double ValueOf(const JobSpec& spec, const QueueTerms& terms) const;
 
  private:
@@ -42,20 +43,21 @@
   };
 
   bool Enabled(Mechanism mechanism) const { return off_.count(mechanism) == 0; }
-  // Core-seconds of all its steps.
+  // Total work of the job's steps in core-seconds.
   double WorkInCoreSeconds(const JobSpec& spec) const;
-  // What the longest chain of steps should take a pool that works on the job as its caller may
-  // expect: no step has more than a share of the pool at once.
+  // Expected critical path on the pool's workers, where no step has more than a share of the pool
+  // at a time.
   Duration FairShareCriticalPath(const JobSpec& spec, const std::string& service) const;
 
   const MechanismsOff off_;
   RunTimes run_times_;
   std::map<std::string, Room> capacity_;
-  // By queue, in core-seconds.
+  // Work of recent jobs by queue, in core-seconds.
   std::map<std::string, Mean> work_by_queue_;
 };
 
-// Milliseconds since 1970 when the job was handed in or its occurrence was due to begin.
+// Milliseconds since 1970 when the job was submitted or, for a scheduled job, when its occurrence
+// was due to begin.
 int64_t ReleaseMs(const JobSpec& spec, int occurrence);
 
 }  // namespace turmericshift::pool
--- a/servers/pool/job_estimator_test.cc
+++ b/servers/pool/job_estimator_test.cc
@@ -38,8 +38,8 @@
   return appraiser.TimingOf(spec, Terms(), {0, 0}, kAcceptedMs).critical_path;
 }
 
-// A caller can't expect more than a quarter of the pool at once, twenty accelerators here.
-TEST(JobEstimator, GivesAWideStepTheTimeOfSeveralGoes) {
+// A caller may expect at most a quarter of the pool at a time, here twenty accelerators.
+TEST(JobEstimator, WideStepTakesSeveralWaves) {
   const JobEstimator appraiser = EstimatorForPool({});
   EXPECT_EQ(CriticalPathOf(appraiser, OneStep(2, 8)), seconds(2));
   EXPECT_EQ(CriticalPathOf(appraiser, OneStep(3, 8)), seconds(4));
@@ -50,15 +50,15 @@
   EXPECT_EQ(CriticalPathOf(EstimatorForPool({Mechanism::kWideInGoes}), OneStep(16, 8)), seconds(2));
 }
 
-TEST(JobEstimator, CountsWhatHasGoneBy) {
+TEST(JobEstimator, ElapsedTimeCountsFromAcceptance) {
   const JobTiming timing =
       EstimatorForPool({}).TimingOf(OneStep(1, 1), Terms(), {0, 0}, kAcceptedMs + 1500);
   EXPECT_EQ(timing.elapsed, std::chrono::milliseconds(1500));
 }
 
-// Worth goes by size against what is usual of the queue, so that a deployment with larger jobs
-// does not take each of them for a treasure.
-TEST(JobEstimator, MeasuresAJobAgainstTheUsualOnesOfItsQueue) {
+// The value depends on a job's size relative to the queue's mean, so that a deployment with larger
+// jobs does not overvalue all of them.
+TEST(JobEstimator, ValueIsRelativeToTheMeanJobOfTheQueue) {
   JobEstimator appraiser = EstimatorForPool({});
   const double alone = appraiser.ValueOf(OneStep(4, 1), Terms());
   appraiser.ResetJobs();
--- a/servers/pool/job_records.cc
+++ b/servers/pool/job_records.cc
@@ -72,13 +72,13 @@
   return terms;
 }
 
-// Turns whatever the JSON library throws into the project's own error.
+// Converts exceptions of the JSON library to Error.
 template <typename Body>
 auto Decoded(const char* what, Body&& body) {
   try {
     return body();
   } catch (const json::exception& error) {
-    throw Error(ErrorKind::kInvalidInput, std::string("no ") + what + ": " + error.what());
+    throw Error(ErrorKind::kInvalidInput, std::string("malformed ") + what + ": " + error.what());
   }
 }
 
--- a/servers/pool/job_records.h
+++ b/servers/pool/job_records.h
@@ -1,11 +1,11 @@
-// The records that jobs live in, as JSON: what a job is (written once) and how far it has come
-// (written anew with each change).
+// JSON records of jobs in the work topic: a job's specification (written once) and its progress
+// (rewritten with each change).
 //
 // Keys of the work topic:
 //   j/ID      JobSpec
 //   p/ID      JobProgress
 //   planner   PlannerRecord
-//   beat      sign of life of the planner
+//   beat      heartbeat of the planner
 #pragma once
 
 #include <string>
@@ -19,21 +19,21 @@
 inline constexpr const char* kPlannerKey = "planner";
 inline constexpr const char* kHeartbeatKey = "beat";
 
-// Who plans the pool.
+// The pool's active planner.
 struct PlannerRecord {
   int64_t epoch = 0;
   std::string node;
-  // Where its sessions are opened, "ip:port"; empty when it has given the duty up.
+  // Address for the planner's sessions, "ip:port"; empty once the planner has stepped down.
   std::string address;
 };
 
-// An entry, as it tells the others of itself.
+// An entry's announcement to the other entries.
 struct EntryRecord {
   std::string node;
   std::string zone;
-  // Where its sessions are opened, "ip:port".
+  // Address for the entry's sessions, "ip:port".
   std::string address;
-  // Agents that it can plan for; see planning_capacity.h.
+  // Number of agents that the entry can plan for; see planning_capacity.h.
   int planning_capacity = 0;
 
   bool operator==(const EntryRecord&) const = default;
@@ -44,7 +44,7 @@
 std::string EncodePlanner(const PlannerRecord& planner);
 std::string EncodeEntry(const EntryRecord& entry);
 
-// Throw Error(kInvalidInput) for bytes that are no such record.
+// Decodes a record. Throws Error(kInvalidInput) for malformed bytes.
 JobSpec DecodeSpec(const std::string& id, const std::string& bytes);
 JobProgress DecodeProgress(const std::string& bytes);
 PlannerRecord DecodePlanner(const std::string& bytes);
--- a/servers/pool/job_table.cc
+++ b/servers/pool/job_table.cc
@@ -8,7 +8,7 @@
 bool JobTable::RecordIfNewer(const KeyedRecord& record) {
   const auto known = offsets_.find(record.key);
   if (known != offsets_.end() && known->second >= record.offset) return false;
-  // A dropped key needs no memory: its records lie before this offset and are read in order.
+  // A deleted key's offset need not be stored: its older records are read before this one.
   if (record.value.empty()) {
     offsets_.erase(record.key);
   } else {
--- a/servers/pool/job_table.h
+++ b/servers/pool/job_table.h
@@ -1,5 +1,5 @@
-// What the work topic says: every job with its progress, and who plans. A fold of keyed records,
-// the same at every entry that has read as far.
+// State machine that is fed by the records of the work topic: all jobs with their progress, and the
+// active planner. It is the same on every entry that has read up to the same offset.
 #pragma once
 
 #include <map>
@@ -17,28 +17,29 @@
 
 class JobTable {
  public:
-  // Takes one record in. Pages of the newest records and the history overlap: a record that is
-  // older than what the book has of its key changes nothing. Throws Error(kInvalidInput) for bytes
-  // that can't be read, with the book unchanged.
+  // Applies one record. Pages of the newest records overlap with the history, so a record that is
+  // not newer than the last one of its key is ignored. Throws Error(kInvalidInput) for malformed
+  // bytes, with the jobs and the planner unchanged.
   void Apply(const KeyedRecord& record);
 
   const std::map<std::string, StoredJob>& jobs() const { return jobs_; }
-  // Null when there is no such job.
+  // Null if there is no such job.
   const StoredJob* Find(const std::string& id) const;
   const PlannerRecord& planner() const { return planner_; }
-  // Offset of the newest sign of life of the planner.
+  // Offset of the newest record. Any record, in particular a heartbeat, shows that the planner was
+  // alive.
   Offset newest_offset() const { return newest_offset_; }
-  // Jobs of the queue that wait with nothing started, as far as the records tell.
+  // Number of the queue's jobs that have not started, according to the records.
   int Waiting(const std::string& queue) const;
 
  private:
-  // Whether `record` is newer than what was taken in of its key; notes its offset if so.
+  // Whether `record` is newer than the last record of its key; if so, stores its offset.
   bool RecordIfNewer(const KeyedRecord& record);
   void ApplySpec(const std::string& id, const KeyedRecord& record);
   void ApplyProgress(const std::string& id, const KeyedRecord& record);
 
   std::map<std::string, StoredJob> jobs_;
-  // Progress whose job has not been read yet: pages come in the order of keys.
+  // Progress of jobs whose specification has not been read yet: pages come in the order of keys.
   std::map<std::string, JobProgress> orphaned_progress_;
   std::map<std::string, Offset> offsets_;
   PlannerRecord planner_;
--- a/servers/pool/job_table_test.cc
+++ b/servers/pool/job_table_test.cc
@@ -24,7 +24,7 @@
   return spec;
 }
 
-TEST(JobRecords, GiveAJobBackAsItWas) {
+TEST(JobRecords, RoundTripASpec) {
   const JobSpec spec = FullJob();
   const JobSpec read = DecodeSpec(spec.id, EncodeSpec(spec));
   EXPECT_EQ(EncodeSpec(read), EncodeSpec(spec));
@@ -34,7 +34,7 @@
   EXPECT_EQ(read.schedule.interval_ms, 2000);
 }
 
-TEST(JobRecords, GiveProgressBackAsItWas) {
+TEST(JobRecords, RoundTripProgress) {
   JobProgress progress;
   progress.state = JobState::kRunning;
   progress.done[{0, 0}] = {0, 2};
@@ -46,7 +46,7 @@
   EXPECT_EQ(read.failures.at({0, 0, 1}), (std::set<int64_t>{54, 77}));
 }
 
-TEST(JobRecords, RefuseBytesThatAreNoRecord) {
+TEST(JobRecords, RejectMalformedBytes) {
   for (const char* bytes : {"", "{", "[]", "{\"queue\":1}", "null"}) {
     EXPECT_THROW(DecodeSpec("id", bytes), Error) << bytes;
     EXPECT_THROW(DecodeProgress(bytes), Error) << bytes;
@@ -54,7 +54,7 @@
   }
 }
 
-TEST(JobTable, TakesProgressThatComesBeforeItsJob) {
+TEST(JobTable, AppliesProgressThatPrecedesItsJob) {
   JobTable table;
   JobProgress progress;
   progress.state = JobState::kCompleted;
@@ -65,8 +65,8 @@
 }
 
 // Pages of the newest records overlap with the history that is read after them. An older record
-// that is read later must not bring a finished job back to life.
-TEST(JobTable, IgnoresRecordsOlderThanWhatItHas) {
+// that is read later must not reset a finished job to running.
+TEST(JobTable, IgnoresOlderRecords) {
   JobTable table;
   JobProgress progress;
   table.Apply({"j/x", EncodeSpec(FullJob()), 1});
@@ -77,7 +77,7 @@
   EXPECT_EQ(table.Find("x")->progress.state, JobState::kCompleted);
 }
 
-TEST(JobTable, ForgetsADroppedJob) {
+TEST(JobTable, RemovesADeletedJob) {
   JobTable table;
   table.Apply({"j/x", EncodeSpec(FullJob()), 1});
   table.Apply({"j/x", "", 2});
--- a/servers/pool/job_value.cc
+++ b/servers/pool/job_value.cc
@@ -6,33 +6,34 @@
 namespace turmericshift::pool {
 namespace {
 
-// A job that comes late, and not too late to be of use, brings this share of its worth.
+// Share of its value that a job brings when it finishes past its due time, but early enough to be
+// useful.
 constexpr double kLateShare = 0.25;
-// Times are never known to the last digit; it also keeps the likelihood a smooth function.
+// Run times are never known exactly; a minimum spread also keeps the probability a smooth function.
 constexpr double kMinSpread = 0.05;
 
-// Each core-second of a job of priority 0 that comes in time makes up for so many of others' work,
+// Value of a core-second of a priority 0 job that finishes on time, in core-seconds of other work.
 constexpr double kValuePerCoreSecond = 4;
-// of each lower priority for so many times less.
+// Factor of that value for each lower priority level.
 constexpr double kPriorityFactor = 0.25;
-// Part of a job's worth that does not depend on its size, and the size that counts at the most, in
-// usual jobs of its queue.
+// Part of a job's value that does not depend on its size.
 constexpr double kFixedValueShare = 0.3;
+// Largest size that counts, in units of the queue's mean work.
 constexpr double kMaxRelativeSize = 4;
 
-// An accelerator weighs as much as so many cores in work thrown away; the operators' own price.
+// Number of cores that an accelerator counts as when work is lost; the price that operators use.
 constexpr double kCoresPerAccelerator = 8;
 constexpr double kMillisPerCore = 1000;
 
-// Likelihood that a normal deviate is below `deviations`.
+// Probability that a standard normal variable is below `deviations`.
 double NormalCdf(double deviations) { return 0.5 * std::erfc(-deviations / std::sqrt(2.0)); }
 
 }  // namespace
 
 double CompletionProbability(const JobTiming& timing, double factor, Duration wait) {
-  // With times that are F times what is expected the job is done in time if
-  //   elapsed + wait + rest F <= factor (target + stretch chain F),
-  // that is, if F slack >= late, where both may be negative.
+  // If actual times are F times the expected ones, the job finishes on time if
+  //   elapsed + wait + remaining F <= factor (target_latency + stretch critical_path F),
+  // that is, if F slack >= lag, where both may be negative.
   const double slack =
       factor * timing.stretch * Seconds(timing.critical_path) - Seconds(timing.remaining);
   const double lag = Seconds(timing.elapsed + wait) - factor * Seconds(timing.target_latency);
--- a/servers/pool/job_value.h
+++ b/servers/pool/job_value.h
@@ -1,8 +1,8 @@
-// What it is worth to a caller that a job is done by some moment, and how likely that is.
+// Value of finishing a job by a given time, and the probability of finishing it by then.
 //
-// Answers load that the pool cannot carry: then somebody comes late, and who that is should be
-// decided by what each start, wait and stop gains or costs. Run times are known only as far as
-// their spread tells, so that being in time is a likelihood, not a yes or no.
+// Load pattern: the pool is overloaded, so some jobs finish past their due time. Which jobs do is
+// decided by what each start, delay and preemption gains or costs. Run times are known only as
+// distributions, so finishing on time is a probability.
 #pragma once
 
 #include "core/clock.h"
@@ -10,36 +10,37 @@
 
 namespace turmericshift::pool {
 
-// What decides whether a job comes in time.
+// Inputs that determine whether a job finishes on time.
 struct JobTiming {
-  // Since the caller handed it in, or since it was due to begin.
+  // Time since the job was submitted, or since it was due to begin.
   Duration elapsed{};
-  // What is left of it should take.
+  // Expected time for the remaining steps.
   Duration remaining{};
-  // What the whole of it should take a pool with room for it.
+  // Expected time for the whole job on a pool with room for it.
   Duration critical_path{};
-  // It should be done within `stretch` times the chain and `target` more.
+  // The job is due `stretch` times the critical path plus `target_latency` after its begin.
   double stretch = 1;
   Duration target_latency{};
-  // Standard deviation of the logarithm of true over expected times.
+  // Standard deviation of the logarithm of the ratio of actual to expected run times.
   double spread = 0;
 };
 
-// A job that takes this many times as long as it should is of no more use to its caller.
+// A job that takes this many times its due time has no value left for its caller.
 inline constexpr int kUselessFactor = 3;
 
-// How likely the job is done within `factor` times its due time when its rest begins after `wait`.
+// Probability that the job finishes within `factor` times its due time if its remaining steps begin
+// after `wait`.
 double CompletionProbability(const JobTiming& timing, double factor, Duration wait);
 
-// Share of its worth that the job is expected to bring when its rest begins after `wait`; 1: it
-// surely comes in time.
+// Expected share of the job's value if its remaining steps begin after `wait`; 1: it certainly
+// finishes on time.
 double ExpectedValueShare(const JobTiming& timing, Duration wait);
 
-// Room in processor cores; an accelerator weighs as much as several.
+// Converts room to processor cores; an accelerator counts as several cores.
 double CoreEquivalent(const Room& room);
 
-// Worth of a job in time, in core-seconds of others' work that it makes up for. `work`: its own, in
-// core-seconds; `mean_work`: what jobs of its queue have on the average.
+// Value of a job that finishes on time, in core-seconds of other work. `work`: the job's work in
+// core-seconds; `mean_work`: the mean work of its queue's jobs.
 double ValueOnTime(int priority, double work, double mean_work);
 
 }  // namespace turmericshift::pool
--- a/servers/pool/job_value_test.cc
+++ b/servers/pool/job_value_test.cc
@@ -8,7 +8,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Two seconds of work that should be done within three and a quarter.
+// Two seconds of work, due within 3.25 s.
 JobTiming ShortJob() {
   JobTiming timing;
   timing.remaining = seconds(2);
@@ -19,12 +19,12 @@
   return timing;
 }
 
-TEST(JobWorth, IsSureOfAJobThatIsInTimeHoweverLongItTakes) {
+TEST(JobValue, IsCertainForAJobThatIsOnTimeAtAnyRunTime) {
   EXPECT_EQ(CompletionProbability(ShortJob(), 1, Duration::zero()), 1);
   EXPECT_EQ(ExpectedValueShare(ShortJob(), Duration::zero()), 1);
 }
 
-TEST(JobWorth, IsLessSureTheLongerTheJobWaits) {
+TEST(JobValue, ProbabilityFallsWithTheWait) {
   double before = 1;
   for (int wait = 400; wait <= 6000; wait += 200) {
     const double probability = CompletionProbability(ShortJob(), 1, milliseconds(wait));
@@ -34,28 +34,28 @@
   EXPECT_LT(before, 0.01);
 }
 
-// By the mean alone a wait of a second and a quarter is just in time, and a moment more is late:
-// half of such jobs are late then, and half are not.
-TEST(JobWorth, TakesTheMeanForAnEvenChance) {
+// With the expected times a wait of 1.25 s is just in time, so half of such jobs finish on time.
+TEST(JobValue, ProbabilityIsOneHalfAtTheExpectedTime) {
   EXPECT_NEAR(CompletionProbability(ShortJob(), 1, milliseconds(1250)), 0.5, 0.01);
 }
 
-TEST(JobWorth, KeepsSomeWorthWhenLateAndNoneWhenTooLate) {
+TEST(JobValue, KeepsAShareOfTheValueUntilUseless) {
   const double late = ExpectedValueShare(ShortJob(), seconds(4));
   EXPECT_GT(late, 0.2);
   EXPECT_LT(late, 0.3);
   EXPECT_LT(ExpectedValueShare(ShortJob(), seconds(60)), 0.01);
 }
 
-// More is left than the whole should have taken, as after a run that was lost at its very end.
-TEST(JobWorth, KnowsAJobThatCanOnlyBeInTimeIfItIsShort) {
+// More work remains than the whole job was expected to take, as after a run that failed at its very
+// end.
+TEST(JobValue, LowProbabilityIfMoreRemainsThanExpected) {
   JobTiming timing = ShortJob();
   timing.remaining = seconds(4);
   EXPECT_LT(CompletionProbability(timing, 1, Duration::zero()), 0.2);
   EXPECT_EQ(CompletionProbability(timing, 1, seconds(1)), 0);
 }
 
-TEST(JobWorth, RisesWithSizeUpToABound) {
+TEST(JobValue, ValueRisesWithSizeUpToALimit) {
   EXPECT_LT(ValueOnTime(0, 100, 400), ValueOnTime(0, 400, 400));
   EXPECT_EQ(ValueOnTime(0, 4000, 400), ValueOnTime(0, 8000, 400));
   EXPECT_GT(ValueOnTime(0, 400, 400), ValueOnTime(1, 400, 400));
--- a/servers/pool/order_sender.cc
+++ b/servers/pool/order_sender.cc
@@ -3,7 +3,7 @@
 namespace turmericshift::pool {
 namespace {
 
-// With one order in twenty unanswered, one in eight thousand still is after so many tries.
+// If one order in twenty is unanswered, one in eight thousand still is after this many attempts.
 constexpr int kMaxAttempts = 3;
 
 template <typename Send>
@@ -11,7 +11,7 @@
   for (int attempt = 1; attempt <= kMaxAttempts; ++attempt) {
     const OrderAnswer answer = send();
     if (answer == OrderAnswer::kUnanswered) continue;
-    // Only the first try's refusal proves that nothing was done.
+    // Only a refusal of the first attempt proves that nothing was executed.
     return attempt == 1 || answer == OrderAnswer::kTaken ? answer : OrderAnswer::kUnanswered;
   }
   return OrderAnswer::kUnanswered;
--- a/servers/pool/order_sender.h
+++ b/servers/pool/order_sender.h
@@ -1,7 +1,7 @@
-// Sends orders to a worker, again where no answer comes. Some workers leave a few orders in a
-// hundred unanswered and carry them out seconds later; of a gang of twenty every second one would
-// be stopped again for a member whose start is not known of. Orders are idempotent by run number,
-// so that the second one is answered as if it were the first, and one that arrives late changes
+// Sends orders to a worker and repeats those that are not answered. Some workers leave a few orders
+// in a hundred unanswered and execute them seconds later; without retries every second gang of
+// twenty would be stopped because the start of one member is unknown. Orders are idempotent by run
+// number, so a repeated order gets the answer of the first, and an order that arrives late changes
 // nothing.
 #pragma once
 
@@ -11,11 +11,11 @@
 
 class OrderSender {
  public:
-  // `worker` must outlive the sender. One try is waited for during `attempt_timeout`.
+  // `worker` must outlive the sender. `attempt_timeout`: how long each attempt waits for an answer.
   OrderSender(PoolWorker* worker, Duration attempt_timeout);
 
-  // kUnanswered also when a later try was refused: the first one may have been carried out, or may
-  // still be.
+  // Returns kUnanswered also if a later attempt was refused, since the first one may have been
+  // executed or may still be.
   OrderAnswer Start(const StartCall& call) const;
   OrderAnswer Stop(const std::string& worker_id, const RunId& run, int64_t fence) const;
 
--- a/servers/pool/order_sender_test.cc
+++ b/servers/pool/order_sender_test.cc
@@ -7,7 +7,7 @@
 namespace turmericshift::pool {
 namespace {
 
-// A worker that answers its orders as it is told, one after the other.
+// A worker that gives the scripted answers in order.
 class ScriptedWorker : public PoolWorker {
  public:
   explicit ScriptedWorker(const std::vector<OrderAnswer>& answers) : answers_(answers) {}
@@ -34,8 +34,8 @@
   return answer;
 }
 
-// A worker leaves a start unanswered. Its gang would be stopped for it though all the others run.
-TEST(OrderSender, AsksAgainWhereNoAnswerComes) {
+// Without a retry an unanswered start would stop its gang although all other members run.
+TEST(OrderSender, RepeatsUnansweredStarts) {
   EXPECT_EQ(StartWith({OrderAnswer::kTaken}), OrderAnswer::kTaken);
   EXPECT_EQ(StartWith({OrderAnswer::kNoRoom}), OrderAnswer::kNoRoom);
   EXPECT_EQ(StartWith({OrderAnswer::kUnanswered, OrderAnswer::kTaken}), OrderAnswer::kTaken);
@@ -44,9 +44,9 @@
       OrderAnswer::kUnanswered);
 }
 
-// The second try finds no room, perhaps because the first one has taken it. "Does not run" would
-// have the task started elsewhere as well.
-TEST(OrderSender, TakesNoRefusalOfALaterTryForProof) {
+// The second attempt may find no room because the first one has taken it. Reporting "not run" would
+// start the task on another worker as well.
+TEST(OrderSender, RefusalOfALaterAttemptProvesNothing) {
   for (const OrderAnswer refusal :
        {OrderAnswer::kNoRoom, OrderAnswer::kOld, OrderAnswer::kLate, OrderAnswer::kFenced,
         OrderAnswer::kUnwell, OrderAnswer::kAway}) {
@@ -54,7 +54,7 @@
   }
 }
 
-TEST(OrderSender, RepeatsStopsToo) {
+TEST(OrderSender, RepeatsUnansweredStops) {
   ScriptedWorker worker({OrderAnswer::kUnanswered, OrderAnswer::kTaken});
   EXPECT_EQ(OrderSender(&worker, std::chrono::seconds(1)).Stop("w", {}, 1), OrderAnswer::kTaken);
 }
--- a/servers/pool/planning_capacity.cc
+++ b/servers/pool/planning_capacity.cc
@@ -5,8 +5,8 @@
 namespace turmericshift::pool {
 namespace {
 
-// What an agent costs its planner: polls, reports, orders and its share of the rounds, with as much
-// again for the moments at which all of them come at once.
+// Cost of an agent to its planner: polls, reports, orders and its share of the planning rounds,
+// doubled for the moments when all agents report at the same time.
 constexpr double kCoresPerAgent = 0.0016;
 constexpr double kLinkMbitPerAgent = 0.06;
 
--- a/servers/pool/planning_capacity.h
+++ b/servers/pool/planning_capacity.h
@@ -1,29 +1,31 @@
-// How large a pool a VM can plan, and to whom it leaves that.
+// Estimates how large a pool an entry's VM can plan, and whether it should yield planning to
+// another entry.
 //
-// Load pattern: a pool of hundreds of workers beside entry VMs that differ several times in
-// processor and link. Planned by the weakest, answers come late, and what is late is done again.
+// Load pattern: a pool of hundreds of workers, and entry VMs that differ several times in processor
+// and link. If the weakest VM plans the pool, its answers come late and work is repeated.
 #pragma once
 
 #include <limits>
 
 namespace turmericshift::pool {
 
-// What an entry's VM has; zero: not known.
+// Resources of an entry's VM; zero: not known.
 struct VmResources {
-  // Share of a core, and how many times as fast as the usual that core is.
+  // Share of a core, and that core's speed relative to a usual core.
   double processor_share = 0;
   double processor_speed = 1;
   double link_mbit_s = 0;
 };
 
-// Of a VM whose resources are not known.
+// Capacity of a VM whose resources are not known.
 inline constexpr int kUnlimitedCapacity = std::numeric_limits<int>::max();
 
-// How many agents a planner on the VM can serve, also while many of them report at once.
+// Number of agents that a planner on the VM can serve, also while many of them report at the same
+// time.
 int PlanningCapacity(const VmResources& vm);
 
-// Whether a VM of `own` capacity is too weak for a pool of `agents` that one of `other` would carry
-// better.
+// Whether a VM with capacity `own` is too weak for a pool of `agents` and a VM with capacity
+// `other` is stronger.
 bool ShouldYieldPlanningTo(int other, int own, int agents);
 
 }  // namespace turmericshift::pool
--- a/servers/pool/planning_capacity_test.cc
+++ b/servers/pool/planning_capacity_test.cc
@@ -8,28 +8,29 @@
 constexpr VmResources kWeak = {0.12, 1, 20};
 constexpr VmResources kStrong = {0.5, 1, 200};
 
-TEST(PlanningCapacity, GoesByWhatThereIsLeastOf) {
+TEST(PlanningCapacity, IsLimitedByTheScarcestResource) {
   EXPECT_LT(PlanningCapacity(kWeak), PlanningCapacity(kStrong));
   EXPECT_LT(PlanningCapacity({0.5, 1, 2}), PlanningCapacity(kStrong));
   EXPECT_GT(PlanningCapacity({0.12, 4, 200}), PlanningCapacity(kWeak));
 }
 
-TEST(PlanningCapacity, TakesAVmOfUnknownResourcesForAnyPool) {
+TEST(PlanningCapacity, IsUnlimitedForUnknownResources) {
   EXPECT_EQ(PlanningCapacity({}), kUnlimitedCapacity);
 }
 
-// A weak entry held the duty of a pool of 240 agents for good, late with everything.
-TEST(PlanningCapacity, LeavesALargePoolToTheStrongerVm) {
+// Guards against a weak entry that stays the active planner of 240 agents and lags with all its
+// answers.
+TEST(PlanningCapacity, YieldsALargePoolToTheStrongerVm) {
   EXPECT_TRUE(ShouldYieldPlanningTo(PlanningCapacity(kStrong), PlanningCapacity(kWeak), 240));
   EXPECT_FALSE(ShouldYieldPlanningTo(PlanningCapacity(kWeak), PlanningCapacity(kStrong), 240));
 }
 
-// Handing on what a VM carries easily would cost callers a gap for nothing.
-TEST(PlanningCapacity, KeepsASmallPoolWhereItIs) {
+// Handing over a pool that a VM can easily plan would interrupt service to callers without benefit.
+TEST(PlanningCapacity, DoesNotYieldASmallPool) {
   EXPECT_FALSE(ShouldYieldPlanningTo(PlanningCapacity(kStrong), PlanningCapacity(kWeak), 11));
 }
 
-TEST(PlanningCapacity, KeepsALargePoolWhereNobodyIsStronger) {
+TEST(PlanningCapacity, DoesNotYieldToAVmOfEqualCapacity) {
   EXPECT_FALSE(ShouldYieldPlanningTo(PlanningCapacity(kWeak), PlanningCapacity(kWeak), 240));
 }
 
--- a/servers/pool/pool_config.h
+++ b/servers/pool/pool_config.h
@@ -1,4 +1,5 @@
-// The operators' document as the pool scheduler needs it. An adapter makes it from the platform's.
+// The part of the operators' document that the pool scheduler needs; an adapter converts it from
+// the platform's format.
 #pragma once
 
 #include <map>
@@ -16,17 +17,17 @@
 struct Queue {
   std::string name;
   std::string host;
-  // Path that the calls of the queue begin with, "/jobs/".
+  // Path prefix of the queue's calls, such as "/jobs/".
   std::string path_prefix;
   QueueTerms terms;
-  // Callers need no key.
+  // Whether callers may use the queue without a key.
   bool open = false;
 };
 
 struct Workspace {
   std::string name;
   std::set<std::string> keys;
-  // Accelerators that are the workspace's own for jobs of priority 0, at all times.
+  // Accelerators that are guaranteed to the workspace's jobs of priority 0 at all times.
   int64_t guaranteed_accelerators = 0;
 };
 
@@ -37,27 +38,26 @@
   size_t max_body_bytes = size_t{256} * 1024;
 
   const Queue* FindQueue(const std::string& name) const;
-  // The queue of `host` whose prefix is the longest that `path` begins with; null if there is none.
+  // The queue of `host` with the longest prefix that `path` starts with; null if there is none.
   const Queue* Route(const std::string& host, const std::string& path) const;
-  // The workspace that holds `key`; null if none does.
+  // The workspace that `key` belongs to; null if there is none.
   const Workspace* WorkspaceForKey(const std::string& key) const;
   const Workspace* FindWorkspace(const std::string& name) const;
 };
 
-// All that operators say: the newest document and the zones that are out.
+// Complete operator input: the newest document and the zones that are out.
 struct OperatorState {
   PoolConfig config;
   std::set<std::string> zones_out;
 };
 
-// Reads the records in which a platform's operators state the above.
+// Decodes a platform's records of the operator state.
 class OperatorDecoder {
  public:
   virtual ~OperatorDecoder() = default;
-  // The topic that the records come in.
+  // Topic of the records.
   virtual std::string topic() const = 0;
-  // Takes one record in. Throws Error(kInvalidInput) for one that can't be read; `state` is then
-  // as before.
+  // Applies one record. Throws Error(kInvalidInput) for a malformed record, with `state` unchanged.
   virtual void Apply(const KeyedRecord& record, OperatorState* state) const = 0;
 };
 
--- a/servers/pool/urgent_reserve.cc
+++ b/servers/pool/urgent_reserve.cc
@@ -8,12 +8,12 @@
 namespace turmericshift::pool {
 namespace {
 
-// At most this share of the pool is kept free: others would hardly be served at all else, and a
-// pool that stands idle beside work that waits has forgotten it.
+// Upper limit of the reserved share of the pool: with more, other jobs would hardly be served, and
+// room would stay idle while work waits.
 constexpr double kMaxReservedShare = 0.4;
-// The highest demand seen counts half after this.
+// Half-life of the highest observed demand.
 constexpr Duration kHalfLife = std::chrono::seconds(60);
-// A job can wait if beginning so much later costs less than this share of its worth.
+// A job can wait if a start later by this wait costs less than kNegligibleLoss of its value.
 constexpr Duration kAcceptableWait = std::chrono::seconds(5);
 constexpr double kNegligibleLoss = 0.05;
 
@@ -40,7 +40,7 @@
 
 int UrgentReserve::TasksOutsideReserve(const PoolRoom& pool, const Room& need, int tasks,
                                        Time now) const {
-  // Room that is short of either is of no use to those for whom it is kept.
+  // The same share of processors and accelerators is reserved: urgent tasks need both.
   const double reserved = std::min(Peak(now), kMaxReservedShare);
   Room available = pool.free;
   available -=
--- a/servers/pool/urgent_reserve.h
+++ b/servers/pool/urgent_reserve.h
@@ -1,10 +1,9 @@
-// Keeps room free for urgent jobs that are yet to come.
+// Reserves room for urgent jobs that have not been submitted yet.
 //
-// Answers the load pattern of urgent jobs that have about a second to spare in a pool that others,
-// with tens of seconds to spare, have filled: stopping those takes most of that second, and throws
-// their work away. The others wait instead, as long as waiting costs them nothing to speak of. How
-// much is kept follows the demand of urgent jobs that has been seen, so that a pool without any
-// keeps nothing.
+// Load pattern: urgent jobs, which have about a second to spare, arrive in a pool that is full of
+// jobs with tens of seconds to spare. Preempting these takes most of that second and discards their
+// work. They wait instead, as long as the wait costs them next to nothing. The size of the reserve
+// follows the observed demand of urgent jobs, so a pool without such jobs reserves nothing.
 #pragma once
 
 #include <optional>
@@ -15,7 +14,7 @@
 
 namespace turmericshift::pool {
 
-// Room of the workers that may be used.
+// Total and free room of the usable workers.
 struct PoolRoom {
   Room total;
   Room free;
@@ -23,21 +22,21 @@
 
 class UrgentReserve {
  public:
-  // All urgent jobs that have not ended need `demand` together.
+  // Records that all unfinished urgent jobs together need `demand`.
   void RecordDemand(const PoolRoom& pool, const Room& demand, Time now);
 
-  // How many of `tasks` of `need` may begin with what is kept left free.
+  // Number of the `tasks`, each of size `need`, that may start without using the reserve.
   int TasksOutsideReserve(const PoolRoom& pool, const Room& need, int tasks, Time now) const;
 
  private:
-  // The share of the pool that was wanted at the highest, less the longer that is ago.
+  // The highest observed share of the pool that urgent jobs needed, decaying with time.
   double Peak(Time now) const;
 
   double peak_ = 0;
   std::optional<Time> peak_at_;
 };
 
-// Whether a job can as well begin some seconds later.
+// Whether starting the job some seconds later costs next to nothing.
 bool CanWait(const JobTiming& timing);
 
 }  // namespace turmericshift::pool
--- a/servers/pool/urgent_reserve_test.cc
+++ b/servers/pool/urgent_reserve_test.cc
@@ -15,33 +15,33 @@
   return {total, total};
 }
 
-TEST(UrgentReserve, KeepsWhatWasWantedAtTheHighest) {
+TEST(UrgentReserve, ReservesThePeakDemand) {
   UrgentReserve reserve;
   reserve.RecordDemand(Empty(), {5'000, 0, 20}, kStart);
   reserve.RecordDemand(Empty(), {0, 0, 0}, kStart);
   EXPECT_EQ(reserve.TasksOutsideReserve(Empty(), {1'000, 0, 1}, kMany, kStart), 80);
 }
 
-// Room without processors is of no use for tasks that need some of both.
-TEST(UrgentReserve, KeepsTheSameShareOfProcessors) {
+// Room without processors is useless for tasks that need processors and accelerators.
+TEST(UrgentReserve, ReservesTheSameShareOfProcessors) {
   UrgentReserve reserve;
   reserve.RecordDemand(Empty(), {1'000, 0, 20}, kStart);
   EXPECT_EQ(reserve.TasksOutsideReserve(Empty(), {1'000, 0, 0}, kMany, kStart), 80);
 }
 
-TEST(UrgentReserve, LeavesOthersTheLargerPart) {
+TEST(UrgentReserve, LeavesMostRoomToOtherJobs) {
   UrgentReserve reserve;
   reserve.RecordDemand(Empty(), {0, 0, 900}, kStart);
   EXPECT_GT(reserve.TasksOutsideReserve(Empty(), {0, 0, 1}, kMany, kStart), 50);
 }
 
-TEST(UrgentReserve, ForgetsOldDemand) {
+TEST(UrgentReserve, OldDemandDecays) {
   UrgentReserve reserve;
   reserve.RecordDemand(Empty(), {0, 0, 20}, kStart);
   EXPECT_GT(reserve.TasksOutsideReserve(Empty(), {0, 0, 1}, kMany, kStart + seconds(600)), 98);
 }
 
-TEST(UrgentReserve, KeepsOutNobodyWhoIsPressed) {
+TEST(UrgentReserve, JobCloseToItsDueTimeCannotWait) {
   JobTiming timing;
   timing.remaining = seconds(10);
   timing.critical_path = seconds(10);
