--- a/servers/pool/advice_cache.cc
+++ b/servers/pool/advice_cache.cc
@@ -15,7 +15,7 @@
 // Delay after a failed or refused call; the service answers one call in some tens of milliseconds.
 constexpr Duration kRetryDelay = std::chrono::milliseconds(100);
 
-Duration DeliveryMargin(Duration valid_for) {
+Duration Margin(Duration valid_for) {
   return std::min(kMaxDeliveryMargin, valid_for / kMarginDivisor);
 }
 
@@ -33,8 +33,7 @@
                                                   const AdvisedWorker& worker, Time now) const {
   const Verdict* verdict = Find(step, worker);
   if (verdict == nullptr || verdict->ticket.empty()) return std::nullopt;
-  if (now >= verdict->asked_at + verdict->valid_for - DeliveryMargin(verdict->valid_for))
-    return std::nullopt;
+  if (now >= verdict->sent + verdict->valid_for - Margin(verdict->valid_for)) return std::nullopt;
   return verdict->ticket;
 }
 
@@ -50,13 +49,13 @@
 
 void AdviceCache::RequestTickets(const AdvisedStep& step, const std::vector<AdvisedWorker>& workers,
                                  Time now) {
-  std::vector<AdvisedWorker> known_good;
+  std::vector<AdvisedWorker> known_allowed;
   std::vector<AdvisedWorker> unknown;
   for (const AdvisedWorker& worker : workers) {
     if (NeedsNoRequest(step, worker, now)) continue;
-    (Find(step, worker) != nullptr ? known_good : unknown).push_back(worker);
+    (Find(step, worker) != nullptr ? known_allowed : unknown).push_back(worker);
   }
-  AdviceRequest request = {step, std::move(known_good)};
+  AdviceRequest request = {step, std::move(known_allowed)};
   request.workers.insert(request.workers.end(), unknown.begin(), unknown.end());
   if (request.workers.size() > kMaxWorkersPerCall) request.workers.resize(kMaxWorkersPerCall);
   if (!request.workers.empty()) requests_.push_back(std::move(request));
@@ -78,8 +77,7 @@
   return std::nullopt;
 }
 
-void AdviceCache::Take(const AdviceRequest& request, const AdviceResponse& response,
-                       Time asked_at) {
+void AdviceCache::Take(const AdviceRequest& request, const AdviceResponse& response, Time sent) {
   request_in_flight_ = false;
   std::map<std::string, std::string> tickets;
   for (const AdviceTicket& allowed : response.allowed) tickets[allowed.worker_id] = allowed.ticket;
@@ -87,7 +85,7 @@
   for (const AdvisedWorker& worker : request.workers) {
     const auto allowed = tickets.find(worker.id);
     const bool may_run = allowed != tickets.end();
-    verdicts[worker] = {may_run, may_run ? allowed->second : "", asked_at, response.valid_for};
+    verdicts[worker] = {may_run, may_run ? allowed->second : "", sent, response.valid_for};
   }
 }
 
--- a/servers/pool/advice_cache.h
+++ b/servers/pool/advice_cache.h
@@ -33,8 +33,9 @@
   void RequestTickets(const AdvisedStep& step, const std::vector<AdvisedWorker>& workers, Time now);
   // Returns the next request; empty while a call is in flight or shortly after a failed call.
   std::optional<AdviceRequest> Next(Time now);
-  // Stores the response to a request that was sent at `asked_at`.
-  void Take(const AdviceRequest& request, const AdviceResponse& response, Time asked_at);
+  // Stores the response to a request. `sent`: time when the request was sent; tickets are valid
+  // from then on.
+  void Take(const AdviceRequest& request, const AdviceResponse& response, Time sent);
   // Records that the call failed.
   void Failed(Time now);
   // A worker refused the ticket, so it is discarded.
@@ -48,7 +49,7 @@
   struct Verdict {
     bool may_run = false;
     std::string ticket;
-    Time asked_at{};
+    Time sent{};
     Duration valid_for{};
   };
   using Verdicts = std::map<AdvisedWorker, Verdict>;
--- a/servers/pool/duty_keeper.cc
+++ b/servers/pool/duty_keeper.cc
@@ -104,8 +104,7 @@
   if (options_.planning_capacity >= agents) return better;
   for (const auto& [node, entry] : members_->entries()) {
     if (node == options_.node) continue;
-    if (!ShouldYieldPlanningTo(entry.planning_capacity, options_.planning_capacity, agents))
-      continue;
+    if (!ShouldYieldTo(entry.planning_capacity, options_.planning_capacity, agents)) continue;
     better.push_back(entry);
   }
   std::stable_sort(better.begin(), better.end(), [](const auto& left, const auto& right) {
--- a/servers/pool/job_api.cc
+++ b/servers/pool/job_api.cc
@@ -237,7 +237,7 @@
       return answer;
     }
     const Time now = LeaseClock().Now();
-    const Time end = std::min(until, answer_by_.load());
+    const Time end = std::min(until, answer_deadline_.load());
     if (end - now < kMinAttemptTime) break;
     std::shared_ptr<PlannerPort> port;
     try {
--- a/servers/pool/job_api.h
+++ b/servers/pool/job_api.h
@@ -89,7 +89,7 @@
   JobAnswer Handle(const JobCall& call, Time now);
   // Sets the time by which every call is answered, also if its caller would wait longer, because
   // the process ends.
-  void SetAnswerDeadline(Time limit) { answer_by_.store(limit); }
+  void SetAnswerDeadline(Time deadline) { answer_deadline_.store(deadline); }
   // Whether this entry can serve callers: its views of the store are recent.
   bool Ready(Time now) const;
 
@@ -118,7 +118,7 @@
   Counter& refused_;
   Counter& unknown_;
   Distribution& submit_seconds_;
-  std::atomic<Time> answer_by_{Time::max()};
+  std::atomic<Time> answer_deadline_{Time::max()};
   UnresolvedCalls unresolved_;
   std::mutex mutex_;
   std::shared_ptr<PlannerPort> port_;
@@ -129,7 +129,7 @@
 class CallerEndpoint {
  public:
   virtual ~CallerEndpoint() = default;
-  virtual HttpResponse Handle(const HttpRequest& request, JobApi* front, Time now) const = 0;
+  virtual HttpResponse Handle(const HttpRequest& request, JobApi* api, Time now) const = 0;
   // Path at which the platform's load balancer checks whether this entry is ready.
   virtual std::string ready_path() const = 0;
 };
--- a/servers/pool/outbox.cc
+++ b/servers/pool/outbox.cc
@@ -40,10 +40,10 @@
     records.push_back(last->record);
   }
   waiting_.erase(waiting_.begin(), last);
-  in_flight_ = waiting_.empty() ? next_ - 1 : waiting_.front().ticket - 1;
+  newest_in_flight_ = waiting_.empty() ? next_ - 1 : waiting_.front().ticket - 1;
   return records;
 }
 
-void Outbox::MarkDurable() { durable_ = std::max(durable_, in_flight_); }
+void Outbox::MarkDurable() { durable_ = std::max(durable_, newest_in_flight_); }
 
 }  // namespace turmericshift::pool
--- a/servers/pool/outbox.h
+++ b/servers/pool/outbox.h
@@ -45,7 +45,7 @@
   const size_t max_bytes_;
   std::vector<PendingRecord> waiting_;
   Ticket next_ = 1;
-  Ticket in_flight_ = 0;
+  Ticket newest_in_flight_ = 0;
   Ticket durable_ = 0;
 };
 
--- a/servers/pool/planning_capacity.cc
+++ b/servers/pool/planning_capacity.cc
@@ -21,6 +21,6 @@
                   Capacity(vm.link_mbit_s, kLinkMbitPerAgent));
 }
 
-bool ShouldYieldPlanningTo(int other, int own, int agents) { return own < agents && other > own; }
+bool ShouldYieldTo(int other, int own, int agents) { return own < agents && other > own; }
 
 }  // namespace turmericshift::pool
--- a/servers/pool/planning_capacity.h
+++ b/servers/pool/planning_capacity.h
@@ -26,6 +26,6 @@
 
 // Whether a VM with capacity `own` is too weak for a pool of `agents` and a VM with capacity
 // `other` is stronger.
-bool ShouldYieldPlanningTo(int other, int own, int agents);
+bool ShouldYieldTo(int other, int own, int agents);
 
 }  // namespace turmericshift::pool
--- a/servers/pool/planning_capacity_test.cc
+++ b/servers/pool/planning_capacity_test.cc
@@ -21,17 +21,17 @@
 // Guards against a weak entry that stays the active planner of 240 agents and lags with all its
 // answers.
 TEST(PlanningCapacity, YieldsALargePoolToTheStrongerVm) {
-  EXPECT_TRUE(ShouldYieldPlanningTo(PlanningCapacity(kStrong), PlanningCapacity(kWeak), 240));
-  EXPECT_FALSE(ShouldYieldPlanningTo(PlanningCapacity(kWeak), PlanningCapacity(kStrong), 240));
+  EXPECT_TRUE(ShouldYieldTo(PlanningCapacity(kStrong), PlanningCapacity(kWeak), 240));
+  EXPECT_FALSE(ShouldYieldTo(PlanningCapacity(kWeak), PlanningCapacity(kStrong), 240));
 }
 
 // Handing over a pool that a VM can easily plan would interrupt service to callers without benefit.
 TEST(PlanningCapacity, DoesNotYieldASmallPool) {
-  EXPECT_FALSE(ShouldYieldPlanningTo(PlanningCapacity(kStrong), PlanningCapacity(kWeak), 11));
+  EXPECT_FALSE(ShouldYieldTo(PlanningCapacity(kStrong), PlanningCapacity(kWeak), 11));
 }
 
 TEST(PlanningCapacity, DoesNotYieldToAVmOfEqualCapacity) {
-  EXPECT_FALSE(ShouldYieldPlanningTo(PlanningCapacity(kWeak), PlanningCapacity(kWeak), 240));
+  EXPECT_FALSE(ShouldYieldTo(PlanningCapacity(kWeak), PlanningCapacity(kWeak), 240));
 }
 
 }  // namespace
