--- a/servers/pool/job_api.cc
+++ b/servers/pool/job_api.cc
@@ -20,12 +20,12 @@
 }  // namespace
 
 JobApi::JobApi(const JobApiOptions& options, const WorkView* work, const OperatorView* operators,
-               PlannerGate* local, PlannerReach* reach, MetricsRegistry* metrics)
+               PlannerGate* local, PlannerReach* router, MetricsRegistry* metrics)
     : options_(options),
       work_(work),
       operators_(operators),
       local_(local),
-      reach_(reach),
+      router_(router),
       accepted_(metrics->counter("jobs_accepted")),
       refused_(metrics->counter("calls_refused")),
       unknown_(metrics->counter("calls_unknown")),
@@ -59,7 +59,7 @@
 }
 
 JobAnswer JobApi::HandleCall(const JobCall& call, Time now) {
-  // Read before the document, so that the document is at least as new as this freshness.
+  // Read before the document, which is therefore at least as new as this freshness says.
   const Freshness freshness = operators_->freshness();
   const std::shared_ptr<const OperatorState> state = operators_->state();
   if (state->config.version == 0) return NotAccepted("the configuration has not been read yet");
@@ -154,7 +154,7 @@
     LogEvent(LogLevel::kWarning, "job_refused", {{"job", id}, {"reason", error.what()}});
     return answer;
   }
-  answer = CallPlanner([&](PlannerPort* port, Duration limit) { port->Submit(spec, limit); },
+  answer = CallPlanner([&](PlannerPort* client, Duration limit) { client->Submit(spec, limit); },
                        [&] { return work_->StateOf(id).has_value(); }, JobAnswerKind::kAccepted,
                        now + call.timeout - options_.response_margin);
   const Time end = LeaseClock().Now();
@@ -187,7 +187,7 @@
     answer.kind = JobAnswerKind::kCancelled;
     return answer;
   }
-  answer = CallPlanner([&](PlannerPort* port, Duration limit) { port->Cancel(id, limit); },
+  answer = CallPlanner([&](PlannerPort* client, Duration limit) { client->Cancel(id, limit); },
                        [&] {
                          const std::optional<JobState> seen = work_->StateOf(id);
                          return seen && IsOver(*seen);
@@ -200,7 +200,7 @@
   return answer;
 }
 
-std::shared_ptr<PlannerPort> JobApi::Port(Duration limit) {
+std::shared_ptr<PlannerPort> JobApi::ConnectToPlanner(Duration limit) {
   // This entry may have lost the store and have been told of a newer planner that it cannot read
   // about.
   const PlannerRecord recorded = work_->duty().planner;
@@ -210,19 +210,19 @@
   if (planner.node == options_.node) return std::make_shared<LocalPort>(local_);
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    if (port_ && port_epoch_ == planner.epoch) return port_;
+    if (client_ && client_epoch_ == planner.epoch) return client_;
   }
-  std::shared_ptr<PlannerPort> port =
-      reach_->Connect(planner, std::min(limit, kConnectTimeout), LeaseClock().Now());
+  std::shared_ptr<PlannerPort> client =
+      router_->Connect(planner, std::min(limit, kConnectTimeout), LeaseClock().Now());
   const std::lock_guard<std::mutex> lock(mutex_);
-  port_ = port;
-  port_epoch_ = planner.epoch;
-  return port;
+  client_ = client;
+  client_epoch_ = planner.epoch;
+  return client;
 }
 
-void JobApi::DiscardPort(const std::shared_ptr<PlannerPort>& port) {
+void JobApi::DiscardClient(const std::shared_ptr<PlannerPort>& client) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  if (port_ == port) port_.reset();
+  if (client_ == client) client_.reset();
 }
 
 JobAnswer JobApi::CallPlanner(const std::function<void(PlannerPort*, Duration)>& call,
@@ -239,10 +239,10 @@
     const Time now = LeaseClock().Now();
     const Time end = std::min(until, answer_deadline_.load());
     if (end - now < kMinAttemptTime) break;
-    std::shared_ptr<PlannerPort> port;
+    std::shared_ptr<PlannerPort> client;
     try {
-      port = Port(end - now);
-      call(port.get(), std::min(end - now, options_.attempt_timeout));
+      client = ConnectToPlanner(end - now);
+      call(client.get(), std::min(end - now, options_.attempt_timeout));
       answer.kind = done;
       answer.message = "";
       return answer;
@@ -258,7 +258,7 @@
       if (not_run && !may_have_run && error.kind() == ErrorKind::kLogUnavailable) {
         return NotAccepted(error.what());
       }
-      if (port) DiscardPort(port);
+      if (client) DiscardClient(client);
     }
     std::this_thread::sleep_for(kRetryInterval);
   }
--- a/servers/pool/job_api.h
+++ b/servers/pool/job_api.h
@@ -84,7 +84,7 @@
  public:
   // `local`: this process's planner, used while it is the active one.
   JobApi(const JobApiOptions& options, const WorkView* work, const OperatorView* operators,
-         PlannerGate* local, PlannerReach* reach, MetricsRegistry* metrics);
+         PlannerGate* local, PlannerReach* router, MetricsRegistry* metrics);
 
   JobAnswer Handle(const JobCall& call, Time now);
   // Sets the time by which every call is answered, also if its caller would wait longer, because
@@ -105,15 +105,15 @@
   // tells whether the view shows that the call has taken effect.
   JobAnswer CallPlanner(const std::function<void(PlannerPort*, Duration)>& call,
                         const std::function<bool()>& already_done, JobAnswerKind done, Time until);
-  std::shared_ptr<PlannerPort> Port(Duration limit);
-  void DiscardPort(const std::shared_ptr<PlannerPort>& port);
+  std::shared_ptr<PlannerPort> ConnectToPlanner(Duration limit);
+  void DiscardClient(const std::shared_ptr<PlannerPort>& client);
   JobAnswer NotAccepted(const std::string& message) const;
 
   const JobApiOptions options_;
   const WorkView* const work_;
   const OperatorView* const operators_;
   PlannerGate* const local_;
-  PlannerReach* const reach_;
+  PlannerReach* const router_;
   Counter& accepted_;
   Counter& refused_;
   Counter& unknown_;
@@ -121,8 +121,8 @@
   std::atomic<Time> answer_deadline_{Time::max()};
   UnresolvedCalls unresolved_;
   std::mutex mutex_;
-  std::shared_ptr<PlannerPort> port_;
-  int64_t port_epoch_ = 0;
+  std::shared_ptr<PlannerPort> client_;
+  int64_t client_epoch_ = 0;
 };
 
 // Translates between a platform's HTTP calls and the JobApi.
--- a/servers/pool/job_api_test.cc
+++ b/servers/pool/job_api_test.cc
@@ -58,7 +58,7 @@
 };
 
 // Accepts every call.
-class AcceptingPort : public PlannerPort {
+class AcceptingClient : public PlannerPort {
  public:
   AgentOrders Exchange(const AgentReport& /*report*/, Duration /*timeout*/) override { return {}; }
   void Submit(const JobSpec& /*spec*/, Duration /*timeout*/) override {}
@@ -72,7 +72,7 @@
  public:
   std::shared_ptr<PlannerPort> Connect(const std::string& address, Duration /*limit*/) override {
     if (address != "there") throw Error(ErrorKind::kUnavailable, Outcome::kNotRun, "nobody there");
-    return std::make_shared<AcceptingPort>();
+    return std::make_shared<AcceptingClient>();
   }
 };
 
@@ -95,7 +95,7 @@
                std::chrono::seconds(1));
     JobApiOptions options;
     options.node = "e1";
-    api = std::make_unique<JobApi>(options, &work, &operators, gate.get(), &reach, &metrics);
+    api = std::make_unique<JobApi>(options, &work, &operators, gate.get(), &router, &metrics);
     while (operators.state()->config.version == 0 || work.duty().planner.epoch == 0) {
       std::this_thread::yield();
     }
@@ -117,7 +117,7 @@
   std::unique_ptr<PlannerGate> gate;
   std::unique_ptr<PlannerConnector> connector;
   MembersView members{&log, std::chrono::milliseconds(200)};
-  PlannerReach reach{"e1", "a", &members, connector.get()};
+  PlannerReach router{"e1", "a", &members, connector.get()};
   MetricsRegistry metrics;
   std::unique_ptr<JobApi> api;
 };
--- a/servers/pool/job_estimator.h
+++ b/servers/pool/job_estimator.h
@@ -16,7 +16,8 @@
 
 class JobEstimator {
  public:
-  explicit JobEstimator(const MechanismsOff& off) : off_(off) {}
+  explicit JobEstimator(const MechanismsOff& disabled_mechanisms)
+      : disabled_mechanisms_(disabled_mechanisms) {}
 
   // Records the run time of a task that ran undisturbed: the caller's `estimate` and the `actual`
   // time.
@@ -42,14 +43,14 @@
     int count = 0;
   };
 
-  bool Enabled(Mechanism mechanism) const { return off_.count(mechanism) == 0; }
+  bool Enabled(Mechanism mechanism) const { return disabled_mechanisms_.count(mechanism) == 0; }
   // Total work of the job's steps in core-seconds.
   double WorkInCoreSeconds(const JobSpec& spec) const;
   // Expected critical path on the pool's workers, where no step has more than a share of the pool
   // at a time.
   Duration FairShareCriticalPath(const JobSpec& spec, const std::string& service) const;
 
-  const MechanismsOff off_;
+  const MechanismsOff disabled_mechanisms_;
   RunTimes run_times_;
   std::map<std::string, Room> capacity_;
   // Work of recent jobs by queue, in core-seconds.
--- a/servers/pool/job_estimator_test.cc
+++ b/servers/pool/job_estimator_test.cc
@@ -28,8 +28,8 @@
   return terms;
 }
 
-JobEstimator EstimatorForPool(const MechanismsOff& off) {
-  JobEstimator appraiser(off);
+JobEstimator EstimatorForPool(const MechanismsOff& disabled_mechanisms) {
+  JobEstimator appraiser(disabled_mechanisms);
   appraiser.SetCapacity({{"plans", {640'000, 1'310'720, 80}}});
   return appraiser;
 }
--- a/servers/pool/pool_bounds.cc
+++ b/servers/pool/pool_bounds.cc
@@ -24,8 +24,8 @@
 
 // Upper limits; longer ones bring no benefit: a planner polls the store four times a second, and
 // agents poll the planner twice a second.
-constexpr Duration kMaxConfirmLimit = milliseconds(1200);
-constexpr Duration kMaxDocumentLimit = milliseconds(2000);
+constexpr Duration kMaxConfirmAge = milliseconds(1200);
+constexpr Duration kMaxDocumentAge = milliseconds(2000);
 constexpr Duration kMaxStartWindow = milliseconds(1500);
 // Part of a bound on starts that is reserved for the start itself.
 constexpr Duration kStartReserve = milliseconds(300);
@@ -35,10 +35,10 @@
 // A slow answer of the store and an agent's poll have to fit into the shortest limit.
 constexpr Duration kMinLimit = milliseconds(500);
 
-constexpr Duration kMaxGangStart = milliseconds(1300);
+constexpr Duration kMaxGangStartTimeout = milliseconds(1300);
 // Time for the stop order to arrive, out of the time that gang members wait for each other.
 constexpr Duration kStopOrderDelay = milliseconds(400);
-constexpr Duration kMinGangStart = milliseconds(300);
+constexpr Duration kMinGangStartTimeout = milliseconds(300);
 
 // Time from the decision to the start of a gang member on free room.
 constexpr Duration kStartLatency = milliseconds(200);
@@ -76,13 +76,14 @@
       std::min(kMaxStartWindow, Scaled(std::min(cancel, zone_out), kStartWindowShare));
   options.confirm_limit =
       CheckedLimit("the bound on cancelled jobs",
-                   std::min(kMaxConfirmLimit, cancel - options.start_window), kMinLimit);
+                   std::min(kMaxConfirmAge, cancel - options.start_window), kMinLimit);
   options.document_limit =
       CheckedLimit("the bound on zones that are out",
-                   std::min(kMaxDocumentLimit, zone_out - options.start_window), kMinLimit);
-  options.gang_start_limit = CheckedLimit(
-      "the time that members of a gang wait",
-      std::min(kMaxGangStart, bounds.gang_wait - bounds.stop - kStopOrderDelay), kMinGangStart);
+                   std::min(kMaxDocumentAge, zone_out - options.start_window), kMinLimit);
+  options.gang_start_limit =
+      CheckedLimit("the time that members of a gang wait",
+                   std::min(kMaxGangStartTimeout, bounds.gang_wait - bounds.stop - kStopOrderDelay),
+                   kMinGangStartTimeout);
   options.longest_gang_start =
       std::max(options.gang_start_limit, bounds.gang_wait - bounds.stop - kStopOrderDelay);
   const Duration spare = bounds.reclaim - bounds.stop - kStartLatency;
--- a/servers/pool/pool_planner.cc
+++ b/servers/pool/pool_planner.cc
@@ -99,7 +99,7 @@
   if (MayStart(now)) orders.start_window = options_.start_window;
   for (const auto& [id, run] : worker.live) {
     if (run.phase == RunPhase::kStopping) orders.stops.push_back(id);
-    if (run.phase != RunPhase::kOrdered || run.released_by > outbox_.durable()) continue;
+    if (run.phase != RunPhase::kOrdered || run.start_after > outbox_.durable()) continue;
     orders.starts.push_back({id, run.payload, run.checkpoint, run.ticket});
   }
   return orders;
--- a/servers/pool/pool_planner_planning.cc
+++ b/servers/pool/pool_planner_planning.cc
@@ -442,7 +442,7 @@
     }
     const bool away = !step.data_rack.empty() && worker.facts.rack != step.data_rack;
     run.estimate = Scaled(unit.expected, torn || away ? options_.stray_factor : 1.0);
-    run.released_by = job->begun;
+    run.start_after = job->begun;
     const auto saved =
         job->progress.checkpoints.find({place.occurrence, place.step, step.gang ? 0 : index});
     if (saved != job->progress.checkpoints.end()) run.checkpoint = saved->second;
@@ -455,8 +455,8 @@
     worker.left -= run.need;
     pool_.free -= run.need;
     if (run.best_effort) worker.left.processor_millis += run.need.processor_millis;
-    if (run.released_by > outbox_.durable()) {
-      releases_.emplace(run.released_by, worker.node);
+    if (run.start_after > outbox_.durable()) {
+      releases_.emplace(run.start_after, worker.node);
     } else {
       NoteNews(&worker);
     }
--- a/servers/pool/urgent_reserve_test.cc
+++ b/servers/pool/urgent_reserve_test.cc
@@ -22,7 +22,8 @@
   EXPECT_EQ(reserve.TasksOutsideReserve(Empty(), {1'000, 0, 1}, kMany, kStart), 80);
 }
 
-// Room without processors is useless for tasks that need processors and accelerators.
+// Urgent tasks need processors beside their accelerators: a reserve of accelerators alone would be
+// useless to them.
 TEST(UrgentReserve, ReservesTheSameShareOfProcessors) {
   UrgentReserve reserve;
   reserve.RecordDemand(Empty(), {1'000, 0, 20}, kStart);
--- a/servers/pool/worker_state.h
+++ b/servers/pool/worker_state.h
@@ -43,7 +43,7 @@
   // Time when the run was asked to stop to make room for others.
   std::optional<Time> stopping_since;
   // The start is ordered once the record with this ticket is durable; see PoolPlanner::Start.
-  Ticket released_by = 0;
+  Ticket start_after = 0;
   // Sent with the start order; empty for runs that were found running.
   std::string payload;
   std::string ticket;
@@ -84,7 +84,7 @@
 
   // Free room in the current planning round; see PoolPlanner::Plan.
   Room left;
-  // Kind of the live runs in the current planning round.
+  // Which kind of runs occupies the worker in the current planning round.
   Tenants tenants = Tenants::kNone;
 
   // Capacity less the room of live runs. Runs that are being stopped still count.
