--- a/servers/pool/job_api.cc
+++ b/servers/pool/job_api.cc
@@ -62,17 +62,17 @@
   // Read before the document, which is therefore at least as new as this freshness says.
   const Freshness freshness = operators_->freshness();
   const std::shared_ptr<const OperatorState> state = operators_->state();
-  if (state->config.version == 0) return NotAccepted("the configuration has not been read yet");
+  if (state->config.version == 0) return NotAccepted("no configuration has been read yet");
   const Queue* queue = state->config.Route(call.host, call.path);
   if (queue == nullptr) {
     JobAnswer answer;
     answer.kind = JobAnswerKind::kNoSuchQueue;
-    answer.message = "no queue at this host and path";
+    answer.message = "no queue at this address";
     return answer;
   }
   if (queue->open) return HandleRouted(call, *queue, "", now);
   if (!freshness.within(options_.key_age_limit, now)) {
-    return NotAccepted("keys cannot be checked: the store is not responding");
+    return NotAccepted("keys can't be checked: the store does not answer");
   }
   const Workspace* workspace = state->config.WorkspaceForKey(call.key);
   if (workspace == nullptr) {
@@ -91,11 +91,11 @@
     if (call.kind != JobCall::Kind::kState) {
       JobAnswer answer;
       answer.kind = JobAnswerKind::kBadRequest;
-      answer.message = "the path lacks a job id";
+      answer.message = "a job's id is missing";
       return answer;
     }
     if (!work_->freshness().within(options_.view_age_limit, now)) {
-      return NotAccepted("the store is not responding");
+      return NotAccepted("the store does not answer");
     }
     JobAnswer answer;
     answer.kind = JobAnswerKind::kWaiting;
@@ -126,7 +126,7 @@
   }
   // Only a view that is recent enough to contain every job may report that there is none.
   if (!freshness.within(options_.view_age_limit, now)) {
-    return NotAccepted("the store is not responding");
+    return NotAccepted("the store does not answer");
   }
   answer.kind = JobAnswerKind::kNoSuchJob;
   return answer;
