--- a/servers/pool/planner_service.cc
+++ b/servers/pool/planner_service.cc
@@ -122,7 +122,7 @@
   if (!planner_) return silent;
   for (const std::string& node : agents) {
     const auto known = planner_->workers().find(node);
-    if (known != planner_->workers().end() && now - known->second.heard < limit) continue;
+    if (known != planner_->workers().end() && now - known->second.last_report < limit) continue;
     silent.push_back(node);
   }
   return silent;
