--- a/servers/pool/job_estimator.cc
+++ b/servers/pool/job_estimator.cc
@@ -5,9 +5,9 @@
 namespace turmericshift::pool {
 namespace {
 
-// A step is not expected to get more than this fraction (one in kFairShareDivisor) of the pool's
-// accelerators, processors or memory at a time: a wider step runs in waves, and its job is due
-// correspondingly later.
+// A step is not expected to get more than 1 / kFairShareDivisor of the pool's accelerators,
+// processors or memory at a time: a wider step runs in waves, and its job is due correspondingly
+// later.
 constexpr int64_t kFairShareDivisor = 4;
 
 // Number of waves in which `needed` fits into a step's share of `total`.
--- a/servers/pool/job_estimator.h
+++ b/servers/pool/job_estimator.h
@@ -46,8 +46,8 @@
   bool Enabled(Mechanism mechanism) const { return disabled_mechanisms_.count(mechanism) == 0; }
   // Total work of the job's steps in core-seconds.
   double WorkInCoreSeconds(const JobSpec& spec) const;
-  // Expected critical path on the pool's workers, where no step has more than a share of the pool
-  // at a time.
+  // Expected critical path on the pool's workers, where no step has more than its fair share of
+  // the pool at a time.
   Duration FairShareCriticalPath(const JobSpec& spec, const std::string& service) const;
 
   const MechanismsOff disabled_mechanisms_;
--- a/servers/pool/job_table.cc
+++ b/servers/pool/job_table.cc
@@ -5,7 +5,7 @@
 
 namespace turmericshift::pool {
 
-bool JobTable::RecordIfNewer(const KeyedRecord& record) {
+bool JobTable::UpdateOffsetIfNewer(const KeyedRecord& record) {
   const auto known = offsets_.find(record.key);
   if (known != offsets_.end() && known->second >= record.offset) return false;
   // A deleted key's offset need not be stored: its older records are read before this one.
@@ -21,7 +21,7 @@
   newest_offset_ = std::max(newest_offset_, record.offset);
   if (record.key == kHeartbeatKey) return;
   const Offset before = offsets_.count(record.key) > 0 ? offsets_[record.key] : kNoOffset;
-  if (!RecordIfNewer(record)) return;
+  if (!UpdateOffsetIfNewer(record)) return;
   try {
     if (record.key == kPlannerKey) {
       planner_ = record.value.empty() ? PlannerRecord{} : DecodePlanner(record.value);
--- a/servers/pool/job_table.h
+++ b/servers/pool/job_table.h
@@ -34,7 +34,7 @@
 
  private:
   // Whether `record` is newer than the last record of its key; if so, stores its offset.
-  bool RecordIfNewer(const KeyedRecord& record);
+  bool UpdateOffsetIfNewer(const KeyedRecord& record);
   void ApplySpec(const std::string& id, const KeyedRecord& record);
   void ApplyProgress(const std::string& id, const KeyedRecord& record);
 
--- a/servers/pool/planning_capacity.h
+++ b/servers/pool/planning_capacity.h
@@ -24,8 +24,8 @@
 // time.
 int PlanningCapacity(const VmResources& vm);
 
-// Whether a VM with capacity `own` is too weak for a pool of `agents` and a VM with capacity
-// `other` is stronger.
+// Whether an entry whose VM has capacity `own` should yield the planning of a pool of `agents` to
+// one with capacity `other`: its own VM is too weak, and the other is stronger.
 bool ShouldYieldTo(int other, int own, int agents);
 
 }  // namespace turmericshift::pool
--- a/servers/pool/worker_health_tracker.cc
+++ b/servers/pool/worker_health_tracker.cc
@@ -12,7 +12,7 @@
 // sound worker fails one run in two hundred, so two failures within the window are unlikely to be
 // chance.
 constexpr int kQuarantineThreshold = 2;
-// Length of the first quarantine, doubled with each further one.
+// Length of the first quarantine, doubled with each further one up to kMaxDoublings times.
 constexpr Duration kInitialQuarantine = std::chrono::seconds(3);
 constexpr int kMaxDoublings = 2;
 // After a failed order, work goes to other workers for this long.
