--- a/servers/entry/agent_directory.cc
+++ b/servers/entry/agent_directory.cc
@@ -16,7 +16,7 @@
   if (replaced) replaced->Drop();
 }
 
-void AgentDirectory::Heard(const AgentHello& hello, const AgentBeat& beat, Time now) {
+void AgentDirectory::RecordHeartbeat(const AgentHello& hello, const AgentBeat& beat, Time now) {
   const std::lock_guard<std::mutex> lock(mutex_);
   const auto found = agents_.find(hello.process);
   if (found == agents_.end() || found->second.hello.incarnation != hello.incarnation) return;
@@ -32,20 +32,20 @@
   found->second.leaving = true;
 }
 
-void AgentDirectory::DropSilent(Time now, Duration limit) {
+void AgentDirectory::DisconnectSilent(Time now, Duration limit) {
   std::vector<std::shared_ptr<AgentPort>> silent;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     for (auto& [name, agent] : agents_) {
-      if (agent.dropped || now - agent.heard <= limit) continue;
-      agent.dropped = true;
+      if (agent.disconnected || now - agent.heard <= limit) continue;
+      agent.disconnected = true;
       silent.push_back(agent.port);
     }
   }
   for (const auto& port : silent) port->Drop();
 }
 
-void AgentDirectory::Answered(const std::string& agent, const TargetLoad& load) {
+void AgentDirectory::RecordLoad(const std::string& agent, const TargetLoad& load) {
   const std::lock_guard<std::mutex> lock(mutex_);
   const auto found = agents_.find(agent);
   if (found != agents_.end()) found->second.beat.load = load;
@@ -57,7 +57,7 @@
   if (found != agents_.end()) found->second.outstanding += change;
 }
 
-std::vector<std::string> AgentDirectory::Sweep(Time now, Duration limit) {
+std::vector<std::string> AgentDirectory::RemoveSilent(Time now, Duration limit) {
   const std::lock_guard<std::mutex> lock(mutex_);
   std::vector<std::string> gone;
   for (auto agent = agents_.begin(); agent != agents_.end();) {
--- a/servers/entry/agent_directory.h
+++ b/servers/entry/agent_directory.h
@@ -21,7 +21,7 @@
   int outstanding = 0;
   bool leaving = false;
   // The port was dropped for its silence.
-  bool dropped = false;
+  bool disconnected = false;
 };
 
 class AgentDirectory {
@@ -30,17 +30,17 @@
   // once: the agent opens a second connection because it takes the first one for dead.
   void Open(const AgentHello& hello, std::shared_ptr<AgentPort> port, Time now);
   // Ignored unless it comes from the newest session of that process.
-  void Heard(const AgentHello& hello, const AgentBeat& beat, Time now);
+  void RecordHeartbeat(const AgentHello& hello, const AgentBeat& beat, Time now);
   // Load that came with an answer.
-  void Answered(const std::string& agent, const TargetLoad& load);
+  void RecordLoad(const std::string& agent, const TargetLoad& load);
   void AddOutstanding(const std::string& agent, int change);
   // The agent refused work because it leaves; true from now on, whatever older heartbeats say.
   void MarkLeaving(const std::string& agent, const std::string& incarnation);
   // Ends the calls in flight to agents not heard for `limit`, which would otherwise wait for an
   // answer until their callers' deadlines.
-  void DropSilent(Time now, Duration limit);
+  void DisconnectSilent(Time now, Duration limit);
   // Forgets agents not heard for `limit`; returns their names.
-  std::vector<std::string> Sweep(Time now, Duration limit);
+  std::vector<std::string> RemoveSilent(Time now, Duration limit);
 
   // Targets of `service` that are not leaving and were heard within `limit`.
   std::vector<TargetCandidate> Candidates(const std::string& service, Time now,
--- a/servers/entry/caller_api.cc
+++ b/servers/entry/caller_api.cc
@@ -19,10 +19,10 @@
 constexpr const char* kServicesPrefix = "/v1/services/";
 constexpr const char* kJobsPath = "/v1/jobs";
 constexpr Duration kDefaultDeadline = std::chrono::seconds(30);
-constexpr Duration kLongestDeadline = std::chrono::minutes(10);
+constexpr Duration kMaxDeadline = std::chrono::minutes(10);
 constexpr Duration kRecordTimeout = std::chrono::seconds(5);
 constexpr size_t kUuidBytes = 36;
-constexpr size_t kUuidVersionPlace = 14;
+constexpr size_t kUuidVersionOffset = 14;
 constexpr size_t kRequestIdBytes = 8;
 constexpr size_t kMaxKeyBytes = 200;
 // Names the entry that passes a question on to the zone's planner.
@@ -36,18 +36,18 @@
 Duration DeadlineOf(const HttpRequest& request) {
   const std::string header = request.header("Deadline");
   if (header.empty()) return kDefaultDeadline;
-  return std::min(ParseDuration(header), kLongestDeadline);
+  return std::min(ParseDuration(header), kMaxDeadline);
 }
 
 // When the caller first used its key: from the header "Idempotency-Key-Time" (milliseconds since
 // 1970), or from the key itself if it is a UUID of version 7 (RFC 9562), which begins with that
 // time. 0 when neither is there.
-int64_t KeySince(const HttpRequest& request) {
+int64_t KeyFirstUsedMs(const HttpRequest& request) {
   const std::string header = request.header("Idempotency-Key-Time");
   if (!header.empty()) return ParseInteger(header, 1, std::numeric_limits<int64_t>::max());
   std::string key = request.header("Idempotency-Key");
   const bool uuid7 = key.size() == kUuidBytes && key[8] == '-' && key[13] == '-' &&
-                     key[kUuidVersionPlace] == '7' && key[18] == '-' && key[23] == '-';
+                     key[kUuidVersionOffset] == '7' && key[18] == '-' && key[23] == '-';
   if (!uuid7) return 0;
   key = key.substr(0, 8) + key.substr(9, 4);
   const bool hexadecimal = key.find_first_not_of("0123456789abcdefABCDEF") == std::string::npos;
@@ -80,7 +80,7 @@
 }
 
 // Why this entry can't say what a job waits for.
-std::string WhyUnheard(const PlannerEpoch& planner, const std::string& zone) {
+std::string PlannerUnavailableReason(const PlannerEpoch& planner, const std::string& zone) {
   if (planner.process.empty()) return "no entry plans availability zone " + zone + " at present";
   return "entry " + planner.process + " plans availability zone " + zone +
          " and can't be asked at present";
@@ -119,7 +119,7 @@
     if (service_request.idempotency_key.size() > kMaxKeyBytes) {
       throw Error(ErrorKind::kInvalidInput, "the idempotency key is too long");
     }
-    const ServiceAnswer answer = entry_->router_->Route(service_request, KeySince(request));
+    const ServiceAnswer answer = entry_->router_->Route(service_request, KeyFirstUsedMs(request));
     LogAnswered(service_request, begun,
                 {{"outcome", OutcomeName(Outcome::kRan)},
                  {"status", answer.status},
@@ -195,7 +195,7 @@
   const std::string asked = AskPlanner(request, *job);
   if (!asked.empty()) return JsonResponse(asked);
   std::string why = entry_->planners_->WaitReasonFor(*job);
-  if (why.empty()) why = WhyUnheard(entry_->job_fold_.Planner(job->zone), job->zone);
+  if (why.empty()) why = PlannerUnavailableReason(entry_->job_fold_.Planner(job->zone), job->zone);
   return JsonResponse(JobJson(*job, entry_->planners_->RunningAttempt(*job), why).dump());
 }
 
--- a/servers/entry/config_api.cc
+++ b/servers/entry/config_api.cc
@@ -17,11 +17,11 @@
 namespace {
 
 constexpr Duration kRecordTimeout = std::chrono::seconds(5);
-constexpr Duration kLookPause = std::chrono::milliseconds(20);
-constexpr int64_t kLongestWaitMs = 60000;
+constexpr Duration kPollInterval = std::chrono::milliseconds(20);
+constexpr int64_t kMaxWaitMs = 60000;
 // An operator who takes a zone out wants to know that it is out.
-constexpr int64_t kZoneWaitMs = 5000;
-constexpr size_t kMostChangeIdBytes = 64;
+constexpr int64_t kDefaultZoneWaitMs = 5000;
+constexpr size_t kMaxChangeIdBytes = 64;
 constexpr const char* kConfigPath = "/v1/config";
 constexpr const char* kVersionsPath = "/v1/config/versions/";
 constexpr const char* kZonesPath = "/v1/zones/";
@@ -56,17 +56,17 @@
 }
 
 HttpResponse ConfigApi::Handle(const HttpRequest& request) {
-  const bool reads = request.method == "GET";
-  if (request.path == kConfigPath && reads) return ShowVersion(Current()->version);
+  const bool is_get = request.method == "GET";
+  if (request.path == kConfigPath && is_get) return ShowVersion(Current()->version);
   if (request.path == kConfigPath) return Publish(request);
-  if (request.path == "/v1/config/history" && reads) return ShowHistory();
-  if (request.path == "/v1/config/in-force" && reads) return ShowInForce(request);
-  if (request.path == "/v1/config/statement" && reads) return State(request);
-  if (StartsWith(request.path, kVersionsPath) && reads) {
+  if (request.path == "/v1/config/history" && is_get) return ShowHistory();
+  if (request.path == "/v1/config/in-force" && is_get) return ShowInForce(request);
+  if (request.path == "/v1/config/statement" && is_get) return IssueStatement(request);
+  if (StartsWith(request.path, kVersionsPath) && is_get) {
     const std::string number = request.path.substr(std::string(kVersionsPath).size());
     return ShowVersion(ParseInteger(number, 1, INT64_MAX));
   }
-  if (StartsWith(request.path, kZonesPath) && !reads) return SetZone(request);
+  if (StartsWith(request.path, kZonesPath) && !is_get) return SetZone(request);
   throw Error(ErrorKind::kNotFound, "no such path: " + request.path);
 }
 
@@ -96,7 +96,7 @@
 
 InForceReport ConfigApi::Report(int64_t version) const {
   const Time now = DefaultClock().Now();
-  std::vector<PeerState> peers = entry_->peers_.Heard(now, kInForceSilence);
+  std::vector<PeerState> peers = entry_->peers_.RecentlySeen(now, kInForceMaxReportAge);
   // Nobody needs to tell this entry what it has itself.
   const auto current = entry_->config_fold_.current();
   const EntryMember self{entry_->options_.process, entry_->options_.zone, ""};
@@ -109,7 +109,7 @@
   return JsonResponse(Report(RequiredNumber(request, "version")).ToJson());
 }
 
-HttpResponse ConfigApi::State(const HttpRequest& request) const {
+HttpResponse ConfigApi::IssueStatement(const HttpRequest& request) const {
   const EntryOptions& options = entry_->options_;
   if (options.promotion_key.empty() || options.environment.empty()) {
     throw Error(ErrorKind::kConflict, "this entry has no promotion key or no environment's name");
@@ -134,7 +134,7 @@
           .dump());
 }
 
-void ConfigApi::RequireTrial(const HttpRequest& request, const std::string& digest) const {
+void ConfigApi::RequireTrialProof(const HttpRequest& request, const std::string& digest) const {
   const EntryOptions& options = entry_->options_;
   if (options.trial.empty()) return;
   // A rollback: these bytes were promoted before, and haste must not depend on the trial.
@@ -161,9 +161,9 @@
   const bool plain = std::all_of(change.begin(), change.end(), [](unsigned char letter) {
     return std::isalnum(letter) != 0 || letter == '-';
   });
-  if (!plain || change.size() > kMostChangeIdBytes) {
+  if (!plain || change.size() > kMaxChangeIdBytes) {
     throw Error(ErrorKind::kInvalidInput, "a change's id has letters, digits and '-', at most " +
-                                              std::to_string(kMostChangeIdBytes));
+                                              std::to_string(kMaxChangeIdBytes));
   }
   return change;
 }
@@ -182,8 +182,8 @@
   record.environment = entry_->options_.environment;
   record.sets_zones = request.argument("zone_states") == "replace";
   record.keeps_zones = request.argument("zone_states") == "keep";
-  RequireTrial(request, record.digest);
-  return AnswerAccepted(request, *Accept(record), 0);
+  RequireTrialProof(request, record.digest);
+  return AnswerAccepted(request, *CommitChange(record), 0);
 }
 
 HttpResponse ConfigApi::SetZone(const HttpRequest& request) {
@@ -199,12 +199,12 @@
   if (Current()->environment->FindZone(record.zone) == nullptr) {
     throw Error(ErrorKind::kNotFound, "no availability zone named '" + record.zone + "'");
   }
-  return AnswerAccepted(request, *Accept(record), kZoneWaitMs);
+  return AnswerAccepted(request, *CommitChange(record), kDefaultZoneWaitMs);
 }
 
-std::shared_ptr<const ConfigVersion> ConfigApi::Accept(const Record& record) {
+std::shared_ptr<const ConfigVersion> ConfigApi::CommitChange(const Record& record) {
   if (auto earlier = entry_->config_fold_.FindChange(RecordId(record))) return earlier;
-  std::shared_ptr<const ConfigVersion> accepted = Write(record);
+  std::shared_ptr<const ConfigVersion> accepted = WriteChange(record);
   LogEvent(LogLevel::kInfo, "config_accepted",
            {{"version", accepted->version},
             {"change", accepted->change},
@@ -214,7 +214,7 @@
   return accepted;
 }
 
-std::shared_ptr<const ConfigVersion> ConfigApi::Write(const Record& record) {
+std::shared_ptr<const ConfigVersion> ConfigApi::WriteChange(const Record& record) {
   try {
     const Written written = entry_->config_stream_.Write(record, kRecordTimeout);
     if (!written.verdict.accepted) throw Error(ErrorKind::kConflict, written.verdict.reason);
@@ -234,11 +234,11 @@
 HttpResponse ConfigApi::AnswerAccepted(const HttpRequest& request, const ConfigVersion& version,
                                        int64_t default_wait_ms) const {
   const std::string wait = request.argument("wait_ms");
-  const int64_t wait_ms = wait.empty() ? default_wait_ms : ParseInteger(wait, 0, kLongestWaitMs);
+  const int64_t wait_ms = wait.empty() ? default_wait_ms : ParseInteger(wait, 0, kMaxWaitMs);
   const Time limit = DefaultClock().Now() + std::chrono::milliseconds(wait_ms);
   InForceReport report = Report(version.version);
   while (!report.complete() && !entry_->leaving_.load() && DefaultClock().Now() < limit) {
-    std::this_thread::sleep_for(kLookPause);
+    std::this_thread::sleep_for(kPollInterval);
     report = Report(version.version);
   }
   nlohmann::json json = VersionJson(version);
--- a/servers/entry/config_api.h
+++ b/servers/entry/config_api.h
@@ -46,12 +46,12 @@
   HttpResponse ShowVersion(int64_t version) const;
   HttpResponse ShowHistory() const;
   HttpResponse ShowInForce(const HttpRequest& request) const;
-  HttpResponse State(const HttpRequest& request) const;
+  HttpResponse IssueStatement(const HttpRequest& request) const;
   HttpResponse Publish(const HttpRequest& request);
   HttpResponse SetZone(const HttpRequest& request);
   // Throws Error(kForbidden) unless the request carries a trial's statement about `digest`, or this
   // environment asks for none.
-  void RequireTrial(const HttpRequest& request, const std::string& digest) const;
+  void RequireTrialProof(const HttpRequest& request, const std::string& digest) const;
   // The current version. Throws Error(kNotFound).
   std::shared_ptr<const ConfigVersion> Current() const;
   InForceReport Report(int64_t version) const;
@@ -59,8 +59,8 @@
   static std::string ChangeId(const HttpRequest& request);
   // Writes the record; returns the version it made, also when an earlier copy made it. Throws
   // Error(kConflict) if it is void.
-  std::shared_ptr<const ConfigVersion> Accept(const Record& record);
-  std::shared_ptr<const ConfigVersion> Write(const Record& record);
+  std::shared_ptr<const ConfigVersion> CommitChange(const Record& record);
+  std::shared_ptr<const ConfigVersion> WriteChange(const Record& record);
   // Waits until all have the version, at most as long as the request says, and answers.
   HttpResponse AnswerAccepted(const HttpRequest& request, const ConfigVersion& version,
                               int64_t default_wait_ms) const;
--- a/servers/entry/entry_server.cc
+++ b/servers/entry/entry_server.cc
@@ -14,28 +14,28 @@
 namespace turmericshift {
 namespace {
 
-constexpr Duration kSettleTime = std::chrono::seconds(10);
+constexpr Duration kStartupGracePeriod = std::chrono::seconds(10);
 constexpr size_t kIncarnationBytes = 8;
 constexpr Duration kRecordTimeout = std::chrono::seconds(3);
-constexpr Duration kHandOverLimit = std::chrono::seconds(5);
-constexpr Duration kUpkeepPeriod = std::chrono::seconds(1);
+constexpr Duration kStepDownTimeout = std::chrono::seconds(5);
+constexpr Duration kUpkeepInterval = std::chrono::seconds(1);
 // An entry of which no agent has heard for so long is gone. Long enough for a partition to heal:
 // an entry that comes back finds itself missing and joins again.
-constexpr Duration kMemberSilence = std::chrono::seconds(60);
+constexpr Duration kMemberTimeout = std::chrono::seconds(60);
 // Word of entries spreads with the heartbeats; a peer that was heard so lately is passed on.
-constexpr Duration kPeerSilence = std::chrono::seconds(30);
+constexpr Duration kMaxPeerAge = std::chrono::seconds(30);
 
 }  // namespace
 
 // One agent's session, as this entry serves it.
-class EntryServer::Port : public EntryPort {
+class EntryServer::AgentSession : public EntryPort {
  public:
-  Port(EntryServer* entry, AgentHello hello) : entry_(entry), hello_(std::move(hello)) {}
+  AgentSession(EntryServer* entry, AgentHello hello) : entry_(entry), hello_(std::move(hello)) {}
 
   EntryBeat Heartbeat(const AgentBeat& beat, Duration /*timeout*/) override {
     const Time now = DefaultClock().Now();
     entry_->directory_.Heard(hello_, beat, now);
-    entry_->peers_.Hear(beat, now);
+    entry_->peers_.RecordHeartbeat(beat, now);
     return entry_->MakeBeat(hello_, beat);
   }
 
@@ -57,7 +57,7 @@
       tokens_(&config_fold_) {
   RouterOptions router;
   router.sender.own_zone = options.zone;
-  router.sender.judge.enabled = options.eject_outliers;
+  router.sender.outliers.enabled = options.eject_outliers;
   router_ = std::make_unique<RequestRouter>(
       router, RoutingPolicyRegistry::Instance().Create(options.routing_policy, options.seed),
       &directory_, &request_stream_, &request_fold_, &config_fold_, metrics);
@@ -96,7 +96,7 @@
   directory_.Open(hello, std::move(agent), DefaultClock().Now());
   LogEvent(LogLevel::kInfo, "agent_opened",
            {{"agent", hello.process}, {"incarnation", hello.incarnation}});
-  return std::make_shared<Port>(this, hello);
+  return std::make_shared<AgentSession>(this, hello);
 }
 
 StreamOptions EntryServer::OptionsFor(Stream stream) {
@@ -145,24 +145,24 @@
                        kRecordTimeout);
 }
 
-void EntryServer::DropSilentMembers(Time now) {
-  std::set<std::string> heard;
-  for (const PeerState& peer : peers_.Heard(now, kMemberSilence)) {
-    heard.insert(peer.entry.process);
+void EntryServer::RemoveSilentMembers(Time now) {
+  std::set<std::string> seen;
+  for (const PeerState& peer : peers_.RecentlySeen(now, kMemberTimeout)) {
+    seen.insert(peer.entry.process);
   }
   // Without agents this entry hears of nobody and can tell nothing about others.
-  if (heard.count(options_.process) == 0) {
-    missed_since_.clear();
+  if (seen.count(options_.process) == 0) {
+    silent_since_.clear();
     return;
   }
   for (const MemberJoined& member : member_fold_.members()) {
-    if (heard.count(member.process) != 0) {
-      missed_since_.erase(member.process);
+    if (seen.count(member.process) != 0) {
+      silent_since_.erase(member.process);
       continue;
     }
-    const Time since = missed_since_.try_emplace(member.process, now).first->second;
-    if (now - since < kMemberSilence) continue;
-    missed_since_.erase(member.process);
+    const Time since = silent_since_.try_emplace(member.process, now).first->second;
+    if (now - since < kMemberTimeout) continue;
+    silent_since_.erase(member.process);
     member_stream_.Write(MemberLeft{NewRecordId(), member.process, member.incarnation},
                          kRecordTimeout);
     LogEvent(LogLevel::kWarning, "member_dropped", {{"entry", member.process}});
@@ -171,7 +171,7 @@
 
 void EntryServer::RunUpkeep() {
   std::unique_lock<std::mutex> lock(mutex_);
-  while (!stop_.wait_for(lock, kUpkeepPeriod, [this] { return stopping_; })) {
+  while (!stop_.wait_for(lock, kUpkeepInterval, [this] { return stopping_; })) {
     lock.unlock();
     Upkeep(DefaultClock().Now());
     lock.lock();
@@ -183,7 +183,7 @@
   try {
     if (member_stream_.view().ever_fresh && !member_stream_.view().failing) {
       JoinIfMissing();
-      DropSilentMembers(now);
+      RemoveSilentMembers(now);
     }
     for (StreamClient* stream :
          {&config_stream_, &request_stream_, &job_stream_, &member_stream_}) {
@@ -197,8 +197,8 @@
 bool EntryServer::ready() const {
   // An entry that has just started knows no target until agents find it, and would turn callers
   // away whom the other entries could serve. Where no agent comes at all it must still take jobs.
-  const bool settled = DefaultClock().Now() - started_ > kSettleTime;
-  if (!settled && directory_.Agents("").empty()) return false;
+  const bool grace_period_over = DefaultClock().Now() - started_ > kStartupGracePeriod;
+  if (!grace_period_over && directory_.Agents("").empty()) return false;
   return !leaving_.load() && config_fold_.current() != nullptr && job_stream_.view().ever_fresh &&
          request_stream_.view().ever_fresh;
 }
@@ -216,7 +216,7 @@
   caller_http_->StopAccepting();
   bool drained = caller_http_->Drain(limit);
   // So that the next planner need not wait until this one is missed.
-  planners_->Leave(kHandOverLimit);
+  planners_->Leave(kStepDownTimeout);
   try {
     member_stream_.Write(MemberLeft{NewRecordId(), options_.process, incarnation_}, kRecordTimeout);
   } catch (const Error& error) {
@@ -277,7 +277,7 @@
   // While the log is down, agents know of entries that could not join. What they heard is added and
   // never put in place of what joined: an entry that was replaced has been heard at its old address
   // until just now, and agents would go on trying that one and never find its successor.
-  for (const PeerState& peer : peers_.Heard(now, kPeerSilence)) {
+  for (const PeerState& peer : peers_.RecentlySeen(now, kMaxPeerAge)) {
     const EntryMember& entry = peer.entry;
     const bool listed = std::any_of(result.begin(), result.end(), [&](const EntryMember& member) {
       return member.process == entry.process && member.address == entry.address;
--- a/servers/entry/entry_server.h
+++ b/servers/entry/entry_server.h
@@ -80,7 +80,7 @@
   friend class CallerApi;
   friend class ConfigApi;
   friend class OperatorApi;
-  class Port;
+  class AgentSession;
 
   std::string CallerAddress(const std::string& peer_address) const;
   StreamOptions OptionsFor(Stream stream);
@@ -90,7 +90,7 @@
   // Records this entry as a member, and again when it finds itself missing.
   void JoinIfMissing();
   // Records that entries have gone of which nothing was heard for long.
-  void DropSilentMembers(Time now);
+  void RemoveSilentMembers(Time now);
   void RunUpkeep();
   // Whatever must be done every second or so; failures wait for the next round.
   void Upkeep(Time now);
@@ -124,7 +124,7 @@
   bool stopping_ = false;
   std::string address_;
   // When this entry first missed another, by process name.
-  std::map<std::string, Time> missed_since_;
+  std::map<std::string, Time> silent_since_;
   Thread upkeep_;
 };
 
--- a/servers/entry/in_force.cc
+++ b/servers/entry/in_force.cc
@@ -29,8 +29,9 @@
   report.version = version;
   for (const AgentState& agent : agents) {
     ZoneInForce& zone = report.zones[agent.hello.zone];
-    const bool has = agent.beat.config_version >= version && now - agent.heard <= kInForceSilence;
-    if (has) {
+    const bool in_force =
+        agent.beat.config_version >= version && now - agent.heard <= kInForceMaxReportAge;
+    if (in_force) {
       ++zone.agents;
     } else {
       zone.behind.push_back(agent.hello.process);
@@ -39,7 +40,7 @@
   for (const MemberJoined& member : members) {
     ZoneInForce& zone = report.zones[member.zone];
     const auto peer = std::find_if(peers.begin(), peers.end(), [&](const PeerState& each) {
-      return each.entry.process == member.process && now - each.heard <= kInForceSilence;
+      return each.entry.process == member.process && now - each.last_seen <= kInForceMaxReportAge;
     });
     if (peer == peers.end()) {
       zone.silent.push_back(member.process);
--- a/servers/entry/in_force.h
+++ b/servers/entry/in_force.h
@@ -32,7 +32,7 @@
 };
 
 // Heard of late: within this.
-inline constexpr Duration kInForceSilence = std::chrono::seconds(5);
+inline constexpr Duration kInForceMaxReportAge = std::chrono::seconds(5);
 
 InForceReport ReportInForce(int64_t version, const std::vector<AgentState>& agents,
                             const std::vector<MemberJoined>& members,
--- a/servers/entry/peer_view.cc
+++ b/servers/entry/peer_view.cc
@@ -10,25 +10,25 @@
 
 }  // namespace
 
-void PeerView::Hear(const AgentBeat& beat, Time now) {
+void PeerView::RecordHeartbeat(const AgentBeat& beat, Time now) {
   const std::lock_guard<std::mutex> lock(mutex_);
   highest_version_ = std::max(highest_version_, beat.config_version);
   for (const HeardEntry& heard : beat.heard) {
     const std::string& process = heard.entry.process;
     if (peers_.size() >= kMaxPeers && peers_.count(process) == 0) continue;
     PeerState& peer = peers_[process];
-    const Time when = now - heard.age;
-    if (when >= peer.heard) peer.entry = heard.entry;
-    peer.heard = std::max(peer.heard, when);
+    const Time seen_at = now - heard.age;
+    if (seen_at >= peer.last_seen) peer.entry = heard.entry;
+    peer.last_seen = std::max(peer.last_seen, seen_at);
     peer.config_version = std::max(peer.config_version, heard.config_version);
   }
 }
 
-std::vector<PeerState> PeerView::Heard(Time now, Duration limit) const {
+std::vector<PeerState> PeerView::RecentlySeen(Time now, Duration max_age) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   std::vector<PeerState> result;
   for (const auto& [process, peer] : peers_) {
-    if (now - peer.heard <= limit) result.push_back(peer);
+    if (now - peer.last_seen <= max_age) result.push_back(peer);
   }
   return result;
 }
--- a/servers/entry/peer_view.h
+++ b/servers/entry/peer_view.h
@@ -16,16 +16,16 @@
   EntryMember entry;
   // The highest that any agent has heard from it.
   int64_t config_version = 0;
-  Time heard{};
+  Time last_seen{};
 };
 
 class PeerView {
  public:
   // Part of an agent's heartbeat that arrived at `now`.
-  void Hear(const AgentBeat& beat, Time now);
+  void RecordHeartbeat(const AgentBeat& beat, Time now);
 
   // Entries heard within `limit`, by process name.
-  std::vector<PeerState> Heard(Time now, Duration limit) const;
+  std::vector<PeerState> RecentlySeen(Time now, Duration max_age) const;
   // The highest version that any agent had in force.
   int64_t highest_version() const;
 
--- a/servers/entry/peer_view_test.cc
+++ b/servers/entry/peer_view_test.cc
@@ -20,14 +20,14 @@
 TEST(PeerViewTest, TheNewestWordOfAnEntryCounts) {
   PeerView peers;
   const Time now = Time{} + std::chrono::hours(1);
-  peers.Hear(BeatAbout("entry-1", "10.0.0.2:1", seconds(1), 3), now);
-  peers.Hear(BeatAbout("entry-1", "10.0.0.1:1", seconds(20), 2), now);
-  const std::vector<PeerState> heard = peers.Heard(now, seconds(5));
-  ASSERT_EQ(heard.size(), 1U);
-  EXPECT_EQ(heard[0].entry.address, "10.0.0.2:1");
-  EXPECT_EQ(heard[0].config_version, 3);
+  peers.RecordHeartbeat(BeatAbout("entry-1", "10.0.0.2:1", seconds(1), 3), now);
+  peers.RecordHeartbeat(BeatAbout("entry-1", "10.0.0.1:1", seconds(20), 2), now);
+  const std::vector<PeerState> recent = peers.RecentlySeen(now, seconds(5));
+  ASSERT_EQ(recent.size(), 1U);
+  EXPECT_EQ(recent[0].entry.address, "10.0.0.2:1");
+  EXPECT_EQ(recent[0].config_version, 3);
   EXPECT_EQ(peers.highest_version(), 3);
-  EXPECT_TRUE(peers.Heard(now + seconds(10), seconds(5)).empty());
+  EXPECT_TRUE(peers.RecentlySeen(now + seconds(10), seconds(5)).empty());
 }
 
 // An agent that invents entries must not fill this process's memory.
@@ -36,9 +36,9 @@
   const Time now = Time{} + std::chrono::hours(1);
   constexpr int kMany = 1000;
   for (int index = 0; index < kMany; ++index) {
-    peers.Hear(BeatAbout("entry-" + std::to_string(index), "10.0.0.1:1", {}, 1), now);
+    peers.RecordHeartbeat(BeatAbout("entry-" + std::to_string(index), "10.0.0.1:1", {}, 1), now);
   }
-  EXPECT_LE(peers.Heard(now, seconds(5)).size(), 256U);
+  EXPECT_LE(peers.RecentlySeen(now, seconds(5)).size(), 256U);
 }
 
 }  // namespace
--- a/servers/entry/request_router.cc
+++ b/servers/entry/request_router.cc
@@ -11,14 +11,14 @@
 namespace turmericshift {
 namespace {
 
-constexpr Duration kFirstBackoff = std::chrono::milliseconds(4);
-constexpr Duration kLongestBackoff = std::chrono::milliseconds(200);
+constexpr Duration kBaseBackoff = std::chrono::milliseconds(4);
+constexpr Duration kMaxBackoff = std::chrono::milliseconds(200);
 
 // Full jitter: anything up to the bound, which doubles with each attempt, so that callers that
 // failed together do not come back together.
 Duration Backoff(int attempt) {
   thread_local std::mt19937_64 random(std::random_device{}());
-  const Duration bound = std::min(kFirstBackoff * (1 << std::min(attempt, 10)), kLongestBackoff);
+  const Duration bound = std::min(kBaseBackoff * (1 << std::min(attempt, 10)), kMaxBackoff);
   return Duration(std::uniform_int_distribution<int64_t>(0, bound.count())(random));
 }
 
@@ -42,13 +42,13 @@
       sender_(options.sender, std::move(policy), directory, metrics),
       idempotent_(&sender_, &budget_, requests, fold, metrics) {}
 
-ServiceAnswer RequestRouter::Route(const ServiceRequest& request, int64_t key_since_ms) {
+ServiceAnswer RequestRouter::Route(const ServiceRequest& request, int64_t key_first_used_ms) {
   const Time begun = DefaultClock().Now();
   const Time deadline = begun + request.time_left;
   budget_.Earn();
   ServiceAnswer answer = request.idempotency_key.empty()
                              ? RouteRepeatable(request, deadline)
-                             : idempotent_.Route(request, key_since_ms, deadline);
+                             : idempotent_.Route(request, key_first_used_ms, deadline);
   answer.request_id = request.request_id;
   latency_->Record(Seconds(DefaultClock().Now() - begun));
   return answer;
@@ -77,10 +77,10 @@
 
 bool RequestRouter::PrepareRetry(const std::string& service, const Error& error, int attempt,
                                  Time deadline) {
-  const bool unrun = error.outcome() == Outcome::kNotRun && AnswerFor(error.kind()).retryable;
+  const bool not_run = error.outcome() == Outcome::kNotRun && AnswerFor(error.kind()).retryable;
   const bool lost =
       error.outcome() == Outcome::kUnknown && IsLostAnswer(error.kind()) && Repeatable(service);
-  if ((!unrun && !lost) || attempt >= options_.max_attempts) return false;
+  if ((!not_run && !lost) || attempt >= options_.max_attempts) return false;
   const Duration pause = Backoff(attempt);
   if (DefaultClock().Now() + pause >= deadline) return false;
   if (!budget_.Spend()) return false;
--- a/servers/entry/request_router.h
+++ b/servers/entry/request_router.h
@@ -28,9 +28,9 @@
                 const ConfigFold* config, MetricsRegistry* metrics);
 
   // Throws Error whose outcome is the truth about this request. `request.time_left` is the
-  // caller's deadline; a set idempotency key makes it run at most once. `key_since_ms` is when the
-  // caller first used the key (milliseconds since 1970), 0 if it did not say.
-  ServiceAnswer Route(const ServiceRequest& request, int64_t key_since_ms = 0);
+  // caller's deadline; a set idempotency key makes it run at most once. `key_first_used_ms` is when
+  // the caller first used the key (milliseconds since 1970), 0 if it did not say.
+  ServiceAnswer Route(const ServiceRequest& request, int64_t key_first_used_ms = 0);
 
   // When a caller refused with `error` should come back; zero when that is of no use.
   Duration RetryAfter(const std::string& service, const Error& error) const;
--- a/servers/entry/routing_policy.cc
+++ b/servers/entry/routing_policy.cc
@@ -4,10 +4,10 @@
 
 namespace turmericshift {
 
-double BusyShare(const TargetCandidate& candidate) {
-  const int said = candidate.load.running + candidate.load.queued;
+double SlotUtilization(const TargetCandidate& candidate) {
+  const int reported = candidate.load.running + candidate.load.queued;
   const int slots = std::max(1, candidate.load.slots);
-  return static_cast<double>(std::max(said, candidate.outstanding)) / slots;
+  return static_cast<double>(std::max(reported, candidate.outstanding)) / slots;
 }
 
 }  // namespace turmericshift
--- a/servers/entry/token_table.cc
+++ b/servers/entry/token_table.cc
@@ -8,7 +8,7 @@
 namespace turmericshift {
 namespace {
 
-constexpr size_t kMaxCached = 4096;
+constexpr size_t kMaxCachedTokens = 4096;
 
 std::string BearerToken(const HttpRequest& request) {
   static const std::string kPrefix = "Bearer ";
@@ -35,7 +35,7 @@
   // Keyed by a proof rather than by the token, so that no token stays in memory.
   const std::string cache_key = Prove(token, "token-cache");
   const std::lock_guard<std::mutex> lock(mutex_);
-  if (cached_version_ != current->version || cache_.size() > kMaxCached) {
+  if (cached_version_ != current->version || cache_.size() > kMaxCachedTokens) {
     cache_.clear();
     cached_version_ = current->version;
   }
--- a/servers/jobs/job.cc
+++ b/servers/jobs/job.cc
@@ -61,7 +61,7 @@
   }
 }
 
-void RequireSense(const JobSpec& spec) {
+void ValidateSpec(const JobSpec& spec) {
   RequireName("key", spec.key);
   RequireName("workspace", spec.workspace);
   RequireRange("tasks", spec.tasks, 1, kMaxTasksPerJob);
@@ -136,7 +136,7 @@
     if (!json.is_object()) Refuse("expected a JSON object");
     RequireKnownFields(json);
     const auto spec = json.get<JobSpec>();
-    RequireSense(spec);
+    ValidateSpec(spec);
     return spec;
   } catch (const nlohmann::json::exception& error) {
     Refuse(error.what());
--- a/servers/requests/idempotent_router.cc
+++ b/servers/requests/idempotent_router.cc
@@ -15,23 +15,23 @@
 constexpr Duration kClaimTimeout = std::chrono::seconds(3);
 // With an older view, claims that other entries made meanwhile may be missing; a claim could still
 // be written and lose against them, but the caller learns sooner that the log is down.
-constexpr Duration kViewLimit = std::chrono::seconds(10);
-constexpr Duration kKeepRecording = std::chrono::seconds(60);
+constexpr Duration kMaxViewAge = std::chrono::seconds(10);
+constexpr Duration kRecordOutcomeTimeout = std::chrono::seconds(60);
 // The owner of a fresh claim gets this long to forward it before a follower asks the agent, since
 // asking ends an attempt that has not arrived.
-constexpr Duration kForwardGrace = std::chrono::milliseconds(100);
-constexpr Duration kGracePoll = std::chrono::milliseconds(5);
+constexpr Duration kForwardGracePeriod = std::chrono::milliseconds(100);
+constexpr Duration kGracePollInterval = std::chrono::milliseconds(5);
 constexpr int kMaxRounds = 16;
 // Larger answers are not kept with the outcome; a repeated key is then told that it ran.
 constexpr size_t kMaxRecordedBody = size_t{16} * 1024;
 
 // Covers all that makes two requests the same, so that a key reused for another is noticed.
-std::string IdentityOf(const ServiceRequest& request) {
+std::string RequestFingerprint(const ServiceRequest& request) {
   return Digest(request.path + "\n" + request.content_type + "\n" + request.body_digest);
 }
 
-void RequireSame(const ServiceRequest& request, const RequestClaimed& claim) {
-  if (claim.body_digest == IdentityOf(request) && claim.service == request.service) return;
+void RequireSameRequest(const ServiceRequest& request, const RequestClaimed& claim) {
+  if (claim.body_digest == RequestFingerprint(request) && claim.service == request.service) return;
   throw Error(ErrorKind::kConflict, Outcome::kNotRun,
               "the idempotency key was used for another request");
 }
@@ -49,7 +49,7 @@
   return answer;
 }
 
-[[noreturn]] void ThrowExpired() {
+[[noreturn]] void ThrowKeyExpired() {
   throw Error(ErrorKind::kKeyExpired, Outcome::kUnknown,
               "the key is older than what the log keeps; it is not run again");
 }
@@ -66,23 +66,23 @@
       claims_(&metrics->counter("router_claims")),
       followed_(&metrics->counter("router_claims_followed")) {}
 
-ServiceAnswer IdempotentRouter::Route(const ServiceRequest& request, int64_t key_since_ms,
+ServiceAnswer IdempotentRouter::Route(const ServiceRequest& request, int64_t key_first_used_ms,
                                       Time deadline) {
   for (int round = 0; round < kMaxRounds; ++round) {
     const Time now = DefaultClock().Now();
     RequireTimeLeft(deadline, now, Outcome::kNotRun);
-    const std::optional<RequestState> state = FindSettled(request, deadline);
+    const std::optional<RequestState> state = FindAfterGracePeriod(request, deadline);
     int attempt = 1;
     if (state) {
-      if (state->expired) ThrowExpired();
-      RequireSame(request, state->claim);
+      if (state->expired) ThrowKeyExpired();
+      RequireSameRequest(request, state->claim);
       if (state->ended) return AnswerFromRecord(request, *state->ended);
       if (!state->never_ran) {
-        if (auto answer = Follow(request, *state, deadline)) return std::move(*answer);
+        if (auto answer = FollowClaim(request, *state, deadline)) return std::move(*answer);
       }
       attempt = state->claim.attempt + 1;
     } else {
-      RequireKept(key_since_ms);
+      RequireKeyRetained(key_first_used_ms);
     }
     RequireFreshView(DefaultClock().Now());
     if (auto answer = ClaimAndDeliver(request, attempt, deadline)) return std::move(*answer);
@@ -91,20 +91,21 @@
   throw Error(ErrorKind::kUnavailable, Outcome::kUnknown, "other requests keep claiming this key");
 }
 
-std::optional<RequestState> IdempotentRouter::FindSettled(const ServiceRequest& request,
-                                                          Time deadline) const {
+std::optional<RequestState> IdempotentRouter::FindAfterGracePeriod(const ServiceRequest& request,
+                                                                   Time deadline) const {
   std::optional<RequestState> state = fold_->Find(request.workspace, request.idempotency_key);
-  const Time limit = std::min(deadline, DefaultClock().Now() + kForwardGrace);
+  const Time limit = std::min(deadline, DefaultClock().Now() + kForwardGracePeriod);
   while (state && !state->ended && !state->never_ran && !state->expired &&
          DefaultClock().Now() < limit) {
-    std::this_thread::sleep_for(kGracePoll);
+    std::this_thread::sleep_for(kGracePollInterval);
     state = fold_->Find(request.workspace, request.idempotency_key);
   }
   return state;
 }
 
-std::optional<ServiceAnswer> IdempotentRouter::Follow(const ServiceRequest& request,
-                                                      const RequestState& state, Time deadline) {
+std::optional<ServiceAnswer> IdempotentRouter::FollowClaim(const ServiceRequest& request,
+                                                           const RequestState& state,
+                                                           Time deadline) {
   followed_->Add();
   ServiceRequest owner = request;
   owner.attempt = state.claim.attempt;
@@ -112,8 +113,9 @@
   owner.incarnation = state.claim.incarnation;
   try {
     const Time now = DefaultClock().Now();
-    ServiceAnswer answer = sender_->Settle(state.claim.agent, QuestionAbout(owner), now, deadline);
-    RecordEnd(state.claim, answer);
+    ServiceAnswer answer =
+        sender_->ResolveOutcome(state.claim.agent, MakeQuestion(owner), now, deadline);
+    RecordOutcome(state.claim, answer);
     answer.request_id = request.request_id;
     return answer;
   } catch (const Error& error) {
@@ -130,7 +132,7 @@
   claim.workspace = request.workspace;
   claim.key = request.idempotency_key;
   claim.service = request.service;
-  claim.body_digest = IdentityOf(request);
+  claim.body_digest = RequestFingerprint(request);
   claim.attempt = attempt;
   claim.agent = agent.hello.process;
   claim.incarnation = agent.hello.incarnation;
@@ -153,7 +155,7 @@
   try {
     RequireTimeLeft(deadline, DefaultClock().Now(), Outcome::kNotRun);
     ServiceAnswer answer = sender_->Deliver(agent, message, deadline);
-    RecordEnd(claim, answer);
+    RecordOutcome(claim, answer);
     return answer;
   } catch (const Error& error) {
     // A follower may have ended this attempt by its question and be running the next one.
@@ -162,24 +164,24 @@
     const auto state = fold_->Find(request.workspace, request.idempotency_key);
     if (state && state->claim.attempt != attempt) return std::nullopt;
     RecordNeverRan(claim);
-    const bool again = AnswerFor(error.kind()).retryable && budget_->Spend();
-    if (!again) throw;
+    const bool retry = AnswerFor(error.kind()).retryable && budget_->Spend();
+    if (!retry) throw;
     return std::nullopt;
   }
 }
 
 void IdempotentRouter::RequireFreshView(Time now) const {
   const StreamView view = requests_->view();
-  if (view.ever_fresh && now - view.fresh_at <= kViewLimit) return;
+  if (view.ever_fresh && now - view.fresh_at <= kMaxViewAge) return;
   throw Error(ErrorKind::kLogUnavailable, Outcome::kNotRun,
               "the platform's log can't be read, so claims of this key may be missing here");
 }
 
-void IdempotentRouter::RequireKept(int64_t key_since_ms) const {
-  if (key_since_ms != 0 && key_since_ms <= fold_->forgotten_until_ms()) ThrowExpired();
+void IdempotentRouter::RequireKeyRetained(int64_t key_first_used_ms) const {
+  if (key_first_used_ms != 0 && key_first_used_ms <= fold_->forgotten_until_ms()) ThrowKeyExpired();
 }
 
-void IdempotentRouter::RecordEnd(const RequestClaimed& claim, const ServiceAnswer& answer) {
+void IdempotentRouter::RecordOutcome(const RequestClaimed& claim, const ServiceAnswer& answer) {
   RequestEnded ended;
   ended.id = NewRecordId();
   ended.workspace = claim.workspace;
@@ -189,7 +191,7 @@
   ended.body_digest = answer.body_digest;
   if (answer.body.size() <= kMaxRecordedBody) ended.body = answer.body;
   // The caller does not wait for the record: until it is there, a repeat asks the agent instead.
-  if (requests_->Post(ended, kKeepRecording)) return;
+  if (requests_->Post(ended, kRecordOutcomeTimeout)) return;
   LogEvent(LogLevel::kWarning, "outcome_not_recorded", {{"key", claim.key}});
 }
 
@@ -200,7 +202,7 @@
   ended.key = claim.key;
   ended.attempt = claim.attempt;
   ended.status = kNeverRanStatus;
-  requests_->Post(ended, kKeepRecording);
+  requests_->Post(ended, kRecordOutcomeTimeout);
 }
 
 }  // namespace turmericshift
--- a/servers/requests/idempotent_router.h
+++ b/servers/requests/idempotent_router.h
@@ -19,24 +19,25 @@
   IdempotentRouter(TargetSender* sender, RetryBudget* budget, StreamClient* requests,
                    const RequestFold* fold, MetricsRegistry* metrics);
 
-  // Throws Error whose outcome is the truth about this request. `key_since_ms` is when the caller
-  // first used the key (milliseconds since 1970), 0 if it did not say.
-  ServiceAnswer Route(const ServiceRequest& request, int64_t key_since_ms, Time deadline);
+  // Throws Error whose outcome is the truth about this request. `key_first_used_ms` is when the
+  // caller first used the key (milliseconds since 1970), 0 if it did not say.
+  ServiceAnswer Route(const ServiceRequest& request, int64_t key_first_used_ms, Time deadline);
 
  private:
   // An answer, or none when the next attempt may be claimed.
-  std::optional<ServiceAnswer> Follow(const ServiceRequest& request, const RequestState& state,
-                                      Time deadline);
+  std::optional<ServiceAnswer> FollowClaim(const ServiceRequest& request, const RequestState& state,
+                                           Time deadline);
   // Claims `attempt` and delivers it; none when another claim came first.
   std::optional<ServiceAnswer> ClaimAndDeliver(const ServiceRequest& request, int attempt,
                                                Time deadline);
   // Throws Error(kLogUnavailable) while claims of other entries may be missing here.
   void RequireFreshView(Time now) const;
   // Throws Error(kKeyExpired) when a first use of the key may be older than what is kept.
-  void RequireKept(int64_t key_since_ms) const;
+  void RequireKeyRetained(int64_t key_first_used_ms) const;
   // The state of the key, with its outcome if one arrives within the grace.
-  std::optional<RequestState> FindSettled(const ServiceRequest& request, Time deadline) const;
-  void RecordEnd(const RequestClaimed& claim, const ServiceAnswer& answer);
+  std::optional<RequestState> FindAfterGracePeriod(const ServiceRequest& request,
+                                                   Time deadline) const;
+  void RecordOutcome(const RequestClaimed& claim, const ServiceAnswer& answer);
   void RecordNeverRan(const RequestClaimed& claim);
 
   TargetSender* const sender_;
--- a/servers/requests/target_judge.h
+++ b/servers/requests/outlier_detector.h
@@ -14,27 +14,27 @@
 
 namespace turmericshift {
 
-struct JudgeOptions {
+struct OutlierOptions {
   // Off for a baseline to measure against.
   bool enabled = true;
   // Out after this many failures in a row.
   int failures = 3;
   // Out when slower than the median of the others by this factor, after `samples` answers.
   double slow_factor = 4;
-  int samples = 8;
+  int min_samples = 8;
   // Faster than this is never called slow.
   Duration slow_floor = std::chrono::milliseconds(2);
   // Time out before the first probe; doubles with each failed probe up to the longest.
-  Duration first_ejection = std::chrono::seconds(1);
-  Duration longest_ejection = std::chrono::seconds(30);
+  Duration base_ejection_time = std::chrono::seconds(1);
+  Duration max_ejection_time = std::chrono::seconds(30);
 };
 
-class TargetJudge {
+class OutlierDetector {
  public:
-  explicit TargetJudge(const JudgeOptions& options = {}) : options_(options) {}
+  explicit OutlierDetector(const OutlierOptions& options = {}) : options_(options) {}
 
   // The call took `latency` and the target did its part or failed.
-  void Observe(const std::string& agent, Duration latency, bool well, Time now);
+  void Observe(const std::string& agent, Duration latency, bool success, Time now);
   // `candidates` without those that are out; never empty unless `candidates` is.
   std::vector<TargetCandidate> Filter(const std::vector<TargetCandidate>& candidates, Time now);
   // A target that is out and due for a probe; the caller sends it the present request.
@@ -43,23 +43,23 @@
   Duration TypicalLatency(const std::vector<TargetCandidate>& candidates) const;
 
  private:
-  struct Opinion {
+  struct TargetHealth {
     int samples = 0;
-    int failures_in_a_row = 0;
+    int consecutive_failures = 0;
     double latency_seconds = 0;
-    bool out = false;
+    bool ejected = false;
     Time probe_at{};
-    Duration ejection{};
+    Duration ejection_time{};
   };
   // At most a third, rounded up, may be out; none of a single target.
-  static int MostOut(size_t candidates);
+  static int MaxEjected(size_t candidates);
   double MedianLatency(const std::vector<TargetCandidate>& candidates) const;
-  bool Slow(const Opinion& opinion, double median) const;
-  void Eject(Opinion* opinion, Time now) const;
+  bool IsSlow(const TargetHealth& health, double median) const;
+  void Eject(TargetHealth* health, Time now) const;
 
-  const JudgeOptions options_;
+  const OutlierOptions options_;
   mutable std::mutex mutex_;
-  std::map<std::string, Opinion> opinions_;
+  std::map<std::string, TargetHealth> health_;
   // Median of the last Filter, against which a probe is judged.
   double median_seconds_ = 0;
 };
--- a/servers/requests/target_sender.cc
+++ b/servers/requests/target_sender.cc
@@ -12,43 +12,43 @@
 namespace turmericshift {
 namespace {
 
-constexpr Duration kWatchPeriod = std::chrono::milliseconds(250);
-constexpr Duration kFirstAsk = std::chrono::milliseconds(5);
-constexpr Duration kLongestAsk = std::chrono::milliseconds(100);
+constexpr Duration kSilenceWatchInterval = std::chrono::milliseconds(250);
+constexpr Duration kMinQuestionInterval = std::chrono::milliseconds(5);
+constexpr Duration kMaxQuestionInterval = std::chrono::milliseconds(100);
 // A question is worth asking even when the deadline is almost over: it tells whether it ran.
-constexpr Duration kShortestQuestion = std::chrono::milliseconds(200);
-constexpr Duration kLongestQuestion = std::chrono::seconds(1);
-constexpr Duration kSoonestRetry = std::chrono::milliseconds(100);
-constexpr Duration kLatestRetry = std::chrono::seconds(10);
-constexpr Duration kDefaultRetry = std::chrono::seconds(1);
-constexpr int kFirstFailureStatus = 500;
+constexpr Duration kMinQuestionTimeout = std::chrono::milliseconds(200);
+constexpr Duration kMaxQuestionTimeout = std::chrono::seconds(1);
+constexpr Duration kMinRetryAfter = std::chrono::milliseconds(100);
+constexpr Duration kMaxRetryAfter = std::chrono::seconds(10);
+constexpr Duration kDefaultRetryAfter = std::chrono::seconds(1);
+constexpr int kFirstServerErrorStatus = 500;
 
 // Counts a request as outstanding for as long as it lives.
-class Outstanding {
+class OutstandingCount {
  public:
-  Outstanding(AgentDirectory* directory, const std::string& agent)
+  OutstandingCount(AgentDirectory* directory, const std::string& agent)
       : directory_(directory), agent_(agent) {
     directory_->AddOutstanding(agent_, 1);
   }
-  ~Outstanding() { directory_->AddOutstanding(agent_, -1); }
-  Outstanding(const Outstanding&) = delete;
-  Outstanding& operator=(const Outstanding&) = delete;
+  ~OutstandingCount() { directory_->AddOutstanding(agent_, -1); }
+  OutstandingCount(const OutstandingCount&) = delete;
+  OutstandingCount& operator=(const OutstandingCount&) = delete;
 
  private:
   AgentDirectory* const directory_;
   const std::string agent_;
 };
 
-bool Whole(const ServiceAnswer& answer) { return Digest(answer.body) == answer.body_digest; }
+bool IsIntact(const ServiceAnswer& answer) { return Digest(answer.body) == answer.body_digest; }
 
 // Refusals that say how loaded the target is, not that it is bad.
-bool IsVerdictOnTarget(const Error& error) {
+bool IndicatesTargetFault(const Error& error) {
   if (error.outcome() == Outcome::kUnknown) return true;
   return error.kind() == ErrorKind::kUnavailable;
 }
 
 // The answer or error that a settled question stands for.
-ServiceAnswer TakeSettled(SeenAnswer seen) {
+ServiceAnswer TakeResolved(SeenAnswer seen) {
   if (seen.state == SeenState::kNeverWillRun) {
     throw Error(ErrorKind::kConnectionLost, Outcome::kNotRun,
                 "the request was lost on its way and will not run");
@@ -57,7 +57,7 @@
     throw Error(ErrorKind::kConnectionLost, Outcome::kUnknown,
                 "nobody knows whether the request ran");
   }
-  if (seen.answer.status == 0 || !Whole(seen.answer)) {
+  if (seen.answer.status == 0 || !IsIntact(seen.answer)) {
     throw Error(ErrorKind::kConflict, Outcome::kRan,
                 "the request has run; its answer is no longer kept");
   }
@@ -66,7 +66,7 @@
 
 }  // namespace
 
-SeenQuestion QuestionAbout(const ServiceRequest& request) {
+SeenQuestion MakeQuestion(const ServiceRequest& request) {
   SeenQuestion question;
   question.workspace = request.workspace;
   question.idempotency_key = request.idempotency_key;
@@ -87,10 +87,10 @@
     : options_(options),
       policy_(std::move(policy)),
       directory_(directory),
-      settled_(&metrics->counter("router_settled_by_question")),
+      resolved_by_question_(&metrics->counter("router_settled_by_question")),
       unknown_(&metrics->counter("router_outcomes_unknown")),
-      judge_(options.judge),
-      watch_("silence-watch", [this] { RunWatch(); }) {}
+      outlier_detector_(options.outliers),
+      silence_watch_("silence-watch", [this] { RunSilenceWatch(); }) {}
 
 TargetSender::~TargetSender() {
   {
@@ -98,20 +98,21 @@
     stopping_ = true;
   }
   stop_.notify_all();
-  watch_.Join();
+  silence_watch_.Join();
 }
 
-void TargetSender::RunWatch() {
+void TargetSender::RunSilenceWatch() {
   std::unique_lock<std::mutex> lock(mutex_);
-  while (!stop_.wait_for(lock, kWatchPeriod, [this] { return stopping_; })) {
-    directory_->DropSilent(DefaultClock().Now(), options_.dead);
+  while (!stop_.wait_for(lock, kSilenceWatchInterval, [this] { return stopping_; })) {
+    directory_->DisconnectSilent(DefaultClock().Now(), options_.dead);
   }
 }
 
 AgentState TargetSender::Choose(const std::string& service, const std::set<std::string>& avoid,
                                 bool may_probe) {
   const Time now = DefaultClock().Now();
-  std::vector<TargetCandidate> all = directory_->Candidates(service, now, options_.silence);
+  std::vector<TargetCandidate> all =
+      directory_->Candidates(service, now, options_.heartbeat_age_limit);
   if (all.empty()) {
     throw Error(ErrorKind::kUnavailable, "no target of service '" + service + "' is known");
   }
@@ -119,12 +120,13 @@
   std::erase_if(untried, [&](const TargetCandidate& each) { return avoid.contains(each.agent); });
   if (untried.empty()) untried = all;
   std::string chosen;
-  const std::optional<size_t> probe = may_probe ? judge_.Probe(untried, now) : std::nullopt;
+  const std::optional<size_t> probe =
+      may_probe ? outlier_detector_.Probe(untried, now) : std::nullopt;
   if (probe) {
     chosen = untried[*probe].agent;
   } else {
-    const std::vector<TargetCandidate> good = judge_.Filter(untried, now);
-    chosen = good[policy_->Choose(good, options_.own_zone, now)].agent;
+    const std::vector<TargetCandidate> healthy = outlier_detector_.Filter(untried, now);
+    chosen = healthy[policy_->Choose(healthy, options_.own_zone, now)].agent;
   }
   AgentState agent = directory_->Find(chosen);
   if (!agent.port) throw Error(ErrorKind::kUnavailable, "the chosen target has just gone");
@@ -138,66 +140,66 @@
   ServiceRequest message = request;
   message.time_left = deadline - sent;
   message.incarnation = agent.hello.incarnation;
-  const Outstanding outstanding(directory_, name);
-  std::optional<Error> lost;
+  const OutstandingCount outstanding(directory_, name);
+  std::optional<Error> delivery_error;
   try {
     ServiceAnswer answer = agent.port->Serve(message);
     const Time now = DefaultClock().Now();
     // Crossed or cut answers are told apart by id and digest, never by order.
-    if (answer.request_id == message.request_id && Whole(answer)) {
-      directory_->Answered(name, answer.load);
-      Judge(name, now - sent, nullptr, answer.status, now);
+    if (answer.request_id == message.request_id && IsIntact(answer)) {
+      directory_->RecordLoad(name, answer.load);
+      RecordResult(name, now - sent, nullptr, answer.status, now);
       return answer;
     }
-    lost.emplace(ErrorKind::kAnswerCut, "the answer did not arrive whole");
+    delivery_error.emplace(ErrorKind::kAnswerCut, "the answer did not arrive whole");
   } catch (const Error& error) {
     const Time now = DefaultClock().Now();
-    Judge(name, now - sent, &error, 0, now);
+    RecordResult(name, now - sent, &error, 0, now);
     if (error.kind() == ErrorKind::kLeaving) directory_->MarkLeaving(name, message.incarnation);
     if (error.outcome() != Outcome::kUnknown) throw;
-    lost.emplace(error);
+    delivery_error.emplace(error);
   }
   try {
-    settled_->Add();
-    ServiceAnswer answer = Settle(name, QuestionAbout(message), sent, deadline);
+    resolved_by_question_->Add();
+    ServiceAnswer answer = ResolveOutcome(name, MakeQuestion(message), sent, deadline);
     answer.request_id = request.request_id;
     return answer;
   } catch (const Error& error) {
     if (error.outcome() != Outcome::kUnknown) throw;
     unknown_->Add();
     // The first error says more about the cause.
-    throw *lost;
+    throw *delivery_error;
   }
 }
 
-ServiceAnswer TargetSender::Settle(const std::string& agent, const SeenQuestion& question,
-                                   Time sent, Time deadline) {
-  Time reached = DefaultClock().Now();
-  for (Duration pause = kFirstAsk;; pause = std::min(pause * 2, kLongestAsk)) {
+ServiceAnswer TargetSender::ResolveOutcome(const std::string& agent, const SeenQuestion& question,
+                                           Time sent, Time deadline) {
+  Time last_reached = DefaultClock().Now();
+  for (Duration pause = kMinQuestionInterval;; pause = std::min(pause * 2, kMaxQuestionInterval)) {
     const Time now = DefaultClock().Now();
     const AgentState state = directory_->Find(agent);
     if (state.port && state.hello.incarnation != question.incarnation) {
       throw Error(ErrorKind::kConnectionLost, Outcome::kUnknown,
                   "the target's agent has been started anew since");
     }
-    std::optional<SeenAnswer> seen = Ask(state, question, sent, now, deadline);
-    if (seen && seen->state != SeenState::kRunning) return TakeSettled(std::move(*seen));
+    std::optional<SeenAnswer> seen = QueryAgent(state, question, sent, now, deadline);
+    if (seen && seen->state != SeenState::kRunning) return TakeResolved(std::move(*seen));
     const Time asked = DefaultClock().Now();
-    if (seen) reached = asked;
+    if (seen) last_reached = asked;
     RequireTimeLeft(deadline, asked, Outcome::kUnknown);
-    if (asked - reached > options_.unreachable) {
+    if (asked - last_reached > options_.unreachable_timeout) {
       throw Error(ErrorKind::kConnectionLost, Outcome::kUnknown, "the target can't be asked");
     }
     std::this_thread::sleep_for(std::min<Duration>(pause, deadline - asked));
   }
 }
 
-std::optional<SeenAnswer> TargetSender::Ask(const AgentState& agent, SeenQuestion question,
-                                            Time sent, Time now, Time deadline) const {
+std::optional<SeenAnswer> TargetSender::QueryAgent(const AgentState& agent, SeenQuestion question,
+                                                   Time sent, Time now, Time deadline) const {
   if (!agent.port) return std::nullopt;
   question.age = now - sent;
   const Duration timeout =
-      std::clamp<Duration>(deadline - now, kShortestQuestion, kLongestQuestion);
+      std::clamp<Duration>(deadline - now, kMinQuestionTimeout, kMaxQuestionTimeout);
   try {
     return agent.port->Resolve(question, timeout);
   } catch (const Error& error) {
@@ -207,26 +209,26 @@
   }
 }
 
-void TargetSender::Judge(const std::string& agent, Duration latency, const Error* error, int status,
-                         Time now) {
-  if (error != nullptr && !IsVerdictOnTarget(*error)) return;
-  const bool well = error == nullptr && status < kFirstFailureStatus;
-  judge_.Observe(agent, latency, well, now);
-  policy_->Observe(agent, latency, well, now);
+void TargetSender::RecordResult(const std::string& agent, Duration latency, const Error* error,
+                                int status, Time now) {
+  if (error != nullptr && !IndicatesTargetFault(*error)) return;
+  const bool success = error == nullptr && status < kFirstServerErrorStatus;
+  outlier_detector_.Observe(agent, latency, success, now);
+  policy_->Observe(agent, latency, success, now);
 }
 
 Duration TargetSender::RetryAfter(const std::string& service) const {
   const std::vector<TargetCandidate> candidates =
-      directory_->Candidates(service, DefaultClock().Now(), options_.silence);
+      directory_->Candidates(service, DefaultClock().Now(), options_.heartbeat_age_limit);
   int busy = 0;
   int slots = 0;
   for (const TargetCandidate& candidate : candidates) {
     busy += candidate.load.running + candidate.load.queued;
     slots += candidate.load.slots;
   }
-  const Duration typical = judge_.TypicalLatency(candidates);
-  if (slots == 0 || typical == Duration::zero()) return kDefaultRetry;
-  return std::clamp(typical * (busy + slots) / slots, kSoonestRetry, kLatestRetry);
+  const Duration typical = outlier_detector_.TypicalLatency(candidates);
+  if (slots == 0 || typical == Duration::zero()) return kDefaultRetryAfter;
+  return std::clamp(typical * (busy + slots) / slots, kMinRetryAfter, kMaxRetryAfter);
 }
 
 }  // namespace turmericshift
--- a/servers/requests/target_sender.h
+++ b/servers/requests/target_sender.h
@@ -13,20 +13,20 @@
 #include "core/thread.h"
 #include "servers/entry/agent_directory.h"
 #include "servers/entry/routing_policy.h"
-#include "servers/requests/target_judge.h"
+#include "servers/requests/outlier_detector.h"
 
 namespace turmericshift {
 
 struct SenderOptions {
   std::string own_zone;
   // An agent not heard for this long gets no new requests.
-  Duration silence = std::chrono::seconds(3);
+  Duration heartbeat_age_limit = std::chrono::seconds(3);
   // The calls in flight to an agent not heard for this long end, and their ids are asked about
   // over its next connection.
   Duration dead = std::chrono::seconds(5);
   // How long an agent that can't be reached is tried before the outcome is called unknown.
-  Duration unreachable = std::chrono::seconds(5);
-  JudgeOptions judge;
+  Duration unreachable_timeout = std::chrono::seconds(5);
+  OutlierOptions outliers;
 };
 
 class TargetSender {
@@ -48,34 +48,35 @@
 
   // What became of an attempt sent at `sent` to that start of that agent: its answer, waited for
   // until `deadline` while it runs. Throws Error as Deliver does.
-  ServiceAnswer Settle(const std::string& agent, const SeenQuestion& question, Time sent,
-                       Time deadline);
+  ServiceAnswer ResolveOutcome(const std::string& agent, const SeenQuestion& question, Time sent,
+                               Time deadline);
 
   // When a refused caller of `service` should come back, from the load of its targets.
   Duration RetryAfter(const std::string& service) const;
 
  private:
   // Asks once; none when the agent could not be asked.
-  std::optional<SeenAnswer> Ask(const AgentState& agent, SeenQuestion question, Time sent, Time now,
-                                Time deadline) const;
-  void Judge(const std::string& agent, Duration latency, const Error* error, int status, Time now);
-  void RunWatch();
+  std::optional<SeenAnswer> QueryAgent(const AgentState& agent, SeenQuestion question, Time sent,
+                                       Time now, Time deadline) const;
+  void RecordResult(const std::string& agent, Duration latency, const Error* error, int status,
+                    Time now);
+  void RunSilenceWatch();
 
   const SenderOptions options_;
   const std::unique_ptr<RoutingPolicy> policy_;
   AgentDirectory* const directory_;
-  Counter* const settled_;
+  Counter* const resolved_by_question_;
   Counter* const unknown_;
-  TargetJudge judge_;
+  OutlierDetector outlier_detector_;
 
   std::mutex mutex_;
   std::condition_variable stop_;
   bool stopping_ = false;
-  Thread watch_;
+  Thread silence_watch_;
 };
 
 // The question that settles `request` when it was sent.
-SeenQuestion QuestionAbout(const ServiceRequest& request);
+SeenQuestion MakeQuestion(const ServiceRequest& request);
 
 // Throws Error(kDeadlineExceeded), outcome `outcome`, when `deadline` is not after `now`.
 void RequireTimeLeft(Time deadline, Time now, Outcome outcome);
