--- a/servers/requests/idempotent_router.cc
+++ b/servers/requests/idempotent_router.cc
@@ -13,19 +13,22 @@
 namespace {
 
 constexpr Duration kClaimTimeout = std::chrono::seconds(3);
-// With an older view, claims that other entries made meanwhile may be missing; a claim could still
-// be written and lose against them, but the caller learns sooner that the log is down.
+// Claims that other entries made recently may be missing from an older view. A claim could still be
+// written and be rejected if it lost, but refusing early tells the caller sooner that the log is
+// down.
 constexpr Duration kMaxViewAge = std::chrono::seconds(10);
 constexpr Duration kRecordOutcomeTimeout = std::chrono::seconds(60);
-// The owner of a fresh claim gets this long to forward it before a follower asks the agent, since
-// asking ends an attempt that has not arrived.
+// A follower waits this long before it asks the agent about a claim, so that the claim's owner can
+// forward the request first: the question makes the agent refuse an attempt that has not arrived.
 constexpr Duration kForwardGracePeriod = std::chrono::milliseconds(100);
 constexpr Duration kGracePollInterval = std::chrono::milliseconds(5);
 constexpr int kMaxRounds = 16;
-// Larger answers are not kept with the outcome; a repeated key is then told that it ran.
+// Larger answers are not recorded with the outcome; a repeated request is then told that it has
+// run, without the answer.
 constexpr size_t kMaxRecordedBody = size_t{16} * 1024;
 
-// Covers all that makes two requests the same, so that a key reused for another is noticed.
+// Digest of the path, content type and body, which detects a key that is reused for a different
+// request.
 std::string RequestFingerprint(const ServiceRequest& request) {
   return Digest(request.path + "\n" + request.content_type + "\n" + request.body_digest);
 }
@@ -33,13 +36,13 @@
 void RequireSameRequest(const ServiceRequest& request, const RequestClaimed& claim) {
   if (claim.body_digest == RequestFingerprint(request) && claim.service == request.service) return;
   throw Error(ErrorKind::kConflict, Outcome::kNotRun,
-              "the idempotency key was used for another request");
+              "the idempotency key was already used for a different request");
 }
 
 ServiceAnswer AnswerFromRecord(const ServiceRequest& request, const RequestEnded& ended) {
   if (Digest(ended.body) != ended.body_digest) {
     throw Error(ErrorKind::kConflict, Outcome::kRan,
-                "the request has run; its answer is no longer kept");
+                "the request has run, but its answer is no longer stored");
   }
   ServiceAnswer answer;
   answer.request_id = request.request_id;
@@ -50,8 +53,9 @@
 }
 
 [[noreturn]] void ThrowKeyExpired() {
-  throw Error(ErrorKind::kKeyExpired, Outcome::kUnknown,
-              "the key is older than what the log keeps; it is not run again");
+  throw Error(
+      ErrorKind::kKeyExpired, Outcome::kUnknown,
+      "the idempotency key is older than the retained history; the request is not run again");
 }
 
 }  // namespace
@@ -87,8 +91,9 @@
     RequireFreshView(DefaultClock().Now());
     if (auto answer = ClaimAndDeliver(request, attempt, deadline)) return std::move(*answer);
   }
-  // Every round ended with the proof that its attempt never runs, or with another's claim.
-  throw Error(ErrorKind::kUnavailable, Outcome::kUnknown, "other requests keep claiming this key");
+  // In every round the attempt was proven never to run, or another request claimed the key first.
+  throw Error(ErrorKind::kUnavailable, Outcome::kUnknown,
+              "other requests with this idempotency key claimed every attempt first");
 }
 
 std::optional<RequestState> IdempotentRouter::FindAfterGracePeriod(const ServiceRequest& request,
@@ -143,9 +148,10 @@
     const Duration left = deadline - DefaultClock().Now();
     written = requests_->Write(claim, std::min<Duration>(kClaimTimeout, left));
   } catch (const Error& error) {
-    // Only the writer of a claim forwards it, and this one has just given up, so this request does
-    // not run even if the claim lands later. Who finds that claim asks the agent, which has not
-    // seen it and then never runs it; so the key can still be used.
+    // Only the writer of a claim forwards the request, and this writer gives up here, so the
+    // request does not run even if the claim is committed later. A follower that finds such a claim
+    // asks the agent, which has not seen the attempt and then never runs it, so the key stays
+    // usable.
     throw Error(error.kind(), Outcome::kNotRun, error.what());
   }
   if (!written.verdict.accepted) return std::nullopt;
@@ -158,7 +164,8 @@
     RecordOutcome(claim, answer);
     return answer;
   } catch (const Error& error) {
-    // A follower may have ended this attempt by its question and be running the next one.
+    // A follower's question may have made the agent refuse this attempt; the follower may now be
+    // running the next one.
     if (error.kind() == ErrorKind::kFenced) return std::nullopt;
     if (error.outcome() != Outcome::kNotRun) throw;
     const auto state = fold_->Find(request.workspace, request.idempotency_key);
@@ -173,8 +180,9 @@
 void IdempotentRouter::RequireFreshView(Time now) const {
   const StreamView view = requests_->view();
   if (view.ever_fresh && now - view.fresh_at <= kMaxViewAge) return;
-  throw Error(ErrorKind::kLogUnavailable, Outcome::kNotRun,
-              "the platform's log can't be read, so claims of this key may be missing here");
+  throw Error(
+      ErrorKind::kLogUnavailable, Outcome::kNotRun,
+      "the platform's log can't be read, so this entry may miss claims of this idempotency key");
 }
 
 void IdempotentRouter::RequireKeyRetained(int64_t key_first_used_ms) const {
@@ -190,7 +198,8 @@
   ended.status = answer.status;
   ended.body_digest = answer.body_digest;
   if (answer.body.size() <= kMaxRecordedBody) ended.body = answer.body;
-  // The caller does not wait for the record: until it is there, a repeat asks the agent instead.
+  // The caller does not wait for this record: until it is durable, a repeated request asks the
+  // agent for the outcome.
   if (requests_->Post(ended, kRecordOutcomeTimeout)) return;
   LogEvent(LogLevel::kWarning, "outcome_not_recorded", {{"key", claim.key}});
 }
--- a/servers/requests/idempotent_router.h
+++ b/servers/requests/idempotent_router.h
@@ -1,5 +1,6 @@
-// Carries a request that may not be repeated: claims its key in the log, has one target run it,
-// and follows whoever claimed first. docs/notes/requests.md has the table of windows.
+// Routes requests with an idempotency key so that each key runs at most once: the router claims the
+// key in the log, has one target run the request, and waits for the existing claim's outcome if
+// another entry claimed the key first. docs/notes/requests.md lists the failure windows.
 #pragma once
 
 #include <optional>
@@ -19,22 +20,29 @@
   IdempotentRouter(TargetSender* sender, RetryBudget* budget, StreamClient* requests,
                    const RequestFold* fold, MetricsRegistry* metrics);
 
-  // Throws Error whose outcome is the truth about this request. `key_first_used_ms` is when the
-  // caller first used the key (milliseconds since 1970), 0 if it did not say.
+  // Throws Error; its outcome says what is known about this request, over all attempts.
+  // `key_first_used_ms` is when the caller first used the key (milliseconds since 1970), 0 if the
+  // caller did not say.
   ServiceAnswer Route(const ServiceRequest& request, int64_t key_first_used_ms, Time deadline);
 
  private:
-  // An answer, or none when the next attempt may be claimed.
+  // Resolves the outcome of the attempt that owns the key. Returns its answer, or nullopt if that
+  // attempt never ran and never will, so that the next attempt may be claimed. Throws Error
+  // otherwise.
   std::optional<ServiceAnswer> FollowClaim(const ServiceRequest& request, const RequestState& state,
                                            Time deadline);
-  // Claims `attempt` and delivers it; none when another claim came first.
+  // Claims `attempt` for a target and delivers the request to that target. Returns nullopt when
+  // another claim came first, or when the attempt did not run and may be retried.
   std::optional<ServiceAnswer> ClaimAndDeliver(const ServiceRequest& request, int attempt,
                                                Time deadline);
-  // Throws Error(kLogUnavailable) while claims of other entries may be missing here.
+  // Throws Error(kLogUnavailable) while this entry's view of the log is too old to include recent
+  // claims of other entries.
   void RequireFreshView(Time now) const;
-  // Throws Error(kKeyExpired) when a first use of the key may be older than what is kept.
+  // Throws Error(kKeyExpired) when the key was first used so long ago that its state may have been
+  // dropped.
   void RequireKeyRetained(int64_t key_first_used_ms) const;
-  // The state of the key, with its outcome if one arrives within the grace.
+  // The state of the key; nullopt if the key was never claimed. Waits for the outcome of a claimed
+  // key for up to the grace period for forwarding.
   std::optional<RequestState> FindAfterGracePeriod(const ServiceRequest& request,
                                                    Time deadline) const;
   void RecordOutcome(const RequestClaimed& claim, const ServiceAnswer& answer);
--- a/servers/requests/outlier_detector.cc
+++ b/servers/requests/outlier_detector.cc
@@ -17,7 +17,7 @@
   TargetHealth& health = health_[agent];
   if (!success) {
     ++health.consecutive_failures;
-    // What was sent before the ejection may still fail and must not lengthen it.
+    // Requests sent before the ejection may still fail and must not prolong it.
     if (health.consecutive_failures >= options_.failures && !health.ejected) Eject(&health, now);
     return;
   }
@@ -73,7 +73,7 @@
   for (size_t index = 0; index < candidates.size(); ++index) {
     TargetHealth& health = health_[candidates[index].agent];
     if (!health.ejected || now < health.probe_at) continue;
-    // The next one only after as long again, whether or not this one is answered.
+    // The next probe is due after twice the time, whether or not this probe is answered.
     health.ejection_time = std::min(health.ejection_time * 2, options_.max_ejection_time);
     health.probe_at = now + health.ejection_time;
     return index;
@@ -99,7 +99,8 @@
     known.push_back(found->second.latency_seconds);
   }
   if (known.empty()) return 0;
-  // Of two, the lower: a slow one must not be its own measure.
+  // For an even count the lower middle is used: of two targets, the slow one must not be compared
+  // with itself.
   const auto middle = known.begin() + static_cast<std::ptrdiff_t>((known.size() - 1) / 2);
   std::nth_element(known.begin(), middle, known.end());
   return *middle;
--- a/servers/requests/outlier_detector.h
+++ b/servers/requests/outlier_detector.h
@@ -1,7 +1,7 @@
-// Outlier ejection: targets that fail or are far slower than the others get no requests for a
-// while, then one now and then as a probe. Without it a target that fails everything at once looks
-// idle and attracts work. A cap keeps a fault of this entry, or of all targets, from emptying the
-// list.
+// Outlier ejection: targets that fail or are far slower than the others get no requests except
+// occasional probes. Otherwise a target that fails every request immediately would look idle and
+// attract load. The number of ejected targets is limited, so that a fault of this entry, or of all
+// targets, can't empty the list.
 #pragma once
 
 #include <map>
@@ -15,16 +15,17 @@
 namespace turmericshift {
 
 struct OutlierOptions {
-  // Off for a baseline to measure against.
+  // False disables ejection, as a baseline for benchmarks.
   bool enabled = true;
-  // Out after this many failures in a row.
+  // Ejects a target after this many consecutive failures.
   int failures = 3;
-  // Out when slower than the median of the others by this factor, after `samples` answers.
+  // Ejects a target whose average latency exceeds the median by this factor, after `min_samples`
+  // answers.
   double slow_factor = 4;
   int min_samples = 8;
-  // Faster than this is never called slow.
+  // A lower average latency never counts as slow.
   Duration slow_floor = std::chrono::milliseconds(2);
-  // Time out before the first probe; doubles with each failed probe up to the longest.
+  // Time from the ejection to the first probe; doubles with each probe up to `max_ejection_time`.
   Duration base_ejection_time = std::chrono::seconds(1);
   Duration max_ejection_time = std::chrono::seconds(30);
 };
@@ -33,13 +34,15 @@
  public:
   explicit OutlierDetector(const OutlierOptions& options = {}) : options_(options) {}
 
-  // The call took `latency` and the target did its part or failed.
+  // Records the result of one call to the target of `agent`.
   void Observe(const std::string& agent, Duration latency, bool success, Time now);
-  // `candidates` without those that are out; never empty unless `candidates` is.
+  // Ejects targets that have become slow. Returns `candidates` without the ejected ones, which is
+  // empty only if `candidates` is.
   std::vector<TargetCandidate> Filter(const std::vector<TargetCandidate>& candidates, Time now);
-  // A target that is out and due for a probe; the caller sends it the present request.
+  // Index of an ejected target that is due for a probe, if any; the caller sends it the current
+  // request.
   std::optional<size_t> Probe(const std::vector<TargetCandidate>& candidates, Time now);
-  // Moving average of the answers of these targets, zero before the first.
+  // Median of the targets' moving average latencies, zero while too few answers are known.
   Duration TypicalLatency(const std::vector<TargetCandidate>& candidates) const;
 
  private:
@@ -51,7 +54,7 @@
     Time probe_at{};
     Duration ejection_time{};
   };
-  // At most a third, rounded up, may be out; none of a single target.
+  // A third of the candidates, rounded up; none of a single candidate.
   static int MaxEjected(size_t candidates);
   double MedianLatency(const std::vector<TargetCandidate>& candidates) const;
   bool IsSlow(const TargetHealth& health, double median) const;
@@ -60,7 +63,7 @@
   const OutlierOptions options_;
   mutable std::mutex mutex_;
   std::map<std::string, TargetHealth> health_;
-  // Median of the last Filter, against which a probe is judged.
+  // Median of the last Filter, to which the latency of a probe is compared.
   double median_seconds_ = 0;
 };
 
--- a/servers/requests/outlier_detector_test.cc
+++ b/servers/requests/outlier_detector_test.cc
@@ -24,8 +24,8 @@
   for (int sample = 0; sample < 10; ++sample) detector->Observe(agent, latency, success, now);
 }
 
-// A target that fails everything at once always looks idle and attracts every request.
-TEST(OutlierDetectorTest, AFailingTargetIsOutThenProbedThenBack) {
+// A target that fails every request immediately always looks idle and attracts all requests.
+TEST(OutlierDetectorTest, EjectsFailingTargetAndReadmitsItAfterProbe) {
   OutlierDetector detector;
   const Time now = Time{} + std::chrono::hours(1);
   Feed(&detector, "t1", kFast, false, now);
@@ -33,12 +33,12 @@
   EXPECT_FALSE(detector.Probe(Targets(3), now));
   const Time later = now + std::chrono::seconds(2);
   EXPECT_EQ(detector.Probe(Targets(3), later), 1U);
-  EXPECT_FALSE(detector.Probe(Targets(3), later)) << "one probe at a time";
+  EXPECT_FALSE(detector.Probe(Targets(3), later)) << "only one probe per interval";
   detector.Observe("t1", kFast, true, later);
   EXPECT_EQ(detector.Filter(Targets(3), later).size(), 3U);
 }
 
-TEST(OutlierDetectorTest, ASlowTargetIsOutWhileItsProbesAreSlow) {
+TEST(OutlierDetectorTest, EjectsSlowTargetUntilProbeIsFast) {
   OutlierDetector detector;
   const Time now = Time{} + std::chrono::hours(1);
   for (const char* agent : {"t0", "t2", "t3"}) Feed(&detector, agent, kFast, true, now);
@@ -50,8 +50,9 @@
   EXPECT_EQ(detector.Filter(Targets(4), now).size(), 4U);
 }
 
-// A fault of the entry's own network makes every target look bad. The cap keeps most in use.
-TEST(OutlierDetectorTest, AtMostAThirdIsOut) {
+// A fault in the entry's own network makes every target look faulty. The limit keeps most of them
+// in use.
+TEST(OutlierDetectorTest, EjectsAtMostOneThird) {
   OutlierDetector detector;
   const Time now = Time{} + std::chrono::hours(1);
   for (const TargetCandidate& target : Targets(6)) Feed(&detector, target.agent, kFast, false, now);
@@ -59,7 +60,7 @@
   EXPECT_EQ(detector.Filter(Targets(1), now).size(), 1U);
 }
 
-TEST(RetryBudgetTest, RetriesAreAShareOfFirstSendings) {
+TEST(RetryBudgetTest, LimitsRetriesToFractionOfFirstAttempts) {
   RetryBudget budget({0.1, 1});
   EXPECT_TRUE(budget.Spend());
   EXPECT_FALSE(budget.Spend());
--- a/servers/requests/retry_budget.h
+++ b/servers/requests/retry_budget.h
@@ -1,5 +1,5 @@
-// How many requests an entry may send again: a share of the first sendings (as in the Site
-// Reliability Workbook), so that retries can't multiply an overload.
+// Limits an entry's retries to a fraction of its first attempts (as in the Site Reliability
+// Workbook), so that retries can't multiply an overload.
 #pragma once
 
 #include <mutex>
@@ -7,9 +7,9 @@
 namespace turmericshift {
 
 struct RetryBudgetOptions {
-  // Tokens earned by each first sending, and spent by each retry at one a piece.
+  // Tokens earned by each first attempt; each retry spends one token.
   double ratio = 0.2;
-  // Most tokens kept; also what an entry begins with.
+  // Maximum number of tokens, which is also the initial number.
   double burst = 20;
 };
 
@@ -18,8 +18,10 @@
   explicit RetryBudget(const RetryBudgetOptions& options = {})
       : options_(options), tokens_(options.burst) {}
 
+  // Credits one first attempt.
   void Earn();
-  // Takes a token; false when there is none, so the error must go to the caller.
+  // Spends one token. Returns false if less than one token is left; the caller then gets the error
+  // instead of a retry.
   bool Spend();
 
  private:
--- a/servers/requests/target_sender.cc
+++ b/servers/requests/target_sender.cc
@@ -15,7 +15,8 @@
 constexpr Duration kSilenceWatchInterval = std::chrono::milliseconds(250);
 constexpr Duration kMinQuestionInterval = std::chrono::milliseconds(5);
 constexpr Duration kMaxQuestionInterval = std::chrono::milliseconds(100);
-// A question is worth asking even when the deadline is almost over: it tells whether it ran.
+// A question gets at least this long even when the deadline is closer, as its answer tells the
+// caller whether the request ran.
 constexpr Duration kMinQuestionTimeout = std::chrono::milliseconds(200);
 constexpr Duration kMaxQuestionTimeout = std::chrono::seconds(1);
 constexpr Duration kMinRetryAfter = std::chrono::milliseconds(100);
@@ -23,7 +24,7 @@
 constexpr Duration kDefaultRetryAfter = std::chrono::seconds(1);
 constexpr int kFirstServerErrorStatus = 500;
 
-// Counts a request as outstanding for as long as it lives.
+// Counts a request as outstanding at its agent for the lifetime of this object.
 class OutstandingCount {
  public:
   OutstandingCount(AgentDirectory* directory, const std::string& agent)
@@ -41,25 +42,25 @@
 
 bool IsIntact(const ServiceAnswer& answer) { return Digest(answer.body) == answer.body_digest; }
 
-// Refusals that say how loaded the target is, not that it is bad.
+// Whether the error suggests that the target is faulty. Refusals due to load do not count.
 bool IndicatesTargetFault(const Error& error) {
   if (error.outcome() == Outcome::kUnknown) return true;
   return error.kind() == ErrorKind::kUnavailable;
 }
 
-// The answer or error that a settled question stands for.
+// Returns the attempt's answer, or throws the Error that matches its state.
 ServiceAnswer TakeResolved(SeenAnswer seen) {
   if (seen.state == SeenState::kNeverWillRun) {
     throw Error(ErrorKind::kConnectionLost, Outcome::kNotRun,
-                "the request was lost on its way and will not run");
+                "the request did not reach the target and will not run");
   }
   if (seen.state == SeenState::kUnknown) {
     throw Error(ErrorKind::kConnectionLost, Outcome::kUnknown,
-                "nobody knows whether the request ran");
+                "the target's agent does not know whether the request ran");
   }
   if (seen.answer.status == 0 || !IsIntact(seen.answer)) {
     throw Error(ErrorKind::kConflict, Outcome::kRan,
-                "the request has run; its answer is no longer kept");
+                "the request has run, but its answer is no longer stored");
   }
   return std::move(seen.answer);
 }
@@ -114,7 +115,7 @@
   std::vector<TargetCandidate> all =
       directory_->Candidates(service, now, options_.heartbeat_age_limit);
   if (all.empty()) {
-    throw Error(ErrorKind::kUnavailable, "no target of service '" + service + "' is known");
+    throw Error(ErrorKind::kUnavailable, "no target of service '" + service + "' is available");
   }
   std::vector<TargetCandidate> untried = all;
   std::erase_if(untried, [&](const TargetCandidate& each) { return avoid.contains(each.agent); });
@@ -129,7 +130,7 @@
     chosen = healthy[policy_->Choose(healthy, options_.own_zone, now)].agent;
   }
   AgentState agent = directory_->Find(chosen);
-  if (!agent.port) throw Error(ErrorKind::kUnavailable, "the chosen target has just gone");
+  if (!agent.port) throw Error(ErrorKind::kUnavailable, "the chosen target has just disconnected");
   return agent;
 }
 
@@ -145,13 +146,15 @@
   try {
     ServiceAnswer answer = agent.port->Serve(message);
     const Time now = DefaultClock().Now();
-    // Crossed or cut answers are told apart by id and digest, never by order.
+    // Answers to other requests are detected by the request id, truncated answers by the digest;
+    // the order of answers is not relied on.
     if (answer.request_id == message.request_id && IsIntact(answer)) {
       directory_->RecordLoad(name, answer.load);
       RecordResult(name, now - sent, nullptr, answer.status, now);
       return answer;
     }
-    delivery_error.emplace(ErrorKind::kAnswerCut, "the answer did not arrive whole");
+    delivery_error.emplace(ErrorKind::kAnswerCut,
+                           "the answer was truncated or belongs to another request");
   } catch (const Error& error) {
     const Time now = DefaultClock().Now();
     RecordResult(name, now - sent, &error, 0, now);
@@ -167,7 +170,7 @@
   } catch (const Error& error) {
     if (error.outcome() != Outcome::kUnknown) throw;
     unknown_->Add();
-    // The first error says more about the cause.
+    // The error of the delivery says more about the cause than that of the question.
     throw *delivery_error;
   }
 }
@@ -180,7 +183,7 @@
     const AgentState state = directory_->Find(agent);
     if (state.port && state.hello.incarnation != question.incarnation) {
       throw Error(ErrorKind::kConnectionLost, Outcome::kUnknown,
-                  "the target's agent has been started anew since");
+                  "the target's agent has restarted since the request was sent");
     }
     std::optional<SeenAnswer> seen = QueryAgent(state, question, sent, now, deadline);
     if (seen && seen->state != SeenState::kRunning) return TakeResolved(std::move(*seen));
@@ -188,7 +191,8 @@
     if (seen) last_reached = asked;
     RequireTimeLeft(deadline, asked, Outcome::kUnknown);
     if (asked - last_reached > options_.unreachable_timeout) {
-      throw Error(ErrorKind::kConnectionLost, Outcome::kUnknown, "the target can't be asked");
+      throw Error(ErrorKind::kConnectionLost, Outcome::kUnknown,
+                  "the target's agent can't be reached to ask whether the request ran");
     }
     std::this_thread::sleep_for(std::min<Duration>(pause, deadline - asked));
   }
--- a/servers/requests/target_sender.h
+++ b/servers/requests/target_sender.h
@@ -1,5 +1,5 @@
-// Chooses a target, sends it one attempt, and finds out what became of the attempt when the answer
-// does not come back whole.
+// Chooses a target, sends it one attempt of a request, and determines the attempt's outcome when
+// the answer is lost or truncated.
 #pragma once
 
 #include <condition_variable>
@@ -19,12 +19,13 @@
 
 struct SenderOptions {
   std::string own_zone;
-  // An agent not heard for this long gets no new requests.
+  // An agent whose last heartbeat is older gets no new requests.
   Duration heartbeat_age_limit = std::chrono::seconds(3);
-  // The calls in flight to an agent not heard for this long end, and their ids are asked about
-  // over its next connection.
+  // After this long without a heartbeat, an agent's connection is dropped and its calls in flight
+  // fail. Their outcomes are then asked for over the agent's next connection.
   Duration dead = std::chrono::seconds(5);
-  // How long an agent that can't be reached is tried before the outcome is called unknown.
+  // How long the sender keeps asking an unreachable agent about an attempt before it reports the
+  // outcome as unknown.
   Duration unreachable_timeout = std::chrono::seconds(5);
   OutlierOptions outliers;
 };
@@ -38,28 +39,34 @@
   TargetSender(const TargetSender&) = delete;
   TargetSender& operator=(const TargetSender&) = delete;
 
-  // A target of `service`, one not in `avoid` if there is any. Targets that are out get a probe
-  // now and then if `may_probe`. Throws Error(kUnavailable) when there is none.
+  // Chooses a target of `service`, preferably one that is not in `avoid`. With `may_probe`, an
+  // ejected target that is due for a probe is chosen first. Throws Error(kUnavailable) when the
+  // service has no target.
   AgentState Choose(const std::string& service, const std::set<std::string>& avoid, bool may_probe);
 
-  // Sends `request` to `agent` and returns its whole answer. Throws Error: outcome not_run only if
-  // the agent has refused the attempt and will never run it.
+  // Sends `request` to `agent` and returns its complete answer. Throws Error; its outcome is
+  // not_run only if the agent has refused the attempt and will never run it.
   ServiceAnswer Deliver(const AgentState& agent, const ServiceRequest& request, Time deadline);
 
-  // What became of an attempt sent at `sent` to that start of that agent: its answer, waited for
-  // until `deadline` while it runs. Throws Error as Deliver does.
+  // Asks `agent` for the outcome of an attempt that was sent at `sent` to the agent's incarnation
+  // in `question`. Returns the attempt's answer, waiting until `deadline` while the attempt runs.
+  // Throws Error as Deliver does.
   ServiceAnswer ResolveOutcome(const std::string& agent, const SeenQuestion& question, Time sent,
                                Time deadline);
 
-  // When a refused caller of `service` should come back, from the load of its targets.
+  // How long a refused caller of `service` should wait before the next try, estimated from the load
+  // of the service's targets.
   Duration RetryAfter(const std::string& service) const;
 
  private:
-  // Asks once; none when the agent could not be asked.
+  // Asks the agent once; nullopt when the agent could not be reached.
   std::optional<SeenAnswer> QueryAgent(const AgentState& agent, SeenQuestion question, Time sent,
                                        Time now, Time deadline) const;
+  // Reports the result of a call to the outlier detector and the routing policy. `error` is null
+  // for an answer with `status`.
   void RecordResult(const std::string& agent, Duration latency, const Error* error, int status,
                     Time now);
+  // Thread that disconnects silent agents.
   void RunSilenceWatch();
 
   const SenderOptions options_;
@@ -75,10 +82,10 @@
   Thread silence_watch_;
 };
 
-// The question that settles `request` when it was sent.
+// The question that asks an agent for the outcome of `request`.
 SeenQuestion MakeQuestion(const ServiceRequest& request);
 
-// Throws Error(kDeadlineExceeded), outcome `outcome`, when `deadline` is not after `now`.
+// Throws Error(kDeadlineExceeded) with `outcome` when `deadline` is not after `now`.
 void RequireTimeLeft(Time deadline, Time now, Outcome outcome);
 
 }  // namespace turmericshift
