--- a/servers/entry/agent_directory.h
+++ b/servers/entry/agent_directory.h
@@ -1,5 +1,5 @@
-// The agents that have a session with this entry, and what they last said. A view: it may be wrong,
-// which costs time and never a promise.
+// The agents that have a session with this entry, with their last heartbeats. The directory may be
+// out of date: that can delay a request or a start but never break a guarantee.
 #pragma once
 
 #include <map>
@@ -17,37 +17,40 @@
   AgentHello hello;
   std::shared_ptr<AgentPort> port;
   AgentBeat beat;
+  // When the last heartbeat arrived, or the session was opened.
   Time heard{};
+  // Requests that this entry has sent and that are not yet answered.
   int outstanding = 0;
   bool leaving = false;
-  // The port was dropped for its silence.
+  // The connection was dropped because no heartbeat arrived.
   bool disconnected = false;
 };
 
 class AgentDirectory {
  public:
-  // A later session of the same process replaces the earlier one, whose calls in flight end at
-  // once: the agent opens a second connection because it takes the first one for dead.
+  // Registers a session. It replaces an earlier session of the same process, whose calls in flight
+  // fail immediately: an agent opens a second connection when it takes the first one for dead.
   void Open(const AgentHello& hello, std::shared_ptr<AgentPort> port, Time now);
-  // Ignored unless it comes from the newest session of that process.
+  // Ignored unless it comes from the agent's registered incarnation.
   void RecordHeartbeat(const AgentHello& hello, const AgentBeat& beat, Time now);
-  // Load that came with an answer.
+  // Stores the load that an answer of the agent reported.
   void RecordLoad(const std::string& agent, const TargetLoad& load);
   void AddOutstanding(const std::string& agent, int change);
-  // The agent refused work because it leaves; true from now on, whatever older heartbeats say.
+  // Called when the agent refused work because it is leaving. The mark stays, even if heartbeats
+  // sent before the refusal say otherwise.
   void MarkLeaving(const std::string& agent, const std::string& incarnation);
-  // Ends the calls in flight to agents not heard for `limit`, which would otherwise wait for an
-  // answer until their callers' deadlines.
+  // Drops the connections of agents that sent no heartbeat for `limit`. Their calls in flight would
+  // otherwise wait until their callers' deadlines.
   void DisconnectSilent(Time now, Duration limit);
-  // Forgets agents not heard for `limit`; returns their names.
+  // Removes agents that sent no heartbeat for `limit` and returns their names.
   std::vector<std::string> RemoveSilent(Time now, Duration limit);
 
-  // Targets of `service` that are not leaving and were heard within `limit`.
+  // Targets of `service` that are not leaving and whose last heartbeat is at most `limit` old.
   std::vector<TargetCandidate> Candidates(const std::string& service, Time now,
                                           Duration limit) const;
-  // All agents of `zone` ("" for every zone).
+  // All agents of `zone`, or of all zones if it is empty.
   std::vector<AgentState> Agents(const std::string& zone) const;
-  // Null port when the agent is not known.
+  // Returns a state with a null port when the agent is not known.
   AgentState Find(const std::string& agent) const;
 
  private:
--- a/servers/entry/caller_api.cc
+++ b/servers/entry/caller_api.cc
@@ -25,7 +25,8 @@
 constexpr size_t kUuidVersionOffset = 14;
 constexpr size_t kRequestIdBytes = 8;
 constexpr size_t kMaxKeyBytes = 200;
-// Names the entry that passes a question on to the zone's planner.
+// Header of a job query that an entry forwards to the zone's planner; holds the forwarding entry's
+// name.
 constexpr const char* kAskedByHeader = "X-Asked-By";
 constexpr Duration kAskPlannerTimeout = std::chrono::seconds(1);
 
@@ -39,9 +40,9 @@
   return std::min(ParseDuration(header), kMaxDeadline);
 }
 
-// When the caller first used its key: from the header "Idempotency-Key-Time" (milliseconds since
-// 1970), or from the key itself if it is a UUID of version 7 (RFC 9562), which begins with that
-// time. 0 when neither is there.
+// When the caller first used its key, in milliseconds since 1970: from the header
+// "Idempotency-Key-Time", or from the key itself if it is a UUID of version 7 (RFC 9562), which
+// begins with that time. 0 if neither is given.
 int64_t KeyFirstUsedMs(const HttpRequest& request) {
   const std::string header = request.header("Idempotency-Key-Time");
   if (!header.empty()) return ParseInteger(header, 1, std::numeric_limits<int64_t>::max());
@@ -65,12 +66,12 @@
     json["state"] = JobStateName(JobState::kRunning);
     json["attempt"] = running_attempt;
   } else {
-    json["waiting_for"] = why.empty() ? "its zone's planner has not looked at it yet" : why;
+    json["waiting_for"] = why.empty() ? "the zone's planner has not considered the job yet" : why;
   }
   return json;
 }
 
-// What the caller was told; history checks hold it against what the agents ran.
+// Logs the answer that the caller got; history checks compare it with what the agents ran.
 void LogAnswered(const ServiceRequest& request, Time begun, nlohmann::json fields) {
   fields["request"] = request.request_id;
   fields["workspace"] = request.workspace;
@@ -79,11 +80,11 @@
   LogEvent(LogLevel::kInfo, "request_answered", fields);
 }
 
-// Why this entry can't say what a job waits for.
+// Explains to the caller why this entry doesn't know what a job waits for.
 std::string PlannerUnavailableReason(const PlannerEpoch& planner, const std::string& zone) {
   if (planner.process.empty()) return "no entry plans availability zone " + zone + " at present";
   return "entry " + planner.process + " plans availability zone " + zone +
-         " and can't be asked at present";
+         " but can't be reached at present";
 }
 
 }  // namespace
@@ -106,7 +107,8 @@
   service_request.workspace = workspace;
   const Time begun = DefaultClock().Now();
   try {
-    if (request.method != "POST") throw Error(ErrorKind::kInvalidInput, "use POST");
+    if (request.method != "POST")
+      throw Error(ErrorKind::kInvalidInput, "services accept only POST requests");
     const std::string rest = request.path.substr(std::string(kServicesPrefix).size());
     const size_t slash = rest.find('/');
     service_request.service = rest.substr(0, slash);
@@ -117,7 +119,7 @@
     service_request.time_left = DeadlineOf(request);
     service_request.idempotency_key = request.header("Idempotency-Key");
     if (service_request.idempotency_key.size() > kMaxKeyBytes) {
-      throw Error(ErrorKind::kInvalidInput, "the idempotency key is too long");
+      throw Error(ErrorKind::kInvalidInput, "the idempotency key exceeds the limit of 200 bytes");
     }
     const ServiceAnswer answer = entry_->router_->Route(service_request, KeyFirstUsedMs(request));
     LogAnswered(service_request, begun,
@@ -158,14 +160,17 @@
     }
     return JsonResponse(list.dump());
   }
-  throw Error(ErrorKind::kInvalidInput, "use POST, GET or DELETE");
+  throw Error(ErrorKind::kInvalidInput,
+              "expected POST /v1/jobs, GET /v1/jobs or GET or DELETE /v1/jobs/KEY");
 }
 
 HttpResponse CallerApi::SubmitJob(const HttpRequest& request, const std::string& workspace) {
   JobSubmitted record;
   record.spec = ParseJobSpec(request.body);
   if (record.spec.workspace != workspace) {
-    throw Error(ErrorKind::kForbidden, "the token is for workspace " + workspace);
+    throw Error(
+        ErrorKind::kForbidden,
+        "the job names another workspace than the token, which is for workspace " + workspace);
   }
   const auto config = entry_->config_fold_.current();
   record.id = NewRecordId();
@@ -178,7 +183,8 @@
   const ZoneLoads loads = LoadsOf(*config->environment, entry_->job_fold_);
   record.zone = ChooseZone(*config->environment, feasibility, record.spec, loads);
   if (record.zone.empty()) {
-    throw Error(ErrorKind::kUnavailable, "no availability zone that the job allows is in");
+    throw Error(ErrorKind::kUnavailable,
+                "none of the availability zones that the job allows is in");
   }
   const Written written = entry_->job_stream_.Write(record, kRecordTimeout);
   const std::string id = JobId(workspace, record.spec.key);
@@ -202,7 +208,8 @@
 std::string CallerApi::AskPlanner(const HttpRequest& request, const JobRecord& job) {
   const PlannerEpoch planner = entry_->job_fold_.Planner(job.zone);
   const bool here = planner.process.empty() || planner.process == entry_->options_.process;
-  // Asked once only, so that two entries with different views don't ask each other for ever.
+  // A query is forwarded only once, so that two entries with different views don't forward it to
+  // each other endlessly.
   if (job.state != JobState::kWaiting || here || !request.header(kAskedByHeader).empty()) return "";
   for (const MemberJoined& member : entry_->member_fold_.members()) {
     if (member.process != planner.process || member.caller_address.empty()) continue;
--- a/servers/entry/caller_api.h
+++ b/servers/entry/caller_api.h
@@ -1,4 +1,4 @@
-// What callers may ask over HTTP: requests to services, and jobs of their own workspace.
+// HTTP API for callers: requests to services, and the jobs of the caller's workspace.
 #pragma once
 
 #include <string>
@@ -22,7 +22,8 @@
   HttpResponse SubmitJob(const HttpRequest& request, const std::string& workspace);
   HttpResponse ShowJob(const HttpRequest& request, const std::string& workspace,
                        const std::string& key);
-  // What the entry that plans the job's zone says; empty if it can't be asked.
+  // The job's state as answered by the entry that plans the job's zone. Empty if the job is not
+  // waiting, if this entry plans the zone, or if the planner can't be asked.
   std::string AskPlanner(const HttpRequest& request, const JobRecord& job);
   HttpResponse CancelJob(const HttpRequest& request, const std::string& workspace,
                          const std::string& key);
--- a/servers/entry/config_api.cc
+++ b/servers/entry/config_api.cc
@@ -19,7 +19,7 @@
 constexpr Duration kRecordTimeout = std::chrono::seconds(5);
 constexpr Duration kPollInterval = std::chrono::milliseconds(20);
 constexpr int64_t kMaxWaitMs = 60000;
-// An operator who takes a zone out wants to know that it is out.
+// An operator who takes a zone out needs to know that it is out, so the answer waits by default.
 constexpr int64_t kDefaultZoneWaitMs = 5000;
 constexpr size_t kMaxChangeIdBytes = 64;
 constexpr const char* kConfigPath = "/v1/config";
@@ -40,7 +40,8 @@
 
 int64_t RequiredNumber(const HttpRequest& request, const std::string& name) {
   const std::string text = request.argument(name);
-  if (text.empty()) throw Error(ErrorKind::kInvalidInput, "name the version: ?" + name + "=N");
+  if (text.empty())
+    throw Error(ErrorKind::kInvalidInput, "missing version number, expected ?" + name + "=N");
   return ParseInteger(text, 0, INT64_MAX);
 }
 
@@ -72,7 +73,7 @@
 
 std::shared_ptr<const ConfigVersion> ConfigApi::Current() const {
   auto current = entry_->config_fold_.current();
-  if (!current) throw Error(ErrorKind::kNotFound, "no configuration was published yet");
+  if (!current) throw Error(ErrorKind::kNotFound, "no environment document has been published yet");
   return current;
 }
 
@@ -97,7 +98,7 @@
 InForceReport ConfigApi::Report(int64_t version) const {
   const Time now = DefaultClock().Now();
   std::vector<PeerState> peers = entry_->peers_.RecentlySeen(now, kInForceMaxReportAge);
-  // Nobody needs to tell this entry what it has itself.
+  // This entry knows its own version without an agent's report.
   const auto current = entry_->config_fold_.current();
   const EntryMember self{entry_->options_.process, entry_->options_.zone, ""};
   peers.push_back({self, current ? current->version : 0, now});
@@ -112,12 +113,15 @@
 HttpResponse ConfigApi::IssueStatement(const HttpRequest& request) const {
   const EntryOptions& options = entry_->options_;
   if (options.promotion_key.empty() || options.environment.empty()) {
-    throw Error(ErrorKind::kConflict, "this entry has no promotion key or no environment's name");
+    throw Error(
+        ErrorKind::kConflict,
+        "this entry has no promotion key or no environment name, so it can't make statements");
   }
   const auto current = Current();
   if (RequiredNumber(request, "version") != current->version) {
     throw Error(ErrorKind::kConflict,
-                "only the newest version can be stated; it is " + std::to_string(current->version));
+                "a statement is possible only for the newest version, which is " +
+                    std::to_string(current->version));
   }
   const InForceReport report = Report(current->version);
   const bool has_agents = std::any_of(report.zones.begin(), report.zones.end(),
@@ -137,21 +141,23 @@
 void ConfigApi::RequireTrialProof(const HttpRequest& request, const std::string& digest) const {
   const EntryOptions& options = entry_->options_;
   if (options.trial.empty()) return;
-  // A rollback: these bytes were promoted before, and haste must not depend on the trial.
+  // A rollback: this document was promoted before, and an urgent rollback must not depend on the
+  // trial environment.
   for (const auto& version : entry_->config_fold_.history()) {
     if (version->digest == digest) return;
   }
   const std::string proof = request.argument("trial_proof");
   if (proof.empty()) {
     throw Error(ErrorKind::kForbidden,
-                "this environment takes only documents that " + options.trial + " had in force");
+                "this environment accepts only documents that " + options.trial + " had in force");
   }
   const std::string expected = PromotionProof(options.promotion_key, options.trial,
                                               RequiredNumber(request, "trial_version"), digest);
-  // Compared by a keyed hash of both, in constant time.
+  // Compares keyed hashes of both proofs, in constant time.
   if (options.promotion_key.empty() ||
       !ProofHolds("promotion", proof, Prove("promotion", expected))) {
-    throw Error(ErrorKind::kForbidden, options.trial + " never had these bytes in force");
+    throw Error(ErrorKind::kForbidden,
+                options.trial + " did not have this document in force as the stated version");
   }
 }
 
@@ -162,8 +168,9 @@
     return std::isalnum(letter) != 0 || letter == '-';
   });
   if (!plain || change.size() > kMaxChangeIdBytes) {
-    throw Error(ErrorKind::kInvalidInput, "a change's id has letters, digits and '-', at most " +
-                                              std::to_string(kMaxChangeIdBytes));
+    throw Error(ErrorKind::kInvalidInput,
+                "a change id may hold only letters, digits and '-', with a maximum length of " +
+                    std::to_string(kMaxChangeIdBytes));
   }
   return change;
 }
@@ -219,14 +226,16 @@
     const Written written = entry_->config_stream_.Write(record, kRecordTimeout);
     if (!written.verdict.accepted) throw Error(ErrorKind::kConflict, written.verdict.reason);
   } catch (const Error& error) {
-    // A copy that another entry sent may have been applied just before this one was awaited.
+    // A copy of this change that another entry sent may have been applied just before this entry
+    // wrote its own.
     auto earlier = entry_->config_fold_.FindChange(RecordId(record));
     if (!earlier) throw;
     LogEvent(LogLevel::kInfo, "config_change_found",
              {{"change", earlier->change}, {"error", error.what()}});
     return earlier;
   }
-  // Newer than the history only if so many changes came at once that it has left it again.
+  // The change is missing only if so many changes were made meanwhile that it has left the history
+  // again.
   auto accepted = entry_->config_fold_.FindChange(RecordId(record));
   return accepted ? accepted : Current();
 }
--- a/servers/entry/config_api.h
+++ b/servers/entry/config_api.h
@@ -1,19 +1,22 @@
-// What operators may ask about configuration and availability zones over HTTP.
+// HTTP API for operators: the environment document and the state of availability zones.
 //
 //   GET  /v1/config                     the document in force: version, digest, author, text
 //   GET  /v1/config/history             the newest versions, oldest first
-//   GET  /v1/config/versions/N          one of them, with its text, for a rollback
-//   GET  /v1/config/in-force?version=N  by zone: how many have it in force, and who has not
+//   GET  /v1/config/versions/N          version N with its text, for a rollback
+//   GET  /v1/config/in-force?version=N  by zone: how many processes have version N in force, and
+//                                       which don't
 //   POST /v1/config?parent=N            publishes the body as version N+1
-//        &author=NAME                   who asks; shown in the history
+//        &author=NAME                   who publishes; shown in the history
 //        &zone_states=replace           lets the document change the state of zones
-//        &zone_states=keep              zones stay in or out as they are, whatever it says
-//        &trial_version=&trial_proof=   the trial's statement, where promotion asks for one
-//        &wait_ms=M                     answers once all have it in force, at most after M
-//        &change=ID                     sent again under its ID, to any entry, it takes effect once
-//   GET  /v1/config/statement?version=N says, provably, that all of this environment has N in force
-//   POST /v1/zones/NAME/out             takes the zone out on whatever document is newest
-//   POST /v1/zones/NAME/in              brings it back; both take author, wait_ms and change
+//        &zone_states=keep              zones keep their state, whatever the document says
+//        &trial_version=&trial_proof=   the trial's statement, where promotion requires it
+//        &wait_ms=M                     answers once all have the version in force, or after M ms
+//        &change=ID                     a change that is repeated under its ID, at any entry, takes
+//                                       effect once
+//   GET  /v1/config/statement?version=N a statement, with proof, that this whole environment has N
+//                                       in force
+//   POST /v1/zones/NAME/out             takes the zone out, on top of the newest document
+//   POST /v1/zones/NAME/in              brings the zone back; both take author, wait_ms and change
 #pragma once
 
 #include <memory>
@@ -27,9 +30,9 @@
 
 class EntryServer;
 
-// Made by the trial's entries, checked by production's; the operator's command carries it over. A
-// proof for `digest` that the environment had it in force as `version`, under a key that both
-// environments' entries know.
+// Proof that `environment` had the document of `digest` in force as `version`. The trial's entries
+// make it, the operator's command carries it over, and production's entries check it. `key` is
+// known to the entries of both environments.
 std::string PromotionProof(const std::string& key, const std::string& environment, int64_t version,
                            const std::string& digest);
 
@@ -37,9 +40,9 @@
  public:
   explicit ConfigApi(EntryServer* entry) : entry_(entry) {}
 
-  // Whether the path is one of this class.
+  // Whether `path` belongs to this API.
   static bool Handles(const std::string& path);
-  // The caller is known to be an operator. Throws Error.
+  // Requires that the caller was authenticated as an operator. Throws Error.
   HttpResponse Handle(const HttpRequest& request);
 
  private:
@@ -49,19 +52,20 @@
   HttpResponse IssueStatement(const HttpRequest& request) const;
   HttpResponse Publish(const HttpRequest& request);
   HttpResponse SetZone(const HttpRequest& request);
-  // Throws Error(kForbidden) unless the request carries a trial's statement about `digest`, or this
-  // environment asks for none.
+  // Throws Error(kForbidden) unless the request carries the trial's proof for the document of
+  // `digest`, this environment requires no trial, or the document was in force here before.
   void RequireTrialProof(const HttpRequest& request, const std::string& digest) const;
-  // The current version. Throws Error(kNotFound).
+  // The version in force. Throws Error(kNotFound) before the first document.
   std::shared_ptr<const ConfigVersion> Current() const;
   InForceReport Report(int64_t version) const;
-  // The id that the request gives its change; a new one if it gives none. Throws Error.
+  // The request's change id, or a new id if it has none. Throws Error(kInvalidInput).
   static std::string ChangeId(const HttpRequest& request);
-  // Writes the record; returns the version it made, also when an earlier copy made it. Throws
-  // Error(kConflict) if it is void.
+  // Writes the record unless an earlier copy of it took effect, and returns the version that the
+  // change made. Throws Error(kConflict) if the record is rejected.
   std::shared_ptr<const ConfigVersion> CommitChange(const Record& record);
   std::shared_ptr<const ConfigVersion> WriteChange(const Record& record);
-  // Waits until all have the version, at most as long as the request says, and answers.
+  // Waits until all processes have the version in force, for at most the request's wait_ms, and
+  // answers with the report.
   HttpResponse AnswerAccepted(const HttpRequest& request, const ConfigVersion& version,
                               int64_t default_wait_ms) const;
 
--- a/servers/entry/config_api_test.cc
+++ b/servers/entry/config_api_test.cc
@@ -27,7 +27,7 @@
   nlohmann::json json;
 };
 
-// One entry of an environment, with its own way to the environment's log.
+// An entry of an environment, with a connection of its own to the environment's log.
 struct TestEntry {
   TestEntry(LogService* log, const std::string& environment, const std::string& process)
       : way(log) {
@@ -54,7 +54,7 @@
     return {reply.status, nlohmann::json::parse(reply.body, nullptr, false)};
   }
 
-  // One heartbeat of an agent of zone a that has `version` in force.
+  // Sends a heartbeat of an agent in zone a that has `version` in force.
   void Beat(int64_t version) {
     const AgentHello hello{"worker-1", "i", "a", "r", "", {}};
     if (!port) port = server->OpenAgent(hello, nullptr);
@@ -69,9 +69,9 @@
   std::shared_ptr<EntryPort> port;
 };
 
-// A document promises a workspace more than the zones hold. Taken over, it would leave the
-// workspace waiting for room that its operators believe is kept for it.
-TEST(ConfigApiTest, GuaranteesThatCannotBeMetAreRefusedAndThoseOfAZoneOutWarnedOf) {
+// A document guarantees a workspace more than the zones hold. If accepted, it would leave the
+// workspace waiting for room that operators believe is reserved.
+TEST(ConfigApiTest, RefusesUnsatisfiableGuaranteesAndWarnsOfThoseLostWithAZone) {
   MemoryLog log;
   TestEntry one(&log, "", "one");
   const auto workspace = [](const std::string& guarantee) {
@@ -88,8 +88,8 @@
   EXPECT_EQ(accepted.json.at("warnings").size(), 1U);
 }
 
-// Two operators publish at two entries at once: one of them is told that the other came first.
-TEST(ConfigApiTest, OfTwoOperatorsTheSecondIsToldWhoCameFirst) {
+// Two operators publish at two entries at the same time. The second must be told who came first.
+TEST(ConfigApiTest, SecondOfTwoConcurrentPublicationsIsRefused) {
   MemoryLog log;
   TestEntry one(&log, "", "one");
   TestEntry two(&log, "", "two");
@@ -101,8 +101,9 @@
   EXPECT_EQ(two.Call("GET", "/v1/config").json.at("author"), "kati");
 }
 
-// The log takes the operator's record and loses every answer; the command still learns the truth.
-TEST(ConfigApiTest, AZoneOutWhoseAnswerIsLostIsFoundByReading) {
+// The log commits the operator's record but every answer is lost. The entry must find the record by
+// reading.
+TEST(ConfigApiTest, FindsZoneChangeInLogWhenAppendAnswerIsLost) {
   MemoryLog log;
   TestEntry entry(&log, "", "one");
   entry.Call("POST", "/v1/config?parent=0", Document());
@@ -114,8 +115,9 @@
   EXPECT_EQ(entry.Call("POST", "/v1/zones/b/out").status, 404);
 }
 
-// The record lands while no entry can read: the operator must not be told that nothing happened.
-TEST(ConfigApiTest, AnUnreadZoneOutIsUnknownAndComesIntoForceLater) {
+// The record is committed while no entry can read the log. The operator must not be told that
+// nothing happened.
+TEST(ConfigApiTest, ZoneChangeThatCannotBeReadBackIsUnknownAndTakesEffectLater) {
   MemoryLog log;
   TestEntry entry(&log, "", "one");
   entry.Call("POST", "/v1/config?parent=0", Document());
@@ -129,7 +131,7 @@
   EXPECT_EQ(again.json.at("version"), 3);
 }
 
-TEST(ConfigApiTest, InForceNamesWhoIsBehind) {
+TEST(ConfigApiTest, InForceReportNamesProcessesThatAreBehind) {
   MemoryLog log;
   TestEntry entry(&log, "", "one");
   entry.Beat(0);
@@ -143,8 +145,8 @@
   EXPECT_EQ(after.at("zones").at("a").at("entries_in_force"), 1);
 }
 
-// An operator's command sends a change to a second entry when the first one is silent.
-TEST(ConfigApiTest, AChangeSentToTwoEntriesTakesEffectOnce) {
+// An operator's command sends a change to a second entry when the first one doesn't answer.
+TEST(ConfigApiTest, ChangeSentToTwoEntriesTakesEffectOnce) {
   MemoryLog log;
   TestEntry one(&log, "", "one");
   TestEntry two(&log, "", "two");
@@ -160,8 +162,8 @@
   EXPECT_EQ(one.Call("GET", "/v1/config/history").json.size(), 2U);
 }
 
-// The first entry wakes up and sends the change once more, after another operator has undone it.
-TEST(ConfigApiTest, ALateCopyOfAChangeUndoesNothing) {
+// An entry that hung resumes and writes the change again after another operator has undone it.
+TEST(ConfigApiTest, DelayedCopyOfAChangeHasNoEffect) {
   MemoryLog log;
   TestEntry one(&log, "", "one");
   TestEntry two(&log, "", "two");
@@ -171,13 +173,12 @@
   EXPECT_EQ(two.Call("POST", "/v1/zones/a/in?wait_ms=0").json.at("version"), 3);
   EXPECT_EQ(one.Call("POST", out).json.at("version"), 2);
   EXPECT_EQ(two.Call("GET", "/v1/config").json.at("version"), 3);
-  // Through the log again: nothing has come between.
+  // A new change through the first entry is based on the newest version.
   EXPECT_EQ(one.Call("POST", "/v1/zones/a/out?wait_ms=0").json.at("version"), 4);
 }
 
-// A change that was void is void for every entry that is asked for it, also when it would not be
-// now.
-TEST(ConfigApiTest, AVoidChangeIsVoidAtEveryEntry) {
+// A change that was rejected once must be rejected by every entry, even if it would be valid now.
+TEST(ConfigApiTest, RejectedChangeIsRejectedAtEveryEntry) {
   MemoryLog log;
   TestEntry one(&log, "", "one");
   TestEntry two(&log, "", "two");
@@ -192,7 +193,7 @@
   EXPECT_EQ(two.Call("GET", "/v1/config").json.at("version"), 2);
 }
 
-TEST(ConfigApiTest, IdsOfChangesAreShortAndPlain) {
+TEST(ConfigApiTest, RefusesInvalidChangeIds) {
   MemoryLog log;
   TestEntry one(&log, "", "one");
   EXPECT_EQ(one.Call("POST", "/v1/config?parent=0&change=a%20b", Document()).status, 400);
@@ -201,8 +202,9 @@
   EXPECT_EQ(one.Call("POST", "/v1/config?parent=0&change=" + longest, Document()).status, 201);
 }
 
-// An entry that hangs held up every wait for "in force", though it can do nothing without agents.
-TEST(ConfigApiTest, AnEntryOfWhichNoAgentHearsIsNamedAsSilent) {
+// A hanging entry used to block every wait for "in force", although it can do nothing without
+// agents.
+TEST(ConfigApiTest, InForceReportNamesEntryWithoutAgentsAsSilent) {
   MemoryLog log;
   TestEntry one(&log, "", "one");
   const TestEntry two(&log, "", "two");
@@ -212,12 +214,13 @@
   const nlohmann::json report = one.Call("GET", "/v1/config/in-force?version=1").json;
   EXPECT_EQ(report.at("zones").at("a").at("silent"), nlohmann::json({"two"}));
   EXPECT_TRUE(report.at("zones").at("a").at("behind").empty());
-  // For a promotion everybody must have it.
+  // A promotion requires that every process has the version in force.
   EXPECT_FALSE(report.at("complete").get<bool>());
 }
 
-// A document that no trial ran must not reach production, whatever an operator types.
-TEST(ConfigApiTest, ProductionTakesOnlyWhatTheTrialHadInForce) {
+// A document that the trial environment didn't have in force must not reach production, whatever
+// the operator's command sends.
+TEST(ConfigApiTest, ProductionAcceptsOnlyDocumentsThatTrialHadInForce) {
   MemoryLog trial_log;
   MemoryLog production_log;
   TestEntry trial(&trial_log, "trial", "one");
@@ -233,7 +236,7 @@
       "&trial_version=1&trial_proof=" + statement.at("proof").get<std::string>();
   EXPECT_EQ(production.Call("POST", publish + promotion, Document("# x\n")).status, 403);
   EXPECT_EQ(production.Call("POST", publish + promotion, Document()).status, 201);
-  // A rollback needs no trial: the bytes were in force here before.
+  // A rollback needs no trial: the document was in force here before.
   EXPECT_EQ(production.Call("POST", "/v1/config?parent=1", Document()).status, 201);
 }
 
--- a/servers/entry/entry_server.cc
+++ b/servers/entry/entry_server.cc
@@ -19,15 +19,17 @@
 constexpr Duration kRecordTimeout = std::chrono::seconds(3);
 constexpr Duration kStepDownTimeout = std::chrono::seconds(5);
 constexpr Duration kUpkeepInterval = std::chrono::seconds(1);
-// An entry of which no agent has heard for so long is gone. Long enough for a partition to heal:
-// an entry that comes back finds itself missing and joins again.
+// An entry that no agent has heard from for this long is taken for gone. Long enough for a
+// partition to heal: an entry that comes back finds itself missing from the members and joins
+// again.
 constexpr Duration kMemberTimeout = std::chrono::seconds(60);
-// Word of entries spreads with the heartbeats; a peer that was heard so lately is passed on.
+// Entries learn of each other through heartbeats. Peers seen within this time are passed on to
+// agents.
 constexpr Duration kMaxPeerAge = std::chrono::seconds(30);
 
 }  // namespace
 
-// One agent's session, as this entry serves it.
+// This entry's side of the session with one agent.
 class EntryServer::AgentSession : public EntryPort {
  public:
   AgentSession(EntryServer* entry, AgentHello hello) : entry_(entry), hello_(std::move(hello)) {}
@@ -104,7 +106,7 @@
   options.budget = &budget_;
   options.snapshot_period = options_.snapshot_period;
   if (stream == Stream::kConfig) {
-    // A read that hangs must count as failed before the bound on zone changes has passed.
+    // A read that hangs must be counted as failed before the bound for zone changes has passed.
     options.read_wait = std::chrono::milliseconds(500);
     options.read_timeout = std::chrono::milliseconds(1500);
   }
@@ -119,13 +121,13 @@
   try {
     JoinIfMissing();
   } catch (const Error& error) {
-    // The upkeep tries again.
+    // Upkeep retries.
     LogEvent(LogLevel::kWarning, "member_not_recorded", {{"error", error.what()}});
   }
 }
 
 std::string EntryServer::CallerAddress(const std::string& peer_address) const {
-  // The same machine as its peers reach; the caller port is another.
+  // The host that peers reach, with the caller port.
   return peer_address.substr(0, peer_address.rfind(':')) + ":" + std::to_string(caller_port());
 }
 
@@ -150,7 +152,8 @@
   for (const PeerState& peer : peers_.RecentlySeen(now, kMemberTimeout)) {
     seen.insert(peer.entry.process);
   }
-  // Without agents this entry hears of nobody and can tell nothing about others.
+  // Without agents this entry receives no reports about entries, so their absence says nothing
+  // about the others.
   if (seen.count(options_.process) == 0) {
     silent_since_.clear();
     return;
@@ -195,16 +198,17 @@
 }
 
 bool EntryServer::ready() const {
-  // An entry that has just started knows no target until agents find it, and would turn callers
-  // away whom the other entries could serve. Where no agent comes at all it must still take jobs.
+  // An entry that has just started knows no target until agents connect, and would turn away
+  // callers whom other entries could serve. After the grace period it becomes ready without agents,
+  // as it must still accept jobs.
   const bool grace_period_over = DefaultClock().Now() - started_ > kStartupGracePeriod;
   if (!grace_period_over && directory_.Agents("").empty()) return false;
   return !leaving_.load() && config_fold_.current() != nullptr && job_stream_.view().ever_fresh &&
          request_stream_.view().ever_fresh;
 }
 
-// The balancer looks only now and then whether this entry is ready; until then it sends callers
-// here, who would find the door closed.
+// The load balancer checks only from time to time whether this entry is ready. Until then it sends
+// callers here, whose connections would be refused.
 void EntryServer::WaitForBalancer() const { std::this_thread::sleep_for(options_.balancer_notice); }
 
 bool EntryServer::Leave(Duration limit) {
@@ -215,7 +219,8 @@
   WaitForBalancer();
   caller_http_->StopAccepting();
   bool drained = caller_http_->Drain(limit);
-  // So that the next planner need not wait until this one is missed.
+  // Steps down as active planner, so that the next planner need not wait until this entry times
+  // out.
   planners_->Leave(kStepDownTimeout);
   try {
     member_stream_.Write(MemberLeft{NewRecordId(), options_.process, incarnation_}, kRecordTimeout);
@@ -233,22 +238,22 @@
   const StreamView view = config_stream_.view();
   if (view.ever_fresh) answer.freshness.age = now - view.fresh_at;
   answer.freshness.failing = view.failing;
-  // Read after the freshness, so that the document is at least as new as the freshness says.
+  // The document is read after the freshness, so that it is at least as new as the freshness says.
   const auto current = config_fold_.current();
   if (current) {
     answer.config_version = current->version;
     answer.config_digest = current->digest;
     if (current->version > beat.config_version) answer.config_text = current->text;
   }
-  // The freshness is read before the epoch, so that the epoch is at least as new.
+  // The epoch is read after the freshness, so that it is at least as new as the freshness says.
   const StreamView jobs = job_stream_.view();
   if (jobs.ever_fresh) answer.jobs_freshness.age = now - jobs.fresh_at;
   answer.jobs_freshness.failing = jobs.failing;
   const PlannerEpoch epoch = job_fold_.Planner(hello.zone);
   answer.planner_epoch = epoch.epoch;
   answer.planner_active = epoch.process == options_.process && planners_->Active(hello.zone);
-  // An agent may have a version from an entry that could read it and has gone since. Naming it
-  // without its text tells other agents that what this entry has is not the newest.
+  // An agent may have received a newer version from an entry that has gone since. Naming this
+  // version without its text tells other agents that this entry's document is not the newest.
   if (peers_.highest_version() > answer.config_version) {
     answer.config_version = peers_.highest_version();
     answer.config_digest.clear();
@@ -261,7 +266,7 @@
   }
   std::vector<EntryMember> members = KnownEntries(now);
   for (const EntryMember& member : members) {
-    // The first is the one that joined last.
+    // The first address in the list is the one recorded in the members stream.
     const bool first = answer.planner_address.empty();
     if (first && member.process == epoch.process) answer.planner_address = member.address;
   }
@@ -274,9 +279,10 @@
   for (const MemberJoined& member : member_fold_.members()) {
     result.push_back({member.process, member.zone, member.address});
   }
-  // While the log is down, agents know of entries that could not join. What they heard is added and
-  // never put in place of what joined: an entry that was replaced has been heard at its old address
-  // until just now, and agents would go on trying that one and never find its successor.
+  // While the log is down, agents know of entries that could not record themselves as members.
+  // Entries that agents report are added to the recorded ones but never replace them: agents have
+  // reported a replaced entry at its old address until just now, and would keep trying that address
+  // and never find its successor.
   for (const PeerState& peer : peers_.RecentlySeen(now, kMaxPeerAge)) {
     const EntryMember& entry = peer.entry;
     const bool listed = std::any_of(result.begin(), result.end(), [&](const EntryMember& member) {
--- a/servers/entry/entry_server.h
+++ b/servers/entry/entry_server.h
@@ -1,5 +1,5 @@
-// The entry: HTTP towards callers and operators, sessions with agents, folds of the log, and the
-// planner's duty for its zone.
+// The entry process: HTTP APIs for callers and operators, sessions with agents, replicas of the
+// log's state, and leadership of planning for availability zones.
 #pragma once
 
 #include <atomic>
@@ -30,33 +30,34 @@
 struct EntryOptions {
   std::string process;
   std::string zone;
-  // Name of the environment whose log this is, such as "trial"; empty: any.
+  // Name of the environment that the log belongs to, such as "trial". Empty accepts any
+  // environment.
   std::string environment;
-  // Signs statements of what is in force here, and checks those of `trial`.
+  // Key that signs this environment's statements and verifies those of `trial`.
   std::string promotion_key;
-  // Name of the environment that must have had a document in force before it is published here;
-  // empty: documents are published directly.
+  // Name of the environment that must have had a document in force before it may be published here.
+  // Empty if documents are published directly.
   std::string trial;
-  // This process's part of what the log takes.
+  // This process's share of the log's append rate.
   double appends_per_second = 60;
-  // Well inside the log's retention.
+  // Must be well below the log's retention.
   Duration snapshot_period = std::chrono::minutes(10);
   HttpServerOptions caller_http;
   HttpServerOptions operator_http;
-  // Lets operators in before the first document; empty: none.
+  // Token that operators can use before the first document is in force; empty if there is none.
   std::string operator_token;
   std::string routing_policy = "two_choices";
   bool eject_outliers = true;
   std::string placement_policy = "cells";
   uint64_t seed = 1;
-  // How long a leaving entry goes on taking callers in, so that the balancer notices first.
+  // How long a leaving entry keeps accepting callers, so that the load balancer can notice first.
   Duration balancer_notice = Duration::zero();
 };
 
 class EntryServer : public EntryGate {
  public:
-  // `log` must outlive the server. Serves when the constructor returns; ready() says whether it
-  // has read the log.
+  // `log` must outlive the server. The server accepts connections when the constructor returns;
+  // ready() tells whether it has read the log.
   EntryServer(const EntryOptions& options, LogService* log, MetricsRegistry* metrics);
   ~EntryServer() override;
   EntryServer(const EntryServer&) = delete;
@@ -65,15 +66,16 @@
   std::shared_ptr<EntryPort> OpenAgent(const AgentHello& hello,
                                        std::shared_ptr<AgentPort> agent) override;
 
-  // Where agents reach this entry; published to other entries and to agents.
+  // Sets the address at which agents reach this entry. It is published to other entries and to
+  // agents.
   void AnnounceAddress(const std::string& address);
 
   int caller_port() const { return caller_http_->port(); }
   int operator_port() const { return operator_http_->port(); }
   bool ready() const;
 
-  // Stops gracefully: reports not ready, finishes what is in flight, leaves the members stream.
-  // Returns whether everything in flight ended within `limit`.
+  // Stops gracefully: reports not ready, finishes requests in flight and records its departure in
+  // the members stream. Returns whether all requests ended within `limit`.
   bool Leave(Duration limit);
 
  private:
@@ -87,12 +89,12 @@
   void WaitForBalancer() const;
   EntryBeat MakeBeat(const AgentHello& hello, const AgentBeat& beat) const;
   std::vector<EntryMember> KnownEntries(Time now) const;
-  // Records this entry as a member, and again when it finds itself missing.
+  // Records this entry as a member if the members stream doesn't list it.
   void JoinIfMissing();
-  // Records that entries have gone of which nothing was heard for long.
+  // Records the departure of entries that no agent has heard from for the member timeout.
   void RemoveSilentMembers(Time now);
   void RunUpkeep();
-  // Whatever must be done every second or so; failures wait for the next round.
+  // Periodic work: membership and snapshots. Failures are logged and retried in the next round.
   void Upkeep(Time now);
 
   const EntryOptions options_;
@@ -123,7 +125,7 @@
   std::condition_variable stop_;
   bool stopping_ = false;
   std::string address_;
-  // When this entry first missed another, by process name.
+  // When each silent entry was first found to be silent, by process name.
   std::map<std::string, Time> silent_since_;
   Thread upkeep_;
 };
--- a/servers/entry/in_force.h
+++ b/servers/entry/in_force.h
@@ -1,4 +1,4 @@
-// Who has a version of the document in force and who has not, by availability zone.
+// Reports by availability zone which processes have a version of the environment document in force.
 #pragma once
 
 #include <map>
@@ -14,11 +14,11 @@
 struct ZoneInForce {
   int agents = 0;
   int entries = 0;
-  // Process names of entries that run an older version, and of agents that do or were not heard of
-  // late.
+  // Names of agents and entries that have an older version in force, and of agents without a recent
+  // heartbeat.
   std::vector<std::string> behind;
-  // Entries of which no agent has heard of late. Entries act through agents only, and read the log
-  // before they serve again.
+  // Names of entries that no agent has heard from recently. They can do no harm with an older
+  // version: entries act only through agents, and read the log before they serve again.
   std::vector<std::string> silent;
 };
 
@@ -26,12 +26,12 @@
   int64_t version = 0;
   std::map<std::string, ZoneInForce> zones;
 
-  // Nobody known is behind or silent, and at least one process has it.
+  // True if no known process is behind or silent and at least one process is known.
   bool complete() const;
   std::string ToJson() const;
 };
 
-// Heard of late: within this.
+// Older heartbeats of agents and reports about entries don't count as recent.
 inline constexpr Duration kInForceMaxReportAge = std::chrono::seconds(5);
 
 InForceReport ReportInForce(int64_t version, const std::vector<AgentState>& agents,
--- a/servers/entry/operator_api.cc
+++ b/servers/entry/operator_api.cc
@@ -38,7 +38,8 @@
   nlohmann::json streams = nlohmann::json::object();
   for (const StreamClient* stream : {&entry_->config_stream_, &entry_->request_stream_,
                                      &entry_->job_stream_, &entry_->member_stream_}) {
-    // Equal digests at equal offsets, or two entries' folds disagree.
+    // At equal offsets, all entries must show equal digests; otherwise their replicated states
+    // differ.
     const SnapshotState state = stream->TakeSnapshot();
     streams[stream->name()] = {{"next", state.covers}, {"digest", Digest(state.bytes)}};
   }
--- a/servers/entry/peer_view.cc
+++ b/servers/entry/peer_view.cc
@@ -5,7 +5,8 @@
 namespace turmericshift {
 namespace {
 
-// Far more than any fleet has entries; keeps a confused agent from filling this process's memory.
+// Far more entries than any environment has. The limit keeps a faulty agent from filling this
+// process's memory.
 constexpr size_t kMaxPeers = 256;
 
 }  // namespace
--- a/servers/entry/peer_view.h
+++ b/servers/entry/peer_view.h
@@ -1,6 +1,6 @@
-// What agents say about the other entries. Entries keep no sessions with each other: most agents
-// hear two or three of them every second, so word of an entry reaches all others that way, also
-// while the log is down.
+// Tracks the other entries through agents' heartbeats. Entries keep no sessions with each other.
+// Most agents receive answers from two or three entries every second and report them to each entry,
+// so updates about an entry reach all others this way, even while the log is down.
 #pragma once
 
 #include <map>
@@ -14,17 +14,18 @@
 
 struct PeerState {
   EntryMember entry;
-  // The highest that any agent has heard from it.
+  // The highest version that any agent has received from the entry.
   int64_t config_version = 0;
+  // When an agent last received an answer from the entry.
   Time last_seen{};
 };
 
 class PeerView {
  public:
-  // Part of an agent's heartbeat that arrived at `now`.
+  // Takes the entries that an agent's heartbeat, received at `now`, reports.
   void RecordHeartbeat(const AgentBeat& beat, Time now);
 
-  // Entries heard within `limit`, by process name.
+  // Entries that some agent heard from within the last `max_age`, sorted by process name.
   std::vector<PeerState> RecentlySeen(Time now, Duration max_age) const;
   // The highest version that any agent had in force.
   int64_t highest_version() const;
--- a/servers/entry/peer_view_test.cc
+++ b/servers/entry/peer_view_test.cc
@@ -15,9 +15,9 @@
   return beat;
 }
 
-// While the log is down an entry is replaced and can't join the members: agents carry word of its
-// new address, and old word from a slow agent does not undo that.
-TEST(PeerViewTest, TheNewestWordOfAnEntryCounts) {
+// While the log is down, a replaced entry can't record itself as a member, and its new address
+// spreads through agents. An older report from a slow agent must not undo the newer one.
+TEST(PeerViewTest, KeepsNewestReportOfAnEntry) {
   PeerView peers;
   const Time now = Time{} + std::chrono::hours(1);
   peers.RecordHeartbeat(BeatAbout("entry-1", "10.0.0.2:1", seconds(1), 3), now);
@@ -30,8 +30,8 @@
   EXPECT_TRUE(peers.RecentlySeen(now + seconds(10), seconds(5)).empty());
 }
 
-// An agent that invents entries must not fill this process's memory.
-TEST(PeerViewTest, TheNumberOfPeersIsBounded) {
+// An agent that reports entries that don't exist must not fill this process's memory.
+TEST(PeerViewTest, LimitsNumberOfPeers) {
   PeerView peers;
   const Time now = Time{} + std::chrono::hours(1);
   constexpr int kMany = 1000;
--- a/servers/entry/request_router.cc
+++ b/servers/entry/request_router.cc
@@ -14,15 +14,15 @@
 constexpr Duration kBaseBackoff = std::chrono::milliseconds(4);
 constexpr Duration kMaxBackoff = std::chrono::milliseconds(200);
 
-// Full jitter: anything up to the bound, which doubles with each attempt, so that callers that
-// failed together do not come back together.
+// Exponential backoff with full jitter, a random time up to a bound that doubles with each attempt,
+// so that callers that failed together do not retry together.
 Duration Backoff(int attempt) {
   thread_local std::mt19937_64 random(std::random_device{}());
   const Duration bound = std::min(kBaseBackoff * (1 << std::min(attempt, 10)), kMaxBackoff);
   return Duration(std::uniform_int_distribution<int64_t>(0, bound.count())(random));
 }
 
-// An answer that was lost on its way, as against a target's own failure.
+// Whether the answer was lost in transit, as opposed to a failure of the target.
 bool IsLostAnswer(ErrorKind kind) {
   return kind == ErrorKind::kConnectionLost || kind == ErrorKind::kAnswerCut ||
          kind == ErrorKind::kDeadlineExceeded;
@@ -56,7 +56,7 @@
 
 ServiceAnswer RequestRouter::RouteRepeatable(const ServiceRequest& request, Time deadline) {
   std::set<std::string> tried;
-  // Once one attempt may have run, no later refusal makes the whole request "not run".
+  // Once an attempt may have run, a later refusal must not report the whole request as not run.
   Outcome worst = Outcome::kNotRun;
   for (int attempt = 1;; ++attempt) {
     RequireTimeLeft(deadline, DefaultClock().Now(), worst);
--- a/servers/entry/request_router.h
+++ b/servers/entry/request_router.h
@@ -1,5 +1,5 @@
-// Carries one caller's request to a target and its answer back; sends again only what is provably
-// not run, or what its service declares repeatable.
+// Routes a caller's request to a target and returns the answer. Retries a request only if it
+// provably did not run, or if its service is declared repeatable.
 #pragma once
 
 #include <memory>
@@ -21,23 +21,25 @@
 
 class RequestRouter {
  public:
-  // `config` may be null: then every service counts as not repeatable. All others must outlive
-  // the router.
+  // `config` may be null; no service is then repeatable. All other pointers must outlive the
+  // router.
   RequestRouter(const RouterOptions& options, std::unique_ptr<RoutingPolicy> policy,
                 AgentDirectory* directory, StreamClient* requests, const RequestFold* fold,
                 const ConfigFold* config, MetricsRegistry* metrics);
 
-  // Throws Error whose outcome is the truth about this request. `request.time_left` is the
-  // caller's deadline; a set idempotency key makes it run at most once. `key_first_used_ms` is when
-  // the caller first used the key (milliseconds since 1970), 0 if it did not say.
+  // Throws Error; its outcome says what is known about this request, over all attempts.
+  // `request.time_left` is the time until the caller's deadline. A request with an idempotency key
+  // runs at most once. `key_first_used_ms` is when the caller first used the key (milliseconds
+  // since 1970), 0 if the caller did not say.
   ServiceAnswer Route(const ServiceRequest& request, int64_t key_first_used_ms = 0);
 
-  // When a caller refused with `error` should come back; zero when that is of no use.
+  // How long a caller that got `error` should wait before a retry; zero if a retry is of no use.
   Duration RetryAfter(const std::string& service, const Error& error) const;
 
  private:
   ServiceAnswer RouteRepeatable(const ServiceRequest& request, Time deadline);
-  // Whether `error` allows another attempt; takes it from the budget and pauses before it.
+  // Returns whether another attempt is allowed after `error`. If so, spends a token of the retry
+  // budget and sleeps for the backoff time.
   bool PrepareRetry(const std::string& service, const Error& error, int attempt, Time deadline);
   bool Repeatable(const std::string& service) const;
 
--- a/servers/entry/routing_policy.h
+++ b/servers/entry/routing_policy.h
@@ -1,4 +1,4 @@
-// Chooses the target of a request.
+// Policies that choose the target of a request.
 #pragma once
 
 #include <cstdint>
@@ -11,27 +11,27 @@
 
 namespace turmericshift {
 
-// One target that may take the request.
+// A target that may receive the request.
 struct TargetCandidate {
   std::string agent;
   std::string zone;
   TargetLoad load;
-  // Requests that this entry has sent there and that are not yet answered.
+  // Requests that this entry has sent to the target and that are not yet answered.
   int outstanding = 0;
 };
 
-// Requests there for each of its slots: what the target last said, or what this entry knows it has
-// sent if that is more.
+// The target's requests per slot, by the target's last reported load or this entry's outstanding
+// requests, whichever is higher. Above 1 when requests queue.
 double SlotUtilization(const TargetCandidate& candidate);
 
 class RoutingPolicy {
  public:
   virtual ~RoutingPolicy() = default;
-  // Index into `candidates`, which is not empty. `own_zone` is the entry's.
+  // Returns an index into `candidates`, which must not be empty. `own_zone` is the entry's zone.
   virtual size_t Choose(const std::vector<TargetCandidate>& candidates, const std::string& own_zone,
                         Time now) = 0;
-  // The call took `latency` and ended well or not; for policies that judge targets.
-  virtual void Observe(const std::string& /*agent*/, Duration /*latency*/, bool /*well*/,
+  // Reports the result of one call, for policies that rate targets by their results.
+  virtual void Observe(const std::string& /*agent*/, Duration /*latency*/, bool /*success*/,
                        Time /*now*/) {}
 };
 
--- a/servers/entry/token_table.cc
+++ b/servers/entry/token_table.cc
@@ -31,8 +31,8 @@
 std::string TokenTable::RequireWorkspace(const HttpRequest& request) {
   const std::string token = BearerToken(request);
   const auto current = config_->current();
-  if (!current) throw Error(ErrorKind::kStale, "no configuration is in force yet");
-  // Keyed by a proof rather than by the token, so that no token stays in memory.
+  if (!current) throw Error(ErrorKind::kStale, "no environment document is in force yet");
+  // The cache key is a keyed hash of the token, so that no token stays in memory.
   const std::string cache_key = Prove(token, "token-cache");
   const std::lock_guard<std::mutex> lock(mutex_);
   if (cached_version_ != current->version || cache_.size() > kMaxCachedTokens) {
--- a/servers/entry/token_table.h
+++ b/servers/entry/token_table.h
@@ -1,4 +1,4 @@
-// Who a bearer token belongs to, by the document's salted hashes.
+// Finds the owner of a bearer token by the salted hashes in the environment document.
 #pragma once
 
 #include <memory>
@@ -26,7 +26,8 @@
   const ConfigFold* const config_;
   std::mutex mutex_;
   int64_t cached_version_ = 0;
-  // By digest of the token, so that one hash is enough for a token that was seen before.
+  // Workspace by keyed hash of the token, so that a token seen before costs one hash instead of one
+  // for each salted hash in the document.
   std::unordered_map<std::string, std::string> cache_;
 };
 
