--- a/servers/config/environment.cc
+++ b/servers/config/environment.cc
@@ -15,7 +15,7 @@
 constexpr int kMaxWorkersPerZone = 10000;
 constexpr int kMaxCells = 100000;
 
-// "2 worker, 1 half" as counts by level.
+// Parses a list of cells such as "2 worker, 1 half".
 std::vector<CellCount> ParseGuarantee(const std::string& text) {
   std::vector<CellCount> cells;
   std::istringstream parts(text);
@@ -36,14 +36,15 @@
   return cells;
 }
 
-// A space-separated list of "salt$hash".
+// A key that holds a space-separated list of "salt$hash".
 IniKey HashesKey(const std::string& name, std::vector<std::string>* target) {
   return {name, false, [=](const std::string& value) {
             std::istringstream words(value);
             std::string word;
             while (words >> word) {
               if (word.find('$') == std::string::npos) {
-                throw Error(ErrorKind::kInvalidInput, "expected salted hashes, salt$hash");
+                throw Error(ErrorKind::kInvalidInput,
+                            "expected salted hashes in the form salt$hash");
               }
               target->push_back(word);
             }
@@ -67,7 +68,8 @@
   zone.name = section.label;
   const auto assign_state = [&zone](const std::string& value) {
     if (value != "in" && value != "out") {
-      throw Error(ErrorKind::kInvalidInput, "'" + value + "' is not in or out");
+      throw Error(ErrorKind::kInvalidInput,
+                  "'" + value + "' is not a zone state; expected in or out");
     }
     zone.in = value == "in";
   };
@@ -119,7 +121,8 @@
 void BindAny(const IniSection& section, Environment* environment, IniFile* file) {
   if (section.kind == "environment") return BindEnvironment(section, environment, file);
   if (section.label.empty()) {
-    file->problems.push_back({section.line, "[" + section.kind + "]", "section needs a name"});
+    file->problems.push_back(
+        {section.line, "[" + section.kind + "]", "the section header has no name"});
     return;
   }
   if (section.kind == "availability_zone") return BindZone(section, environment, file);
@@ -142,8 +145,9 @@
   for (size_t index = 0; index < kLevelNames.size(); ++index) {
     if (name == kLevelNames[index]) return static_cast<CellLevel>(index);
   }
-  throw Error(ErrorKind::kInvalidInput,
-              "'" + name + "' is no cell; expected accelerator, pair, half, worker or rack");
+  throw Error(
+      ErrorKind::kInvalidInput,
+      "'" + name + "' is not a cell level; expected accelerator, pair, half, worker or rack");
 }
 
 const AvailabilityZoneSpec* Environment::FindZone(const std::string& name) const {
@@ -167,7 +171,7 @@
 Environment ParseEnvironment(const std::string& name, const std::string& text) {
   IniFile file = ParseIni(name, text);
   Environment environment;
-  // By index: binding appends problems to the file, never sections.
+  // Binding a section appends problems to the file but never sections, so the indices stay valid.
   for (size_t index = 0; index < file.sections.size(); ++index) {
     const IniSection section = file.sections[index];
     BindAny(section, &environment, &file);
@@ -176,7 +180,7 @@
     file.problems.push_back({0, "[environment] deployment", "missing"});
   }
   if (environment.zones.empty()) {
-    file.problems.push_back({0, "[availability_zone …]", "at least one is needed"});
+    file.problems.push_back({0, "[availability_zone …]", "at least one section is required"});
   }
   file.ThrowIfProblems();
   return environment;
--- a/servers/config/environment.h
+++ b/servers/config/environment.h
@@ -1,5 +1,5 @@
-// The environment document: workspaces with guarantees, availability zones, services. One INI text
-// for each environment; the same bytes serve trial and production.
+// The environment document: workspaces with their guarantees, availability zones and services. Each
+// environment has one INI text; trial and production use the same bytes.
 #pragma once
 
 #include <map>
@@ -11,8 +11,8 @@
 
 namespace turmericshift {
 
-// Sizes of the cells that guarantees are made of; each splits into two of the level below, a rack
-// into its workers.
+// Sizes of the cells in which guarantees are given. Each cell splits into two of the level below,
+// except that a rack splits into its workers.
 enum class CellLevel { kAccelerator, kPair, kHalf, kWorker, kRack };
 inline constexpr int kCellLevelCount = 5;
 const char* CellLevelName(CellLevel level);
@@ -25,15 +25,15 @@
 
 struct AvailabilityZoneSpec {
   std::string name;
-  // False while operators have taken the zone out: nothing may start there.
+  // False while operators have taken the zone out; nothing may start in the zone then.
   bool in = true;
   int workers = 0;
   int workers_per_rack = 1;
-  // What each worker has.
+  // Resources of each worker.
   TaskShape worker;
 };
 
-// Objectives of one workspace, as shares from 0 to 1.
+// Objectives of a workspace, as fractions from 0 to 1.
 struct ServiceLevelObjectives {
   double plans_on_time = 0.99;
   double requests_answered = 0.999;
@@ -42,10 +42,10 @@
 
 struct WorkspaceSpec {
   std::string name;
-  // Salted hashes; more than one while a token is rolled.
+  // Salted hashes of the workspace's tokens; more than one while a token is being replaced.
   std::vector<std::string> token_hashes;
   std::vector<CellCount> guarantee;
-  // Most accelerators that the workspace may use at once, borrowed ones included.
+  // Maximum number of accelerators in use by the workspace at a time, including borrowed ones.
   int accelerator_cap = 0;
   ServiceLevelObjectives objectives;
 };
@@ -54,19 +54,19 @@
   std::string name;
   int slots = 8;
   int connections = 64;
-  // Whether requests without an idempotency key may be sent again after an unknown outcome.
+  // Whether requests without an idempotency key may be retried after an unknown outcome.
   bool repeatable = true;
 };
 
 struct Bounds {
-  // Borrowed room is back within this time.
+  // Room that other workspaces borrowed from a guarantee is reclaimed within this time.
   Duration reclaim = std::chrono::seconds(30);
-  // No start in a zone later than this after it was taken out.
+  // No task starts in a zone later than this after the zone was taken out.
   Duration zone_out = std::chrono::seconds(3);
-  // Work that runs in a zone that was taken out may go on for this long before it is checkpointed
-  // and moved. Zero empties the zone at once.
+  // How long running work may continue in a zone that was taken out before the work is checkpointed
+  // and moved. Zero empties the zone immediately.
   Duration zone_drain = std::chrono::minutes(30);
-  // A task stops by itself this long after its agent last heard an entry.
+  // A task stops by itself this long after its agent last received an answer from an entry.
   Duration lease = std::chrono::seconds(10);
 };
 
@@ -78,7 +78,7 @@
   Bounds bounds;
   std::vector<std::string> operator_token_hashes;
 
-  // Null when there is none of that name.
+  // Null if the document has no entry of that name.
   const AvailabilityZoneSpec* FindZone(const std::string& name) const;
   const WorkspaceSpec* FindWorkspace(const std::string& name) const;
   const ServiceSpec* FindService(const std::string& name) const;
@@ -86,11 +86,12 @@
   std::vector<std::string> ZonesOut() const;
 };
 
-// Throws Error(kInvalidInput) listing every problem with file, line and key.
+// Throws Error(kInvalidInput) that lists every problem with file name, line and key. `name` is the
+// file name in the messages.
 Environment ParseEnvironment(const std::string& name, const std::string& text);
 
-// `text` with the `state` of one zone set to "in" or "out", all else untouched.
-// Throws Error(kNotFound) when the document has no such zone.
+// Returns `text` with the `state` of `zone` set to "in" or "out" and everything else unchanged.
+// Throws Error(kNotFound) if the document has no such zone.
 std::string WithZoneState(const std::string& text, const std::string& zone, bool in);
 
 }  // namespace turmericshift
--- a/servers/config/guarantee_check.cc
+++ b/servers/config/guarantee_check.cc
@@ -23,7 +23,7 @@
   return total;
 }
 
-// In accelerators, with cells sized as in the document's first zone.
+// Sum of all guarantees in accelerators, with the cell sizes of the document's first zone.
 int GuaranteedAccelerators(const Environment& environment) {
   const CellSizes sizes = SizesOf(environment.zones.begin()->second);
   int total = 0;
@@ -49,7 +49,7 @@
     }
     if (guaranteed <= workspace.accelerator_cap) continue;
     report->errors.push_back("workspace " + name + ": guarantee of " + std::to_string(guaranteed) +
-                             " accelerators is above its accelerator_cap of " +
+                             " accelerators exceeds its accelerator_cap of " +
                              std::to_string(workspace.accelerator_cap));
   }
 }
@@ -60,22 +60,22 @@
   GuaranteeReport report;
   if (environment.zones.empty()) return report;
   CheckCaps(environment, &report);
-  Environment trial = environment;
-  for (auto& [name, zone] : trial.zones) zone.in = true;
-  const GuaranteeSplit all_in = SplitGuarantees(trial);
+  Environment scenario = environment;
+  for (auto& [name, zone] : scenario.zones) zone.in = true;
+  const GuaranteeSplit all_in = SplitGuarantees(scenario);
   if (!all_in.unhosted.empty()) {
-    report.errors.push_back("with all zones in, " + Numbers(trial) +
-                            "; no zone can hold: " + CellsText(all_in.unhosted));
+    report.errors.push_back("with all zones in, " + Numbers(scenario) +
+                            "; no zone has room for: " + CellsText(all_in.unhosted));
     return report;
   }
   for (const auto& [name, zone] : environment.zones) {
-    trial.zones[name].in = false;
-    const GuaranteeSplit split = SplitGuarantees(trial);
+    scenario.zones[name].in = false;
+    const GuaranteeSplit split = SplitGuarantees(scenario);
     if (!split.unhosted.empty()) {
-      report.warnings.push_back("with " + name + " out, " + Numbers(trial) +
-                                "; not promised then: " + CellsText(split.unhosted));
+      report.warnings.push_back("with " + name + " out, " + Numbers(scenario) +
+                                "; not guaranteed then: " + CellsText(split.unhosted));
     }
-    trial.zones[name].in = true;
+    scenario.zones[name].in = true;
   }
   return report;
 }
--- a/servers/config/guarantee_check.h
+++ b/servers/config/guarantee_check.h
@@ -1,4 +1,5 @@
-// Whether a document's guarantees can be met: in all its zones together, and with any one zone out.
+// Checks whether a document's guarantees can be met with all its zones in, and with any one zone
+// out.
 #pragma once
 
 #include <string>
@@ -9,16 +10,20 @@
 namespace turmericshift {
 
 struct GuaranteeReport {
-  // The document must not be published: not even all zones together hold the guarantees.
+  // Reasons why the document must not be published: not even all zones together can hold the
+  // guarantees, or a guarantee exceeds its workspace's cap.
   std::vector<std::string> errors;
-  // It may, but operators should know what is not promised when a zone leaves.
+  // Guarantees that can't be met while a zone is out. The document may be published, but operators
+  // should know them.
   std::vector<std::string> warnings;
 };
 
-// Pure in the document. Each message carries its numbers.
+// Depends on the document only. Each message includes the number of accelerators guaranteed and
+// present.
 GuaranteeReport CheckGuarantees(const Environment& environment);
 
-// Throws Error(kInvalidInput) that lists the report's errors, a line each with `name`, if any.
+// Throws Error(kInvalidInput) if the report has errors, with a line for each that begins with
+// `name`.
 void RequireGuarantees(const std::string& name, const GuaranteeReport& report);
 
 }  // namespace turmericshift
--- a/servers/entry/caller_api.cc
+++ b/servers/entry/caller_api.cc
@@ -119,7 +119,7 @@
     service_request.time_left = DeadlineOf(request);
     service_request.idempotency_key = request.header("Idempotency-Key");
     if (service_request.idempotency_key.size() > kMaxKeyBytes) {
-      throw Error(ErrorKind::kInvalidInput, "the idempotency key exceeds the limit of 200 bytes");
+      throw Error(ErrorKind::kInvalidInput, "the idempotency key is too long");
     }
     const ServiceAnswer answer = entry_->router_->Route(service_request, KeyFirstUsedMs(request));
     LogAnswered(service_request, begun,
@@ -161,16 +161,15 @@
     return JsonResponse(list.dump());
   }
   throw Error(ErrorKind::kInvalidInput,
-              "expected POST /v1/jobs, GET /v1/jobs or GET or DELETE /v1/jobs/KEY");
+              "expected POST or GET /v1/jobs, or GET or DELETE /v1/jobs/KEY");
 }
 
 HttpResponse CallerApi::SubmitJob(const HttpRequest& request, const std::string& workspace) {
   JobSubmitted record;
   record.spec = ParseJobSpec(request.body);
   if (record.spec.workspace != workspace) {
-    throw Error(
-        ErrorKind::kForbidden,
-        "the job names another workspace than the token, which is for workspace " + workspace);
+    throw Error(ErrorKind::kForbidden,
+                "the job's workspace differs from the token's workspace, " + workspace);
   }
   const auto config = entry_->config_fold_.current();
   record.id = NewRecordId();
--- a/servers/entry/entry_server.cc
+++ b/servers/entry/entry_server.cc
@@ -266,7 +266,8 @@
   }
   std::vector<EntryMember> members = KnownEntries(now);
   for (const EntryMember& member : members) {
-    // The first address in the list is the one recorded in the members stream.
+    // Recorded members precede the peers that agents report, so the first match is the planner's
+    // recorded address.
     const bool first = answer.planner_address.empty();
     if (first && member.process == epoch.process) answer.planner_address = member.address;
   }
--- a/servers/jobs/job.cc
+++ b/servers/jobs/job.cc
@@ -27,7 +27,7 @@
   std::string known;
   for (const char* each : names) known += std::string(known.empty() ? "" : ", ") + each;
   throw Error(ErrorKind::kInvalidInput,
-              "'" + name + "' is no " + what + "; expected one of " + known);
+              "'" + name + "' is not a valid " + what + "; expected one of " + known);
 }
 
 [[noreturn]] void Refuse(const std::string& message) {
@@ -47,7 +47,7 @@
   for (const char letter : value) {
     const bool plain = std::isalnum(static_cast<unsigned char>(letter)) != 0 || letter == '-' ||
                        letter == '_' || letter == '.';
-    if (!plain) Refuse(std::string(field) + " may hold letters, digits, '-', '_' and '.' only");
+    if (!plain) Refuse(std::string(field) + " may contain only letters, digits, '-', '_' and '.'");
   }
 }
 
@@ -130,7 +130,7 @@
 }
 
 JobSpec ParseJobSpec(const std::string& text) {
-  if (text.size() > kMaxJobFileBytes) Refuse("the file is too large");
+  if (text.size() > kMaxJobFileBytes) Refuse("the job file is too large");
   try {
     const nlohmann::json json = nlohmann::json::parse(text);
     if (!json.is_object()) Refuse("expected a JSON object");
--- a/servers/jobs/job.h
+++ b/servers/jobs/job.h
@@ -1,4 +1,4 @@
-// What a job asks for, and what became of it.
+// Job specification, as submitted by callers, and job states.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +19,7 @@
 const char* JobStateName(JobState state);
 JobState JobStateFromName(const std::string& name);
 
-// What one task needs; also what a worker has or has left.
+// Resources that one task needs. Also used for a worker's total and free resources.
 struct TaskShape {
   int processors = 0;
   int64_t memory_bytes = 0;
@@ -29,21 +29,23 @@
 };
 
 struct JobSpec {
-  // Chosen by the caller; submitting a key again gives the first job back.
+  // Chosen by the caller and unique in the workspace. Submitting a key again returns the existing
+  // job.
   std::string key;
   std::string workspace;
   int tasks = 1;
   TaskShape shape;
   Adjacency adjacency = Adjacency::kAny;
-  // All tasks run together or none does.
+  // Gang scheduling: either all tasks run together or none runs.
   bool gang = true;
   bool urgent = false;
-  // Whether a second run after a lost first one is harmless.
+  // Whether the job may run again after a run whose outcome was lost.
   bool repeatable = true;
+  // Whether the job's tasks can save checkpoints and continue from them.
   bool checkpoints = false;
-  // The caller's guess; often far off.
+  // The caller's estimate, which is often far off.
   Duration declared_run_time = std::chrono::hours(1);
-  // Empty: any availability zone.
+  // Names of the availability zones that may run the job; empty for any zone.
   std::vector<std::string> zones;
   std::string payload;
 };
@@ -56,10 +58,11 @@
 void to_json(nlohmann::json& json, const JobSpec& spec);       // NOLINT: the library's name
 void from_json(const nlohmann::json& json, JobSpec& spec);     // NOLINT: the library's name
 
-// Reads a job file (JSON). Throws Error(kInvalidInput) that says which field is wrong and how.
+// Parses a job file (JSON). Throws Error(kInvalidInput) that names the invalid field and the
+// reason.
 JobSpec ParseJobSpec(const std::string& text);
 
-// A job's unique id within the environment: workspace and key.
+// The job's id, which is unique within the environment: workspace and key.
 std::string JobId(const std::string& workspace, const std::string& key);
 
 }  // namespace turmericshift
