--- a/servers/config/environment.h
+++ b/servers/config/environment.h
@@ -86,8 +86,7 @@
   std::vector<std::string> ZonesOut() const;
 };
 
-// Throws Error(kInvalidInput) that lists every problem with file name, line and key. `name` is the
-// file name in the messages.
+// Throws Error(kInvalidInput) that lists every problem with the file's `name`, line and key.
 Environment ParseEnvironment(const std::string& name, const std::string& text);
 
 // Returns `text` with the `state` of `zone` set to "in" or "out" and everything else unchanged.
--- a/servers/config/guarantee_check.h
+++ b/servers/config/guarantee_check.h
@@ -1,5 +1,4 @@
-// Checks whether a document's guarantees can be met with all its zones in, and with any one zone
-// out.
+// Checks whether a document's guarantees can be met with all zones in, and with any one zone out.
 #pragma once
 
 #include <string>
@@ -13,17 +12,14 @@
   // Reasons why the document must not be published: not even all zones together can hold the
   // guarantees, or a guarantee exceeds its workspace's cap.
   std::vector<std::string> errors;
-  // Guarantees that can't be met while a zone is out. The document may be published, but operators
-  // should know them.
+  // Guarantees that can't be met while a zone is out. The document may be published nevertheless.
   std::vector<std::string> warnings;
 };
 
-// Depends on the document only. Each message includes the number of accelerators guaranteed and
-// present.
+// Depends on the document only. The messages name the accelerators guaranteed and present.
 GuaranteeReport CheckGuarantees(const Environment& environment);
 
-// Throws Error(kInvalidInput) if the report has errors, with a line for each that begins with
-// `name`.
+// Throws Error(kInvalidInput) if the report has errors; each line begins with `name`.
 void RequireGuarantees(const std::string& name, const GuaranteeReport& report);
 
 }  // namespace turmericshift
--- a/servers/entry/caller_api.cc
+++ b/servers/entry/caller_api.cc
@@ -25,8 +25,7 @@
 constexpr size_t kUuidVersionOffset = 14;
 constexpr size_t kRequestIdBytes = 8;
 constexpr size_t kMaxKeyBytes = 200;
-// Header of a job query that an entry forwards to the zone's planner; holds the forwarding entry's
-// name.
+// Header of a job query forwarded to the zone's planner; holds the forwarding entry's name.
 constexpr const char* kAskedByHeader = "X-Asked-By";
 constexpr Duration kAskPlannerTimeout = std::chrono::seconds(1);
 
@@ -197,8 +196,8 @@
                                 const std::string& key) {
   const std::optional<JobRecord> job = entry_->job_fold_.Find(JobId(workspace, key));
   if (!job) throw Error(ErrorKind::kNotFound, "no job '" + key + "' in this workspace");
-  const std::string asked = AskPlanner(request, *job);
-  if (!asked.empty()) return JsonResponse(asked);
+  const std::string planner_answer = AskPlanner(request, *job);
+  if (!planner_answer.empty()) return JsonResponse(planner_answer);
   std::string why = entry_->planners_->WaitReasonFor(*job);
   if (why.empty()) why = PlannerUnavailableReason(entry_->job_fold_.Planner(job->zone), job->zone);
   return JsonResponse(JobJson(*job, entry_->planners_->RunningAttempt(*job), why).dump());
@@ -206,10 +205,12 @@
 
 std::string CallerApi::AskPlanner(const HttpRequest& request, const JobRecord& job) {
   const PlannerEpoch planner = entry_->job_fold_.Planner(job.zone);
-  const bool here = planner.process.empty() || planner.process == entry_->options_.process;
-  // A query is forwarded only once, so that two entries with different views don't forward it to
-  // each other endlessly.
-  if (job.state != JobState::kWaiting || here || !request.header(kAskedByHeader).empty()) return "";
+  const bool no_other_planner =
+      planner.process.empty() || planner.process == entry_->options_.process;
+  // Forwarded only once, so that two entries with different views don't forward a query forever.
+  if (job.state != JobState::kWaiting || no_other_planner ||
+      !request.header(kAskedByHeader).empty())
+    return "";
   for (const MemberJoined& member : entry_->member_fold_.members()) {
     if (member.process != planner.process || member.caller_address.empty()) continue;
     HttpCall call;
--- a/servers/entry/config_api.cc
+++ b/servers/entry/config_api.cc
@@ -141,8 +141,8 @@
 void ConfigApi::RequireTrialProof(const HttpRequest& request, const std::string& digest) const {
   const EntryOptions& options = entry_->options_;
   if (options.trial.empty()) return;
-  // A rollback: this document was promoted before, and an urgent rollback must not depend on the
-  // trial environment.
+  // A rollback: the document was promoted before, and a rollback must not have to wait for the
+  // trial.
   for (const auto& version : entry_->config_fold_.history()) {
     if (version->digest == digest) return;
   }
@@ -226,16 +226,14 @@
     const Written written = entry_->config_stream_.Write(record, kRecordTimeout);
     if (!written.verdict.accepted) throw Error(ErrorKind::kConflict, written.verdict.reason);
   } catch (const Error& error) {
-    // A copy of this change that another entry sent may have been applied just before this entry
-    // wrote its own.
+    // A copy that another entry wrote may have been applied just before this entry's own.
     auto earlier = entry_->config_fold_.FindChange(RecordId(record));
     if (!earlier) throw;
     LogEvent(LogLevel::kInfo, "config_change_found",
              {{"change", earlier->change}, {"error", error.what()}});
     return earlier;
   }
-  // The change is missing only if so many changes were made meanwhile that it has left the history
-  // again.
+  // Missing only if so many changes followed that this change has left the history again.
   auto accepted = entry_->config_fold_.FindChange(RecordId(record));
   return accepted ? accepted : Current();
 }
--- a/servers/entry/config_api.h
+++ b/servers/entry/config_api.h
@@ -64,8 +64,7 @@
   // change made. Throws Error(kConflict) if the record is rejected.
   std::shared_ptr<const ConfigVersion> CommitChange(const Record& record);
   std::shared_ptr<const ConfigVersion> WriteChange(const Record& record);
-  // Waits until all processes have the version in force, for at most the request's wait_ms, and
-  // answers with the report.
+  // Waits until all processes have the version in force or wait_ms has passed, and answers.
   HttpResponse AnswerAccepted(const HttpRequest& request, const ConfigVersion& version,
                               int64_t default_wait_ms) const;
 
--- a/servers/entry/config_api_test.cc
+++ b/servers/entry/config_api_test.cc
@@ -30,7 +30,7 @@
 // An entry of an environment, with a connection of its own to the environment's log.
 struct TestEntry {
   TestEntry(LogService* log, const std::string& environment, const std::string& process)
-      : way(log) {
+      : log_link(log) {
     RegisterModules();
     EntryOptions options;
     options.process = process;
@@ -39,7 +39,7 @@
     options.promotion_key = kPromotionKey;
     if (environment == "production") options.trial = "trial";
     options.operator_token = kToken;
-    server = std::make_unique<EntryServer>(options, &way, &metrics);
+    server = std::make_unique<EntryServer>(options, &log_link, &metrics);
     server->AnnounceAddress(process + ":1");
   }
 
@@ -55,7 +55,7 @@
   }
 
   // Sends a heartbeat of an agent in zone a that has `version` in force.
-  void Beat(int64_t version) {
+  void SendHeartbeat(int64_t version) {
     const AgentHello hello{"worker-1", "i", "a", "r", "", {}};
     if (!port) port = server->OpenAgent(hello, nullptr);
     AgentBeat beat;
@@ -63,7 +63,7 @@
     port->Heartbeat(beat, {});
   }
 
-  FaultyLog way;
+  FaultyLog log_link;
   MetricsRegistry metrics;
   std::unique_ptr<EntryServer> server;
   std::shared_ptr<EntryPort> port;
@@ -101,13 +101,12 @@
   EXPECT_EQ(two.Call("GET", "/v1/config").json.at("author"), "kati");
 }
 
-// The log commits the operator's record but every answer is lost. The entry must find the record by
-// reading.
+// The log commits the operator's record, but every answer of the log is lost.
 TEST(ConfigApiTest, FindsZoneChangeInLogWhenAppendAnswerIsLost) {
   MemoryLog log;
   TestEntry entry(&log, "", "one");
   entry.Call("POST", "/v1/config?parent=0", Document());
-  entry.way.SetFaults({.append_answers_lost = true});
+  entry.log_link.SetFaults({.append_answers_lost = true});
   const Answer out = entry.Call("POST", "/v1/zones/a/out?author=kati&wait_ms=0");
   EXPECT_EQ(out.status, 201);
   EXPECT_EQ(out.json.at("version"), 2);
@@ -115,17 +114,16 @@
   EXPECT_EQ(entry.Call("POST", "/v1/zones/b/out").status, 404);
 }
 
-// The record is committed while no entry can read the log. The operator must not be told that
-// nothing happened.
+// The record is committed, but no entry can read it: the operator must not be told "not run".
 TEST(ConfigApiTest, ZoneChangeThatCannotBeReadBackIsUnknownAndTakesEffectLater) {
   MemoryLog log;
   TestEntry entry(&log, "", "one");
   entry.Call("POST", "/v1/config?parent=0", Document());
-  entry.way.SetFaults({.reads_fail = true});
+  entry.log_link.SetFaults({.reads_fail = true});
   const Answer out = entry.Call("POST", "/v1/zones/a/out");
   EXPECT_EQ(out.status, 503);
   EXPECT_EQ(out.json.at("outcome"), "unknown");
-  entry.way.SetFaults({});
+  entry.log_link.SetFaults({});
   const Answer again = entry.Call("POST", "/v1/zones/a/in?wait_ms=0");
   EXPECT_EQ(again.status, 201);
   EXPECT_EQ(again.json.at("version"), 3);
@@ -134,12 +132,12 @@
 TEST(ConfigApiTest, InForceReportNamesProcessesThatAreBehind) {
   MemoryLog log;
   TestEntry entry(&log, "", "one");
-  entry.Beat(0);
+  entry.SendHeartbeat(0);
   entry.Call("POST", "/v1/config?parent=0", Document());
   const nlohmann::json before = entry.Call("GET", "/v1/config/in-force?version=1").json;
   EXPECT_FALSE(before.at("complete").get<bool>());
   EXPECT_EQ(before.at("zones").at("a").at("behind"), nlohmann::json({"worker-1"}));
-  entry.Beat(1);
+  entry.SendHeartbeat(1);
   const nlohmann::json after = entry.Call("GET", "/v1/config/in-force?version=1").json;
   EXPECT_TRUE(after.at("complete").get<bool>());
   EXPECT_EQ(after.at("zones").at("a").at("entries_in_force"), 1);
@@ -202,15 +200,14 @@
   EXPECT_EQ(one.Call("POST", "/v1/config?parent=0&change=" + longest, Document()).status, 201);
 }
 
-// A hanging entry used to block every wait for "in force", although it can do nothing without
-// agents.
+// A hanging entry used to block every wait for "in force", although it can't act without agents.
 TEST(ConfigApiTest, InForceReportNamesEntryWithoutAgentsAsSilent) {
   MemoryLog log;
   TestEntry one(&log, "", "one");
   const TestEntry two(&log, "", "two");
-  one.Beat(0);
+  one.SendHeartbeat(0);
   ASSERT_EQ(one.Call("POST", "/v1/config?parent=0", Document()).status, 201);
-  one.Beat(1);
+  one.SendHeartbeat(1);
   const nlohmann::json report = one.Call("GET", "/v1/config/in-force?version=1").json;
   EXPECT_EQ(report.at("zones").at("a").at("silent"), nlohmann::json({"two"}));
   EXPECT_TRUE(report.at("zones").at("a").at("behind").empty());
@@ -218,8 +215,7 @@
   EXPECT_FALSE(report.at("complete").get<bool>());
 }
 
-// A document that the trial environment didn't have in force must not reach production, whatever
-// the operator's command sends.
+// A document that was not in force in trial must not reach production, even by mistake.
 TEST(ConfigApiTest, ProductionAcceptsOnlyDocumentsThatTrialHadInForce) {
   MemoryLog trial_log;
   MemoryLog production_log;
@@ -228,9 +224,9 @@
   const std::string publish = "/v1/config?parent=0";
   EXPECT_EQ(production.Call("POST", publish, Document()).status, 403);
   ASSERT_EQ(trial.Call("POST", publish, Document()).status, 201);
-  trial.Beat(0);
+  trial.SendHeartbeat(0);
   EXPECT_EQ(trial.Call("GET", "/v1/config/statement?version=1").status, 409);
-  trial.Beat(1);
+  trial.SendHeartbeat(1);
   const nlohmann::json statement = trial.Call("GET", "/v1/config/statement?version=1").json;
   const std::string promotion =
       "&trial_version=1&trial_proof=" + statement.at("proof").get<std::string>();
--- a/servers/entry/entry_server.cc
+++ b/servers/entry/entry_server.cc
@@ -19,12 +19,10 @@
 constexpr Duration kRecordTimeout = std::chrono::seconds(3);
 constexpr Duration kStepDownTimeout = std::chrono::seconds(5);
 constexpr Duration kUpkeepInterval = std::chrono::seconds(1);
-// An entry that no agent has heard from for this long is taken for gone. Long enough for a
-// partition to heal: an entry that comes back finds itself missing from the members and joins
-// again.
+// Entries that no agent has heard from for this long are removed from the members. Long enough for
+// a partition to heal; an entry that comes back finds itself missing and joins again.
 constexpr Duration kMemberTimeout = std::chrono::seconds(60);
-// Entries learn of each other through heartbeats. Peers seen within this time are passed on to
-// agents.
+// Entries learn of each other through heartbeats; peers seen within this time are passed on.
 constexpr Duration kMaxPeerAge = std::chrono::seconds(30);
 
 }  // namespace
@@ -152,8 +150,7 @@
   for (const PeerState& peer : peers_.RecentlySeen(now, kMemberTimeout)) {
     seen.insert(peer.entry.process);
   }
-  // Without agents this entry receives no reports about entries, so their absence says nothing
-  // about the others.
+  // Without agents this entry gets no reports about entries and can't tell which ones are silent.
   if (seen.count(options_.process) == 0) {
     silent_since_.clear();
     return;
@@ -219,8 +216,7 @@
   WaitForBalancer();
   caller_http_->StopAccepting();
   bool drained = caller_http_->Drain(limit);
-  // Steps down as active planner, so that the next planner need not wait until this entry times
-  // out.
+  // Steps down, so that the next planner need not wait until this entry times out.
   planners_->Leave(kStepDownTimeout);
   try {
     member_stream_.Write(MemberLeft{NewRecordId(), options_.process, incarnation_}, kRecordTimeout);
@@ -266,8 +262,8 @@
   }
   std::vector<EntryMember> members = KnownEntries(now);
   for (const EntryMember& member : members) {
-    // Recorded members precede the peers that agents report, so the first match is the planner's
-    // recorded address.
+    // Recorded members come before peers that agents report, so the first match is the recorded
+    // one.
     const bool first = answer.planner_address.empty();
     if (first && member.process == epoch.process) answer.planner_address = member.address;
   }
@@ -280,10 +276,9 @@
   for (const MemberJoined& member : member_fold_.members()) {
     result.push_back({member.process, member.zone, member.address});
   }
-  // While the log is down, agents know of entries that could not record themselves as members.
-  // Entries that agents report are added to the recorded ones but never replace them: agents have
-  // reported a replaced entry at its old address until just now, and would keep trying that address
-  // and never find its successor.
+  // While the log is down, agents know of entries that could not join. Reported entries are added
+  // to the recorded ones and never replace them: agents still report a replaced entry at its old
+  // address, and would keep trying that address and never find its successor.
   for (const PeerState& peer : peers_.RecentlySeen(now, kMaxPeerAge)) {
     const EntryMember& entry = peer.entry;
     const bool listed = std::any_of(result.begin(), result.end(), [&](const EntryMember& member) {
--- a/servers/entry/entry_server.h
+++ b/servers/entry/entry_server.h
@@ -30,8 +30,7 @@
 struct EntryOptions {
   std::string process;
   std::string zone;
-  // Name of the environment that the log belongs to, such as "trial". Empty accepts any
-  // environment.
+  // Name of the environment that the log belongs to, such as "trial"; empty accepts any.
   std::string environment;
   // Key that signs this environment's statements and verifies those of `trial`.
   std::string promotion_key;
@@ -66,8 +65,7 @@
   std::shared_ptr<EntryPort> OpenAgent(const AgentHello& hello,
                                        std::shared_ptr<AgentPort> agent) override;
 
-  // Sets the address at which agents reach this entry. It is published to other entries and to
-  // agents.
+  // Sets the address at which agents reach this entry, and publishes it to entries and agents.
   void AnnounceAddress(const std::string& address);
 
   int caller_port() const { return caller_http_->port(); }
--- a/servers/entry/in_force.h
+++ b/servers/entry/in_force.h
@@ -14,8 +14,7 @@
 struct ZoneInForce {
   int agents = 0;
   int entries = 0;
-  // Names of agents and entries that have an older version in force, and of agents without a recent
-  // heartbeat.
+  // Names of processes that have an older version in force, and of agents without recent heartbeat.
   std::vector<std::string> behind;
   // Names of entries that no agent has heard from recently. They can do no harm with an older
   // version: entries act only through agents, and read the log before they serve again.
--- a/servers/entry/operator_api.cc
+++ b/servers/entry/operator_api.cc
@@ -38,8 +38,7 @@
   nlohmann::json streams = nlohmann::json::object();
   for (const StreamClient* stream : {&entry_->config_stream_, &entry_->request_stream_,
                                      &entry_->job_stream_, &entry_->member_stream_}) {
-    // At equal offsets, all entries must show equal digests; otherwise their replicated states
-    // differ.
+    // Different digests at equal offsets mean that the replicated states of two entries differ.
     const SnapshotState state = stream->TakeSnapshot();
     streams[stream->name()] = {{"next", state.covers}, {"digest", Digest(state.bytes)}};
   }
--- a/servers/entry/peer_view.cc
+++ b/servers/entry/peer_view.cc
@@ -5,8 +5,8 @@
 namespace turmericshift {
 namespace {
 
-// Far more entries than any environment has. The limit keeps a faulty agent from filling this
-// process's memory.
+// More entries than any environment has; keeps a faulty agent from exhausting this process's
+// memory.
 constexpr size_t kMaxPeers = 256;
 
 }  // namespace
--- a/servers/entry/peer_view_test.cc
+++ b/servers/entry/peer_view_test.cc
@@ -7,8 +7,8 @@
 
 using std::chrono::seconds;
 
-AgentBeat BeatAbout(const std::string& process, const std::string& address, Duration age,
-                    int64_t version) {
+AgentBeat HeartbeatAbout(const std::string& process, const std::string& address, Duration age,
+                         int64_t version) {
   AgentBeat beat;
   beat.config_version = version;
   beat.heard.push_back({{process, "a", address}, version, age});
@@ -20,8 +20,8 @@
 TEST(PeerViewTest, KeepsNewestReportOfAnEntry) {
   PeerView peers;
   const Time now = Time{} + std::chrono::hours(1);
-  peers.RecordHeartbeat(BeatAbout("entry-1", "10.0.0.2:1", seconds(1), 3), now);
-  peers.RecordHeartbeat(BeatAbout("entry-1", "10.0.0.1:1", seconds(20), 2), now);
+  peers.RecordHeartbeat(HeartbeatAbout("entry-1", "10.0.0.2:1", seconds(1), 3), now);
+  peers.RecordHeartbeat(HeartbeatAbout("entry-1", "10.0.0.1:1", seconds(20), 2), now);
   const std::vector<PeerState> recent = peers.RecentlySeen(now, seconds(5));
   ASSERT_EQ(recent.size(), 1U);
   EXPECT_EQ(recent[0].entry.address, "10.0.0.2:1");
@@ -36,7 +36,8 @@
   const Time now = Time{} + std::chrono::hours(1);
   constexpr int kMany = 1000;
   for (int index = 0; index < kMany; ++index) {
-    peers.RecordHeartbeat(BeatAbout("entry-" + std::to_string(index), "10.0.0.1:1", {}, 1), now);
+    peers.RecordHeartbeat(HeartbeatAbout("entry-" + std::to_string(index), "10.0.0.1:1", {}, 1),
+                          now);
   }
   EXPECT_LE(peers.RecentlySeen(now, seconds(5)).size(), 256U);
 }
--- a/servers/jobs/job.h
+++ b/servers/jobs/job.h
@@ -29,8 +29,7 @@
 };
 
 struct JobSpec {
-  // Chosen by the caller and unique in the workspace. Submitting a key again returns the existing
-  // job.
+  // Chosen by the caller, unique in the workspace. Submitting a key again returns the existing job.
   std::string key;
   std::string workspace;
   int tasks = 1;
@@ -58,8 +57,7 @@
 void to_json(nlohmann::json& json, const JobSpec& spec);       // NOLINT: the library's name
 void from_json(const nlohmann::json& json, JobSpec& spec);     // NOLINT: the library's name
 
-// Parses a job file (JSON). Throws Error(kInvalidInput) that names the invalid field and the
-// reason.
+// Parses a job file (JSON). Throws Error(kInvalidInput) with the invalid field and the reason.
 JobSpec ParseJobSpec(const std::string& text);
 
 // The job's id, which is unique within the environment: workspace and key.
--- a/servers/requests/idempotent_router.cc
+++ b/servers/requests/idempotent_router.cc
@@ -13,9 +13,8 @@
 namespace {
 
 constexpr Duration kClaimTimeout = std::chrono::seconds(3);
-// Claims that other entries made recently may be missing from an older view. A claim could still be
-// written and be rejected if it lost, but refusing early tells the caller sooner that the log is
-// down.
+// An older view may miss claims of other entries. A claim would still be rejected if it lost
+// against them, but refusing early tells the caller sooner that the log is down.
 constexpr Duration kMaxViewAge = std::chrono::seconds(10);
 constexpr Duration kRecordOutcomeTimeout = std::chrono::seconds(60);
 // A follower waits this long before it asks the agent about a claim, so that the claim's owner can
@@ -23,12 +22,10 @@
 constexpr Duration kForwardGracePeriod = std::chrono::milliseconds(100);
 constexpr Duration kGracePollInterval = std::chrono::milliseconds(5);
 constexpr int kMaxRounds = 16;
-// Larger answers are not recorded with the outcome; a repeated request is then told that it has
-// run, without the answer.
+// Larger answers are not recorded; a repeated request is then told only that it has run.
 constexpr size_t kMaxRecordedBody = size_t{16} * 1024;
 
-// Digest of the path, content type and body, which detects a key that is reused for a different
-// request.
+// Digest of the path, content type and body, to detect a key that is reused for another request.
 std::string RequestFingerprint(const ServiceRequest& request) {
   return Digest(request.path + "\n" + request.content_type + "\n" + request.body_digest);
 }
@@ -149,9 +146,8 @@
     written = requests_->Write(claim, std::min<Duration>(kClaimTimeout, left));
   } catch (const Error& error) {
     // Only the writer of a claim forwards the request, and this writer gives up here, so the
-    // request does not run even if the claim is committed later. A follower that finds such a claim
-    // asks the agent, which has not seen the attempt and then never runs it, so the key stays
-    // usable.
+    // request does not run even if the claim is committed later. A follower that finds the claim
+    // asks the agent, which then refuses the attempt for good, so the key stays usable.
     throw Error(error.kind(), Outcome::kNotRun, error.what());
   }
   if (!written.verdict.accepted) return std::nullopt;
@@ -164,8 +160,7 @@
     RecordOutcome(claim, answer);
     return answer;
   } catch (const Error& error) {
-    // A follower's question may have made the agent refuse this attempt; the follower may now be
-    // running the next one.
+    // A follower may have had the agent refuse this attempt, and may be running the next one.
     if (error.kind() == ErrorKind::kFenced) return std::nullopt;
     if (error.outcome() != Outcome::kNotRun) throw;
     const auto state = fold_->Find(request.workspace, request.idempotency_key);
@@ -198,8 +193,7 @@
   ended.status = answer.status;
   ended.body_digest = answer.body_digest;
   if (answer.body.size() <= kMaxRecordedBody) ended.body = answer.body;
-  // The caller does not wait for this record: until it is durable, a repeated request asks the
-  // agent for the outcome.
+  // The caller does not wait: until the record is durable, a repeated request asks the agent.
   if (requests_->Post(ended, kRecordOutcomeTimeout)) return;
   LogEvent(LogLevel::kWarning, "outcome_not_recorded", {{"key", claim.key}});
 }
--- a/servers/requests/idempotent_router.h
+++ b/servers/requests/idempotent_router.h
@@ -21,25 +21,22 @@
                    const RequestFold* fold, MetricsRegistry* metrics);
 
   // Throws Error; its outcome says what is known about this request, over all attempts.
-  // `key_first_used_ms` is when the caller first used the key (milliseconds since 1970), 0 if the
-  // caller did not say.
+  // `key_first_used_ms` is when the caller first used the key (ms since 1970), 0 if not given.
   ServiceAnswer Route(const ServiceRequest& request, int64_t key_first_used_ms, Time deadline);
 
  private:
-  // Resolves the outcome of the attempt that owns the key. Returns its answer, or nullopt if that
-  // attempt never ran and never will, so that the next attempt may be claimed. Throws Error
-  // otherwise.
+  // Resolves the attempt that owns the key. Returns its answer, or nullopt if that attempt never
+  // ran and never will, so that the next attempt may be claimed; otherwise throws Error.
   std::optional<ServiceAnswer> FollowClaim(const ServiceRequest& request, const RequestState& state,
                                            Time deadline);
   // Claims `attempt` for a target and delivers the request to that target. Returns nullopt when
   // another claim came first, or when the attempt did not run and may be retried.
   std::optional<ServiceAnswer> ClaimAndDeliver(const ServiceRequest& request, int attempt,
                                                Time deadline);
-  // Throws Error(kLogUnavailable) while this entry's view of the log is too old to include recent
-  // claims of other entries.
+  // Throws Error(kLogUnavailable) while this entry's view of the log may miss claims of other
+  // entries.
   void RequireFreshView(Time now) const;
-  // Throws Error(kKeyExpired) when the key was first used so long ago that its state may have been
-  // dropped.
+  // Throws Error(kKeyExpired) when the key is so old that its state may have been dropped.
   void RequireKeyRetained(int64_t key_first_used_ms) const;
   // The state of the key; nullopt if the key was never claimed. Waits for the outcome of a claimed
   // key for up to the grace period for forwarding.
--- a/servers/requests/outlier_detector.cc
+++ b/servers/requests/outlier_detector.cc
@@ -99,8 +99,7 @@
     known.push_back(found->second.latency_seconds);
   }
   if (known.empty()) return 0;
-  // For an even count the lower middle is used: of two targets, the slow one must not be compared
-  // with itself.
+  // With two targets, takes the lower latency: a slow target must not be compared with itself.
   const auto middle = known.begin() + static_cast<std::ptrdiff_t>((known.size() - 1) / 2);
   std::nth_element(known.begin(), middle, known.end());
   return *middle;
--- a/servers/requests/outlier_detector.h
+++ b/servers/requests/outlier_detector.h
@@ -1,7 +1,6 @@
 // Outlier ejection: targets that fail or are far slower than the others get no requests except
 // occasional probes. Otherwise a target that fails every request immediately would look idle and
-// attract load. The number of ejected targets is limited, so that a fault of this entry, or of all
-// targets, can't empty the list.
+// attract load. A limit keeps a fault of this entry, or of all targets, from emptying the list.
 #pragma once
 
 #include <map>
@@ -19,8 +18,7 @@
   bool enabled = true;
   // Ejects a target after this many consecutive failures.
   int failures = 3;
-  // Ejects a target whose average latency exceeds the median by this factor, after `min_samples`
-  // answers.
+  // Ejects a target that exceeds the median latency by this factor, after `min_samples` answers.
   double slow_factor = 4;
   int min_samples = 8;
   // A lower average latency never counts as slow.
@@ -36,11 +34,10 @@
 
   // Records the result of one call to the target of `agent`.
   void Observe(const std::string& agent, Duration latency, bool success, Time now);
-  // Ejects targets that have become slow. Returns `candidates` without the ejected ones, which is
-  // empty only if `candidates` is.
+  // Ejects slow targets. Returns the candidates that are not ejected: at least one, if any is
+  // given.
   std::vector<TargetCandidate> Filter(const std::vector<TargetCandidate>& candidates, Time now);
-  // Index of an ejected target that is due for a probe, if any; the caller sends it the current
-  // request.
+  // Index of an ejected target that is due for a probe; the caller sends it the current request.
   std::optional<size_t> Probe(const std::vector<TargetCandidate>& candidates, Time now);
   // Median of the targets' moving average latencies, zero while too few answers are known.
   Duration TypicalLatency(const std::vector<TargetCandidate>& candidates) const;
--- a/servers/requests/outlier_detector_test.cc
+++ b/servers/requests/outlier_detector_test.cc
@@ -50,8 +50,7 @@
   EXPECT_EQ(detector.Filter(Targets(4), now).size(), 4U);
 }
 
-// A fault in the entry's own network makes every target look faulty. The limit keeps most of them
-// in use.
+// A fault in the entry's own network makes every target look faulty; most must stay in use.
 TEST(OutlierDetectorTest, EjectsAtMostOneThird) {
   OutlierDetector detector;
   const Time now = Time{} + std::chrono::hours(1);
--- a/servers/requests/retry_budget.h
+++ b/servers/requests/retry_budget.h
@@ -20,8 +20,7 @@
 
   // Credits one first attempt.
   void Earn();
-  // Spends one token. Returns false if less than one token is left; the caller then gets the error
-  // instead of a retry.
+  // Spends one token. Returns false, and no retry may be sent, if less than one token is left.
   bool Spend();
 
  private:
--- a/servers/requests/target_sender.h
+++ b/servers/requests/target_sender.h
@@ -24,8 +24,7 @@
   // After this long without a heartbeat, an agent's connection is dropped and its calls in flight
   // fail. Their outcomes are then asked for over the agent's next connection.
   Duration dead = std::chrono::seconds(5);
-  // How long the sender keeps asking an unreachable agent about an attempt before it reports the
-  // outcome as unknown.
+  // How long an unreachable agent is asked about an attempt before the outcome is called unknown.
   Duration unreachable_timeout = std::chrono::seconds(5);
   OutlierOptions outliers;
 };
@@ -39,31 +38,27 @@
   TargetSender(const TargetSender&) = delete;
   TargetSender& operator=(const TargetSender&) = delete;
 
-  // Chooses a target of `service`, preferably one that is not in `avoid`. With `may_probe`, an
-  // ejected target that is due for a probe is chosen first. Throws Error(kUnavailable) when the
-  // service has no target.
+  // Chooses a target of `service`, preferably one not in `avoid`. With `may_probe`, an ejected
+  // target that is due for a probe comes first. Throws Error(kUnavailable) without any target.
   AgentState Choose(const std::string& service, const std::set<std::string>& avoid, bool may_probe);
 
   // Sends `request` to `agent` and returns its complete answer. Throws Error; its outcome is
   // not_run only if the agent has refused the attempt and will never run it.
   ServiceAnswer Deliver(const AgentState& agent, const ServiceRequest& request, Time deadline);
 
-  // Asks `agent` for the outcome of an attempt that was sent at `sent` to the agent's incarnation
-  // in `question`. Returns the attempt's answer, waiting until `deadline` while the attempt runs.
-  // Throws Error as Deliver does.
+  // Asks `agent` for the outcome of an attempt that was sent at `sent`. Returns its answer, waiting
+  // until `deadline` while the attempt runs. Throws Error as Deliver does.
   ServiceAnswer ResolveOutcome(const std::string& agent, const SeenQuestion& question, Time sent,
                                Time deadline);
 
-  // How long a refused caller of `service` should wait before the next try, estimated from the load
-  // of the service's targets.
+  // How long a refused caller of `service` should wait, estimated from the load of its targets.
   Duration RetryAfter(const std::string& service) const;
 
  private:
   // Asks the agent once; nullopt when the agent could not be reached.
   std::optional<SeenAnswer> QueryAgent(const AgentState& agent, SeenQuestion question, Time sent,
                                        Time now, Time deadline) const;
-  // Reports the result of a call to the outlier detector and the routing policy. `error` is null
-  // for an answer with `status`.
+  // Passes a call's result to the outlier detector and the policy. `error` is null for an answer.
   void RecordResult(const std::string& agent, Duration latency, const Error* error, int status,
                     Time now);
   // Thread that disconnects silent agents.
