--- a/servers/entry/agent_directory.h
+++ b/servers/entry/agent_directory.h
@@ -31,7 +31,7 @@
   // Registers a session. It replaces an earlier session of the same process, whose calls in flight
   // fail immediately: an agent opens a second connection when it takes the first one for dead.
   void Open(const AgentHello& hello, std::shared_ptr<AgentPort> port, Time now);
-  // Ignored unless it comes from the agent's registered incarnation.
+  // Stores a heartbeat. Ignored unless it comes from the agent's registered incarnation.
   void RecordHeartbeat(const AgentHello& hello, const AgentBeat& beat, Time now);
   // Stores the load that an answer of the agent reported.
   void RecordLoad(const std::string& agent, const TargetLoad& load);
--- a/servers/entry/entry_server.cc
+++ b/servers/entry/entry_server.cc
@@ -19,8 +19,8 @@
 constexpr Duration kRecordTimeout = std::chrono::seconds(3);
 constexpr Duration kStepDownTimeout = std::chrono::seconds(5);
 constexpr Duration kUpkeepInterval = std::chrono::seconds(1);
-// Entries that no agent has heard from for this long are removed from the members. Long enough for
-// a partition to heal; an entry that comes back finds itself missing and joins again.
+// Entries that no agent has heard from for this long are removed from the members. The time lets a
+// partition heal; an entry that comes back finds itself missing and joins again.
 constexpr Duration kMemberTimeout = std::chrono::seconds(60);
 // Entries learn of each other through heartbeats; peers seen within this time are passed on.
 constexpr Duration kMaxPeerAge = std::chrono::seconds(30);
@@ -34,7 +34,7 @@
 
   EntryBeat Heartbeat(const AgentBeat& beat, Duration /*timeout*/) override {
     const Time now = DefaultClock().Now();
-    entry_->directory_.Heard(hello_, beat, now);
+    entry_->directory_.RecordHeartbeat(hello_, beat, now);
     entry_->peers_.RecordHeartbeat(beat, now);
     return entry_->MakeBeat(hello_, beat);
   }
@@ -262,8 +262,7 @@
   }
   std::vector<EntryMember> members = KnownEntries(now);
   for (const EntryMember& member : members) {
-    // Recorded members come before peers that agents report, so the first match is the recorded
-    // one.
+    // Recorded members come before reported peers, so the first match is the recorded address.
     const bool first = answer.planner_address.empty();
     if (first && member.process == epoch.process) answer.planner_address = member.address;
   }
--- a/servers/entry/in_force.h
+++ b/servers/entry/in_force.h
@@ -12,9 +12,10 @@
 namespace turmericshift {
 
 struct ZoneInForce {
+  // Number of agents and of entries that have the version in force.
   int agents = 0;
   int entries = 0;
-  // Names of processes that have an older version in force, and of agents without recent heartbeat.
+  // Names of processes that have an older version, and of agents without a recent heartbeat.
   std::vector<std::string> behind;
   // Names of entries that no agent has heard from recently. They can do no harm with an older
   // version: entries act only through agents, and read the log before they serve again.
@@ -30,7 +31,7 @@
   std::string ToJson() const;
 };
 
-// Older heartbeats of agents and reports about entries don't count as recent.
+// Heartbeats of agents, and reports about entries, are recent up to this age.
 inline constexpr Duration kInForceMaxReportAge = std::chrono::seconds(5);
 
 InForceReport ReportInForce(int64_t version, const std::vector<AgentState>& agents,
--- a/servers/entry/peer_view.h
+++ b/servers/entry/peer_view.h
@@ -22,7 +22,7 @@
 
 class PeerView {
  public:
-  // Takes the entries that an agent's heartbeat, received at `now`, reports.
+  // Stores the reports about entries in an agent's heartbeat that arrived at `now`.
   void RecordHeartbeat(const AgentBeat& beat, Time now);
 
   // Entries that some agent heard from within the last `max_age`, sorted by process name.
--- a/servers/requests/idempotent_router.h
+++ b/servers/requests/idempotent_router.h
@@ -33,8 +33,7 @@
   // another claim came first, or when the attempt did not run and may be retried.
   std::optional<ServiceAnswer> ClaimAndDeliver(const ServiceRequest& request, int attempt,
                                                Time deadline);
-  // Throws Error(kLogUnavailable) while this entry's view of the log may miss claims of other
-  // entries.
+  // Throws Error(kLogUnavailable) while the view of the log is too old to show all recent claims.
   void RequireFreshView(Time now) const;
   // Throws Error(kKeyExpired) when the key is so old that its state may have been dropped.
   void RequireKeyRetained(int64_t key_first_used_ms) const;
--- a/servers/requests/outlier_detector.h
+++ b/servers/requests/outlier_detector.h
@@ -34,8 +34,7 @@
 
   // Records the result of one call to the target of `agent`.
   void Observe(const std::string& agent, Duration latency, bool success, Time now);
-  // Ejects slow targets. Returns the candidates that are not ejected: at least one, if any is
-  // given.
+  // Ejects slow targets. Returns the candidates that may be used: none only if none are given.
   std::vector<TargetCandidate> Filter(const std::vector<TargetCandidate>& candidates, Time now);
   // Index of an ejected target that is due for a probe; the caller sends it the current request.
   std::optional<size_t> Probe(const std::vector<TargetCandidate>& candidates, Time now);
@@ -51,7 +50,7 @@
     Time probe_at{};
     Duration ejection_time{};
   };
-  // A third of the candidates, rounded up; none of a single candidate.
+  // Maximum number of ejected targets: a third, rounded up, or 0 for a single candidate.
   static int MaxEjected(size_t candidates);
   double MedianLatency(const std::vector<TargetCandidate>& candidates) const;
   bool IsSlow(const TargetHealth& health, double median) const;
