--- a/servers/entry/request_router.h
+++ b/servers/entry/request_router.h
@@ -21,7 +21,7 @@
 
 class RequestRouter {
  public:
-  // `config` may be null; no service is then repeatable. The other pointers outlive the router.
+  // `config` may be null: no service is then repeatable. Other pointers must outlive the router.
   RequestRouter(const RouterOptions& options, std::unique_ptr<RoutingPolicy> policy,
                 AgentDirectory* directory, StreamClient* requests, const RequestFold* fold,
                 const ConfigFold* config, MetricsRegistry* metrics);
