--- a/servers/requests/idempotent_router.cc
+++ b/servers/requests/idempotent_router.cc
@@ -89,8 +89,9 @@
     if (auto answer = ClaimAndDeliver(request, attempt, deadline)) return std::move(*answer);
   }
   // In every round the attempt was proven never to run, or another request claimed the key first.
-  throw Error(ErrorKind::kUnavailable, Outcome::kUnknown,
-              "other requests with this idempotency key claimed every attempt first");
+  throw Error(
+      ErrorKind::kUnavailable, Outcome::kUnknown,
+      "no attempt for this idempotency key could run; other requests may be claiming the key");
 }
 
 std::optional<RequestState> IdempotentRouter::FindAfterGracePeriod(const ServiceRequest& request,
