--- a/servers/entry/caller_api.cc
+++ b/servers/entry/caller_api.cc
@@ -106,8 +106,7 @@
   service_request.workspace = workspace;
   const Time begun = DefaultClock().Now();
   try {
-    if (request.method != "POST")
-      throw Error(ErrorKind::kInvalidInput, "services accept only POST requests");
+    if (request.method != "POST") throw Error(ErrorKind::kInvalidInput, "expected POST");
     const std::string rest = request.path.substr(std::string(kServicesPrefix).size());
     const size_t slash = rest.find('/');
     service_request.service = rest.substr(0, slash);
@@ -205,12 +204,9 @@
 
 std::string CallerApi::AskPlanner(const HttpRequest& request, const JobRecord& job) {
   const PlannerEpoch planner = entry_->job_fold_.Planner(job.zone);
-  const bool no_other_planner =
-      planner.process.empty() || planner.process == entry_->options_.process;
+  const bool self = planner.process.empty() || planner.process == entry_->options_.process;
   // Forwarded only once, so that two entries with different views don't forward a query forever.
-  if (job.state != JobState::kWaiting || no_other_planner ||
-      !request.header(kAskedByHeader).empty())
-    return "";
+  if (job.state != JobState::kWaiting || self || !request.header(kAskedByHeader).empty()) return "";
   for (const MemberJoined& member : entry_->member_fold_.members()) {
     if (member.process != planner.process || member.caller_address.empty()) continue;
     HttpCall call;
--- a/servers/entry/config_api.cc
+++ b/servers/entry/config_api.cc
@@ -40,8 +40,7 @@
 
 int64_t RequiredNumber(const HttpRequest& request, const std::string& name) {
   const std::string text = request.argument(name);
-  if (text.empty())
-    throw Error(ErrorKind::kInvalidInput, "missing version number, expected ?" + name + "=N");
+  if (text.empty()) throw Error(ErrorKind::kInvalidInput, "expected a number: ?" + name + "=N");
   return ParseInteger(text, 0, INT64_MAX);
 }
 
