--- a/servers/planner/cells.cc
+++ b/servers/planner/cells.cc
@@ -6,7 +6,7 @@
 namespace turmericshift {
 namespace {
 
-constexpr int kSmallestSplit = 4;
+constexpr int kMinAcceleratorsToSplit = 4;
 constexpr std::array<CellLevel, kCellLevelCount> kLevels = {CellLevel::kAccelerator,
                                                             CellLevel::kPair, CellLevel::kHalf,
                                                             CellLevel::kWorker, CellLevel::kRack};
@@ -29,12 +29,12 @@
 CellSizes::CellSizes(const TaskShape& worker, int workers_per_rack)
     : worker_(worker), workers_per_rack_(std::max(1, workers_per_rack)) {
   const int accelerators = worker.accelerators;
-  splits_ =
-      accelerators >= kSmallestSplit && std::has_single_bit(static_cast<unsigned>(accelerators));
+  splits_ = accelerators >= kMinAcceleratorsToSplit &&
+            std::has_single_bit(static_cast<unsigned>(accelerators));
   for (const CellLevel level : kLevels) {
     std::vector<uint32_t>& blocks = blocks_[static_cast<size_t>(level)];
     if (level >= CellLevel::kWorker || !splits_) {
-      // A worker without accelerators still needs a mark for "held".
+      // A worker without accelerators still needs one bit to be marked as held.
       blocks = {FirstAccelerators(std::max(1, accelerators))};
       continue;
     }
--- a/servers/planner/cells.h
+++ b/servers/planner/cells.h
@@ -1,6 +1,6 @@
-// Arithmetic of guaranteed cells: sizes on one zone's workers, and whether cells of several levels
-// can be carved out of a supply. Cells nest as in a buddy allocator: two accelerators make a pair,
-// two pairs a half, two halves a worker, some workers a rack.
+// Arithmetic of guaranteed cells: the sizes of cells on the workers of one zone, and how many cells
+// of each level a set of cells uses up. Cells nest as in a buddy allocator: two accelerators make a
+// pair, two pairs a half, two halves a worker, and a fixed number of workers a rack.
 #pragma once
 
 #include <array>
@@ -12,7 +12,7 @@
 
 namespace turmericshift {
 
-// A number for each cell level. As a supply: how many cells of that level could be carved out.
+// A count for each cell level. As a supply: how many cells of each level could be carved out.
 using CellCounts = std::array<int64_t, kCellLevelCount>;
 
 class CellSizes {
@@ -22,22 +22,26 @@
 
   const TaskShape& worker() const { return worker_; }
   int workers_per_rack() const { return workers_per_rack_; }
-  // Only workers with a power of two of at least four accelerators split into smaller cells; on
-  // others each smaller cell is given a whole worker.
+  // True if workers split into cells smaller than a worker, which requires a power of two of at
+  // least four accelerators. On other workers each smaller cell takes a whole worker.
   bool splits() const { return splits_; }
-  // The level at which a cell of `level` is carved here.
+  // The level at which a cell of `level` is allocated on these workers: kWorker or above if workers
+  // don't split into smaller cells.
   CellLevel Normalize(CellLevel level) const;
-  // Accelerators of one cell; of a rack, in all its workers.
+  // Accelerators of one cell of `level`. For kRack, the accelerators of all workers of the rack.
   int Accelerators(CellLevel level) const;
-  // A cell's own part of its worker's processors, memory and accelerators.
+  // The share of a worker's processors, memory and accelerators that belongs to one cell of
+  // `level`. For kRack, the total of all its workers.
   TaskShape Shape(CellLevel level) const;
-  // The smallest level, up to a worker, whose shape holds `shape`; none if a worker does not.
+  // The smallest level, at most kWorker, whose cells hold `shape`; none if even a whole worker is
+  // too small.
   std::optional<CellLevel> LevelFor(const TaskShape& shape) const;
-  // Cells of each level that `cells` use up or yield, counted at that level.
+  // How many cells of each level `cells` could be split into, counted separately for each level.
   CellCounts Cumulative(const std::vector<CellCount>& cells) const;
-  // Cells of `inner` within one of `outer`.
+  // The number of `inner` cells in one `outer` cell; 0 if `inner` is the larger level.
   int64_t Ratio(CellLevel outer, CellLevel inner) const;
-  // Aligned masks of the blocks of `level` on one worker; kRack counts as the worker.
+  // Accelerator masks of the aligned blocks of `level` on one worker. For kRack, one block that
+  // covers the worker.
   const std::vector<uint32_t>& Blocks(CellLevel level) const;
 
  private:
@@ -47,9 +51,9 @@
   std::array<std::vector<uint32_t>, kCellLevelCount> blocks_;
 };
 
-// Whether `shape` fits in `room`.
+// True if `shape` fits in `room`.
 bool FitsIn(const TaskShape& shape, const TaskShape& room);
-// `count` tasks of `shape` taken together.
+// The total resources of `count` tasks of `shape`.
 TaskShape MultiplyShape(const TaskShape& shape, int count);
 // The mask of accelerators 0 to count - 1.
 uint32_t FirstAccelerators(int count);
--- a/servers/planner/claim_rule.cc
+++ b/servers/planner/claim_rule.cc
@@ -5,57 +5,58 @@
 namespace turmericshift {
 namespace {
 
-// An agent that this entry has not heard for this long has no say.
-constexpr Duration kAgentFresh = std::chrono::seconds(3);
-// An entry of another zone lets the zone's own go first, and takes its turn among its like by name,
-// so that they do not all claim at once and share the zones out.
-constexpr Duration kOtherZonePatience = std::chrono::milliseconds(500);
-constexpr Duration kNamePatience = std::chrono::milliseconds(1000);
-constexpr size_t kNameSteps = 20;
-
-Duration PatienceOf(const std::string& process, const std::string& own_zone,
+// Agents that have not reported to this entry for this long are ignored.
+constexpr Duration kMaxAgentAge = std::chrono::seconds(3);
+// Entries of other zones let the zone's own entries claim first. Their delays are then spread by
+// name, so that they don't all claim at the same time and each take a few of the zones.
+constexpr Duration kOtherZoneClaimDelay = std::chrono::milliseconds(500);
+constexpr Duration kMaxClaimStagger = std::chrono::milliseconds(1000);
+constexpr size_t kClaimStaggerSteps = 20;
+
+Duration ClaimDelay(const std::string& process, const std::string& own_zone,
                     const std::string& zone) {
   if (own_zone == zone) return Duration::zero();
-  const size_t step = std::hash<std::string>()(process + "/" + zone) % kNameSteps;
-  return kOtherZonePatience + kNamePatience * static_cast<int>(step) / static_cast<int>(kNameSteps);
+  const size_t step = std::hash<std::string>()(process + "/" + zone) % kClaimStaggerSteps;
+  return kOtherZoneClaimDelay +
+         kMaxClaimStagger * static_cast<int>(step) / static_cast<int>(kClaimStaggerSteps);
 }
 
 }  // namespace
 
 ClaimRule::ClaimRule(const std::string& process, const std::string& own_zone,
                      const std::string& zone)
-    : process_(process), patience_(PatienceOf(process, own_zone, zone)) {}
+    : process_(process), claim_delay_(ClaimDelay(process, own_zone, zone)) {}
 
-bool ClaimRule::ShouldClaim(const PlannerEpoch& holder, const std::vector<AgentState>& agents,
+bool ClaimRule::ShouldClaim(const PlannerEpoch& leader, const std::vector<AgentState>& agents,
                             Time now) {
-  const bool changed = holder.process != holder_.process || holder.epoch != holder_.epoch;
-  if (changed || holder_since_ == Time()) {
-    holder_ = holder;
-    holder_since_ = now;
+  const bool changed = leader.process != leader_.process || leader.epoch != leader_.epoch;
+  if (changed || leader_since_ == Time()) {
+    leader_ = leader;
+    leader_since_ = now;
   }
-  // An earlier start of this entry, which can't be at work any more.
-  if (holder.process == process_) return true;
-  if (!holder.process.empty() && !HolderIsSilent(agents, now)) {
-    vacant_since_.reset();
+  // The leader is an earlier incarnation of this entry, which can't be active any more.
+  if (leader.process == process_) return true;
+  if (!leader.process.empty() && !LeaderIsSilent(agents, now)) {
+    claimable_since_.reset();
     return false;
   }
-  if (!vacant_since_) vacant_since_ = now;
-  return now - *vacant_since_ >= patience_;
+  if (!claimable_since_) claimable_since_ = now;
+  return now - *claimable_since_ >= claim_delay_;
 }
 
-bool ClaimRule::HolderIsSilent(const std::vector<AgentState>& agents, Time now) const {
-  // A holder that has just claimed has not been heard by any agent yet.
-  if (now - holder_since_ < kPlannerSilence) return false;
-  size_t heard = 0;
+bool ClaimRule::LeaderIsSilent(const std::vector<AgentState>& agents, Time now) const {
+  // Agents have not yet received heartbeats from a planner that has only just claimed.
+  if (now - leader_since_ < kPlannerTimeout) return false;
+  size_t reporting = 0;
   size_t silent = 0;
   for (const AgentState& agent : agents) {
     const Duration age = now - agent.heard;
-    if (agent.hello.worker.processors == 0 || age > kAgentFresh) continue;
-    ++heard;
+    if (agent.hello.worker.processors == 0 || age > kMaxAgentAge) continue;
+    ++reporting;
     const bool never = agent.beat.planner_silence < Duration::zero();
-    if (never || agent.beat.planner_silence + age >= kPlannerSilence) ++silent;
+    if (never || agent.beat.planner_silence + age >= kPlannerTimeout) ++silent;
   }
-  return silent * 2 > heard;
+  return silent * 2 > reporting;
 }
 
 }  // namespace turmericshift
--- a/servers/planner/claim_rule.h
+++ b/servers/planner/claim_rule.h
@@ -1,5 +1,6 @@
-// When an entry should claim the planner's duty of a zone: judged by what agents say on their beats
-// and never by the log, which has outages. docs/notes/planner-duty.md argues the rule.
+// Decides when an entry should claim the leadership of a zone's planning. The decision rests on the
+// planner silence that agents report in their heartbeats and not on the log's availability, because
+// the log has outages. docs/notes/planner-duty.md explains the rule.
 #pragma once
 
 #include <optional>
@@ -11,27 +12,29 @@
 
 namespace turmericshift {
 
-// A planner that most of its zone's agents have not heard for this long is taken for dead.
-inline constexpr Duration kPlannerSilence = std::chrono::seconds(3);
+// A planner is presumed dead when most of its zone's agents have not received a heartbeat from it
+// for this long.
+inline constexpr Duration kPlannerTimeout = std::chrono::seconds(3);
 
 class ClaimRule {
  public:
-  // `process` in `own_zone` might claim the duty of `zone`.
+  // `process` in `own_zone` is the entry that may claim the leadership of `zone`.
   ClaimRule(const std::string& process, const std::string& own_zone, const std::string& zone);
 
-  // `holder` is what the fold says, `agents` those of the zone as heard by this entry.
-  bool ShouldClaim(const PlannerEpoch& holder, const std::vector<AgentState>& agents, Time now);
+  // `leader` is the planner that the replicated state names; `agents` are the zone's agents as
+  // known to this entry.
+  bool ShouldClaim(const PlannerEpoch& leader, const std::vector<AgentState>& agents, Time now);
 
  private:
-  bool HolderIsSilent(const std::vector<AgentState>& agents, Time now) const;
+  bool LeaderIsSilent(const std::vector<AgentState>& agents, Time now) const;
 
   const std::string process_;
-  // How long this entry lets a better placed one go first.
-  const Duration patience_;
-  PlannerEpoch holder_;
-  // When this entry first saw that holder.
-  Time holder_since_{};
-  std::optional<Time> vacant_since_;
+  // How long this entry waits for a better placed entry to claim first.
+  const Duration claim_delay_;
+  PlannerEpoch leader_;
+  // When this entry first saw `leader_` in the replicated state.
+  Time leader_since_{};
+  std::optional<Time> claimable_since_;
 };
 
 }  // namespace turmericshift
--- a/servers/planner/feasibility.cc
+++ b/servers/planner/feasibility.cc
@@ -14,8 +14,8 @@
          std::to_string(shape.accelerators) + " accelerators";
 }
 
-// Tasks of `shape` that fit in `room` together.
-int TasksIn(const TaskShape& shape, const TaskShape& room) {
+// The number of tasks of `shape` that fit together in `room`.
+int TasksThatFit(const TaskShape& shape, const TaskShape& room) {
   int64_t tasks = kMaxTasksPerJob;
   if (shape.processors > 0) tasks = std::min<int64_t>(tasks, room.processors / shape.processors);
   if (shape.memory_bytes > 0) tasks = std::min(tasks, room.memory_bytes / shape.memory_bytes);
@@ -25,14 +25,14 @@
   return static_cast<int>(tasks);
 }
 
-Environment AllIn(Environment environment) {
+Environment WithAllZonesIn(Environment environment) {
   for (auto& [name, zone] : environment.zones) zone.in = true;
   return environment;
 }
 
-// Most tasks that the adjacency allows on the zone's workers.
-int MostTasks(const AvailabilityZoneSpec& zone, const JobSpec& spec) {
-  const int on_worker = TasksIn(spec.shape, zone.worker);
+// The maximum number of tasks that the adjacency allows on the zone's workers.
+int MaxTasks(const AvailabilityZoneSpec& zone, const JobSpec& spec) {
+  const int on_worker = TasksThatFit(spec.shape, zone.worker);
   if (spec.adjacency == Adjacency::kSameWorker) return zone.workers > 0 ? on_worker : 0;
   if (spec.adjacency == Adjacency::kSameRack) {
     return on_worker * std::min(zone.workers, zone.workers_per_rack);
@@ -40,25 +40,26 @@
   return on_worker * zone.workers;
 }
 
-// Most tasks that fit in the cells; those of a same-worker job must share one.
-int MostTasksInCells(const CellSizes& sizes, const std::vector<CellCount>& cells,
-                     const JobSpec& spec) {
+// The maximum number of tasks that fit in the cells. Tasks of a same-worker job must share one
+// cell.
+int MaxTasksInCells(const CellSizes& sizes, const std::vector<CellCount>& cells,
+                    const JobSpec& spec) {
   int total = 0;
   int largest = 0;
   for (const CellCount& cell : cells) {
     const int workers = cell.level == CellLevel::kRack ? sizes.workers_per_rack() : 1;
     const TaskShape shape = sizes.Shape(std::min(cell.level, CellLevel::kWorker));
-    const int here = TasksIn(spec.shape, shape);
+    const int here = TasksThatFit(spec.shape, shape);
     total += here * workers * cell.count;
     if (cell.count > 0) largest = std::max(largest, here);
   }
   return spec.adjacency == Adjacency::kSameWorker ? largest : total;
 }
 
-Refusal FewerTasks(const std::string& reason, int most, const JobSpec& spec) {
+Refusal RefuseTaskCount(const std::string& reason, int max_tasks, const JobSpec& spec) {
   Refusal refusal{reason, ""};
-  if (most > 0) {
-    refusal.nearest = std::to_string(std::min(most, spec.tasks)) + " tasks of the same shape";
+  if (max_tasks > 0) {
+    refusal.nearest = std::to_string(std::min(max_tasks, spec.tasks)) + " tasks of the same shape";
   }
   return refusal;
 }
@@ -72,11 +73,12 @@
 Feasibility::Feasibility(std::shared_ptr<const Environment> environment)
     : environment_(std::move(environment)),
       split_(SplitGuarantees(*environment_)),
-      split_all_in_(SplitGuarantees(AllIn(*environment_))) {}
+      split_all_in_(SplitGuarantees(WithAllZonesIn(*environment_))) {}
 
 std::optional<Refusal> Feasibility::InZone(const std::string& zone, const JobSpec& spec) const {
   const AvailabilityZoneSpec* known = environment_->FindZone(zone);
-  // A zone that is out holds nothing at present; what it can do is what it does when it is back.
+  // A zone that is out hosts no cells, so it is judged by the cells that it hosts once it is back
+  // in.
   return Check(zone, spec, known != nullptr && known->in ? split_ : split_all_in_);
 }
 
@@ -116,23 +118,23 @@
                        " has " + ShapeText(zone->worker),
                    "tasks of at most " + ShapeText(zone->worker)};
   }
-  const int most = MostTasks(*zone, spec);
-  if (most < spec.tasks) {
-    return FewerTasks(std::to_string(spec.tasks) + " tasks with adjacency " +
-                          AdjacencyName(spec.adjacency) + " don't fit in " + name,
-                      most, spec);
+  const int max_tasks = MaxTasks(*zone, spec);
+  if (max_tasks < spec.tasks) {
+    return RefuseTaskCount(std::to_string(spec.tasks) + " tasks with adjacency " +
+                               AdjacencyName(spec.adjacency) + " don't fit in " + name,
+                           max_tasks, spec);
   }
   const ZoneShare& share = split.Share(name, spec.workspace);
   const int each = spec.shape.accelerators;
   if (each * spec.tasks > share.accelerator_cap) {
-    return FewerTasks("its workspace may use at most " + std::to_string(share.accelerator_cap) +
-                          " accelerators in " + name,
-                      share.accelerator_cap / std::max(1, each), spec);
+    return RefuseTaskCount("its workspace may use at most " +
+                               std::to_string(share.accelerator_cap) + " accelerators in " + name,
+                           share.accelerator_cap / std::max(1, each), spec);
   }
   if (CanBeStopped(spec)) return std::nullopt;
-  const int in_cells = MostTasksInCells(SizesOf(*zone), share.cells, spec);
+  const int in_cells = MaxTasksInCells(SizesOf(*zone), share.cells, spec);
   if (in_cells >= spec.tasks) return std::nullopt;
-  return FewerTasks(
+  return RefuseTaskCount(
       "it can be neither repeated nor checkpointed, so it may run only within its workspace's "
       "guaranteed cells, and those in " +
           name + " don't hold it",
--- a/servers/planner/feasibility.h
+++ b/servers/planner/feasibility.h
@@ -1,4 +1,5 @@
-// Whether a job can ever run, and if not, why and what could. Pure in the document and the job.
+// Decides whether a job can ever run and, if not, why and which shape could. The results depend
+// only on the environment document and the job.
 #pragma once
 
 #include <memory>
@@ -13,7 +14,7 @@
 
 struct Refusal {
   std::string reason;
-  // The nearest shape that can run; "" if there is none.
+  // The nearest shape that can run; "" if no shape can.
   std::string nearest;
 
   std::string Text() const;
@@ -23,13 +24,15 @@
  public:
   explicit Feasibility(std::shared_ptr<const Environment> environment);
 
-  // None if the job can run in the zone under the present document, whether or not it is in.
+  // Returns none if the job can run in the zone under the current document. A zone that is out is
+  // judged as if it were in.
   std::optional<Refusal> InZone(const std::string& zone, const JobSpec& spec) const;
-  // None if some zone that the job allows can run it, now or when every zone is back in.
+  // Returns none if at least one zone that the job allows can run it, either now or once all zones
+  // are in.
   std::optional<Refusal> Anywhere(const JobSpec& spec) const;
-  // Of the cells that the zone hosts for the workspace at present.
+  // Accelerators of the guaranteed cells that the zone currently hosts for the workspace.
   int GuaranteedAccelerators(const std::string& zone, const std::string& workspace) const;
-  // Of the workspace in the zone at present.
+  // Accelerators that the workspace may currently use in the zone.
   int AcceleratorCap(const std::string& zone, const std::string& workspace) const {
     return split_.Share(zone, workspace).accelerator_cap;
   }
--- a/servers/planner/gang_runner.cc
+++ b/servers/planner/gang_runner.cc
@@ -9,7 +9,7 @@
 namespace turmericshift {
 namespace {
 
-constexpr Duration kStepTimeout = std::chrono::seconds(2);
+constexpr Duration kCallTimeout = std::chrono::seconds(2);
 
 std::vector<TaskPlacement> TasksAt(const std::string& worker,
                                    const std::vector<TaskOnWorker>& tasks) {
@@ -20,35 +20,35 @@
   return here;
 }
 
-GangReserve ReserveAt(const std::string& worker, const GangOrder& order) {
+GangReserve ReserveAt(const std::string& worker, const GangAttempt& gang) {
   GangReserve reserve;
-  reserve.epoch = order.epoch;
-  reserve.job = order.job;
-  reserve.workspace = order.spec.workspace;
-  reserve.attempt = order.attempt;
-  reserve.shape = order.spec.shape;
-  reserve.tasks = TasksAt(worker, order.tasks);
-  reserve.hold = kGangHold;
-  reserve.checkpoints = order.spec.checkpoints;
-  reserve.guaranteed = !order.borrowed;
+  reserve.epoch = gang.epoch;
+  reserve.job = gang.job;
+  reserve.workspace = gang.spec.workspace;
+  reserve.attempt = gang.attempt;
+  reserve.shape = gang.spec.shape;
+  reserve.tasks = TasksAt(worker, gang.tasks);
+  reserve.hold = kGangHoldTimeout;
+  reserve.checkpoints = gang.spec.checkpoints;
+  reserve.guaranteed = !gang.borrowed;
   return reserve;
 }
 
-GangAction ActionOf(const GangOrder& order, Duration lease, int64_t beat_sent_at = -1) {
-  return {order.epoch, order.job, order.attempt, lease, false, beat_sent_at};
+GangAction ActionOf(const GangAttempt& gang, Duration lease, int64_t beat_sent_at = -1) {
+  return {gang.epoch, gang.job, gang.attempt, lease, false, beat_sent_at};
 }
 
-// Calls that run side by side and are waited for together.
-struct Round {
+// Calls that run in parallel and are awaited together.
+struct CallBatch {
   std::mutex mutex;
   std::condition_variable changed;
-  size_t left = 0;
+  size_t pending = 0;
   std::vector<MemberFailure> failures;
 };
 
 }  // namespace
 
-std::set<std::string> GangOrder::workers() const {
+std::set<std::string> GangAttempt::workers() const {
   std::set<std::string> names;
   for (const TaskOnWorker& task : tasks) names.insert(task.worker);
   return names;
@@ -57,20 +57,19 @@
 GangRunner::GangRunner(const AgentDirectory* directory, int max_calls)
     : directory_(directory), max_calls_(max_calls), calls_("gang-call", max_calls) {}
 
-GangStartResult GangRunner::Start(const GangOrder& order,
+GangStartResult GangRunner::Start(const GangAttempt& gang,
                                   const std::function<void()>& before_release) {
-  const std::set<std::string> workers = order.workers();
+  const std::set<std::string> workers = gang.workers();
   GangStartResult result;
-  // Nobody waits for room here: a member whose room is taken refuses at once and all holds are
-  // given back, so two gangs that cross can't wait for each other.
-  result.failures = AtAll(workers, [&](const AgentState& agent) {
-    agent.port->Reserve(ReserveAt(agent.hello.process, order), kStepTimeout);
+  // Reservations never wait for room: a member whose room is taken refuses immediately and all
+  // reservations are cancelled, so two overlapping gangs can't deadlock.
+  result.failures = CallAll(workers, [&](const AgentState& agent) {
+    agent.port->Reserve(ReserveAt(agent.hello.process, gang), kCallTimeout);
   });
   if (result.ok()) {
-    result.failures = AtAll(workers, [&](const AgentState& agent) {
-      agent.port->Start(
-          {order.epoch, order.job, order.attempt, order.spec.payload, order.checkpoint},
-          kStepTimeout);
+    result.failures = CallAll(workers, [&](const AgentState& agent) {
+      agent.port->Start({gang.epoch, gang.job, gang.attempt, gang.spec.payload, gang.checkpoint},
+                        kCallTimeout);
     });
   }
   if (result.ok()) {
@@ -81,75 +80,78 @@
     }
   }
   if (result.ok()) {
-    result.may_run = true;
-    result.failures = Release(order);
+    result.may_have_run = true;
+    result.failures = Release(gang);
   }
-  if (!result.ok()) StopAfterFailure(order, result.failures);
+  if (!result.ok()) StopAfterFailure(gang, result.failures);
   return result;
 }
 
-std::vector<MemberFailure> GangRunner::Release(const GangOrder& order) {
-  std::vector<MemberFailure> failures = AtAll(order.workers(), [&](const AgentState& agent) {
-    agent.port->Release(ActionOf(order, kFirstLease), kStepTimeout);
+std::vector<MemberFailure> GangRunner::Release(const GangAttempt& gang) {
+  std::vector<MemberFailure> failures = CallAll(gang.workers(), [&](const AgentState& agent) {
+    agent.port->Release(ActionOf(gang, kInitialLease), kCallTimeout);
   });
   if (!failures.empty()) return failures;
-  return AtAll(order.workers(), [&](const AgentState& agent) {
-    agent.port->Renew(ActionOf(order, order.lease), kStepTimeout);
+  return CallAll(gang.workers(), [&](const AgentState& agent) {
+    agent.port->Renew(ActionOf(gang, gang.lease), kCallTimeout);
   });
 }
 
-std::vector<MemberFailure> GangRunner::Renew(const GangOrder& order, const BeatTimes& beats) {
-  return AtAll(order.workers(), [&](const AgentState& agent) {
-    agent.port->Renew(ActionOf(order, order.lease, beats.at(agent.hello.process)), kStepTimeout);
+std::vector<MemberFailure> GangRunner::Renew(const GangAttempt& gang,
+                                             const HeartbeatTimes& heartbeat_times) {
+  return CallAll(gang.workers(), [&](const AgentState& agent) {
+    agent.port->Renew(ActionOf(gang, gang.lease, heartbeat_times.at(agent.hello.process)),
+                      kCallTimeout);
   });
 }
 
-GangStopResult GangRunner::Stop(const GangOrder& order, bool checkpoint) {
-  GangAction action = ActionOf(order, Duration::zero());
+GangStopResult GangRunner::Stop(const GangAttempt& gang, bool checkpoint) {
+  GangAction action = ActionOf(gang, Duration::zero());
   action.checkpoint = checkpoint;
   GangStopResult result;
-  result.over = order.workers();
-  const std::vector<MemberFailure> failures = AtAll(
-      order.workers(), [&](const AgentState& agent) { agent.port->Stop(action, kStepTimeout); });
+  result.ended_members = gang.workers();
+  const std::vector<MemberFailure> failures = CallAll(
+      gang.workers(), [&](const AgentState& agent) { agent.port->Stop(action, kCallTimeout); });
   for (const MemberFailure& failure : failures) {
-    result.over.erase(failure.worker);
-    if (failure.error.kind() == ErrorKind::kConflict) result.stopping.insert(failure.worker);
+    result.ended_members.erase(failure.worker);
+    if (failure.error.kind() == ErrorKind::kConflict) result.active_members.insert(failure.worker);
   }
   return result;
 }
 
-void GangRunner::Forget(const GangOrder& order) {
-  const std::vector<MemberFailure> failures = AtAll(order.workers(), [&](const AgentState& agent) {
-    agent.port->Forget(ActionOf(order, Duration::zero()), kStepTimeout);
+void GangRunner::Forget(const GangAttempt& gang) {
+  const std::vector<MemberFailure> failures = CallAll(gang.workers(), [&](const AgentState& agent) {
+    agent.port->Forget(ActionOf(gang, Duration::zero()), kCallTimeout);
   });
   for (const MemberFailure& failure : failures) {
     LogEvent(LogLevel::kInfo, "gang_forget_unheard",
-             {{"job", order.job}, {"worker", failure.worker}, {"error", failure.error.what()}});
+             {{"job", gang.job}, {"worker", failure.worker}, {"error", failure.error.what()}});
   }
 }
 
-void GangRunner::StopAfterFailure(const GangOrder& order,
+void GangRunner::StopAfterFailure(const GangAttempt& gang,
                                   const std::vector<MemberFailure>& failures) {
   for (const MemberFailure& failure : failures) {
     LogEvent(LogLevel::kWarning, "gang_start_failed",
-             {{"job", order.job},
-              {"attempt", order.attempt},
+             {{"job", gang.job},
+              {"attempt", gang.attempt},
               {"worker", failure.worker},
               {"error", failure.error.what()}});
   }
-  Stop(order, false);
+  Stop(gang, false);
 }
 
-std::vector<MemberFailure> GangRunner::AtAll(const std::set<std::string>& workers,
-                                             const Step& step) {
-  Round round;
-  round.left = workers.size();
-  const auto call = [&round, &step, this](const std::string& worker) {
+std::vector<MemberFailure> GangRunner::CallAll(const std::set<std::string>& workers,
+                                               const Step& step) {
+  CallBatch batch;
+  batch.pending = workers.size();
+  const auto call = [&batch, &step, this](const std::string& worker) {
     std::optional<Error> failure;
     try {
       const AgentState agent = directory_->Find(worker);
       if (!agent.port) {
-        throw Error(ErrorKind::kConnectionLost, Outcome::kNotRun, "no session with " + worker);
+        throw Error(ErrorKind::kConnectionLost, Outcome::kNotRun,
+                    "no open session with agent " + worker);
       }
       step(agent);
     } catch (const Error& error) {
@@ -157,19 +159,19 @@
     } catch (const std::exception& error) {
       failure = Error(ErrorKind::kInternal, error.what());
     }
-    const std::lock_guard<std::mutex> lock(round.mutex);
-    if (failure) round.failures.push_back({worker, *failure});
-    --round.left;
-    round.changed.notify_all();
+    const std::lock_guard<std::mutex> lock(batch.mutex);
+    if (failure) batch.failures.push_back({worker, *failure});
+    --batch.pending;
+    batch.changed.notify_all();
   };
   if (workers.size() == 1 || max_calls_ == 0) {
     for (const std::string& worker : workers) call(worker);
-    return round.failures;
+    return batch.failures;
   }
   for (const std::string& worker : workers) calls_.Submit([&call, worker] { call(worker); });
-  std::unique_lock<std::mutex> lock(round.mutex);
-  round.changed.wait(lock, [&round] { return round.left == 0; });
-  return round.failures;
+  std::unique_lock<std::mutex> lock(batch.mutex);
+  batch.changed.wait(lock, [&batch] { return batch.pending == 0; });
+  return batch.failures;
 }
 
 }  // namespace turmericshift
--- a/servers/planner/gang_runner.h
+++ b/servers/planner/gang_runner.h
@@ -1,6 +1,6 @@
-// Carries a gang's steps out at its agents, side by side: reserve everywhere, start held
-// everywhere, release when all are up, then prolong the first short lease. docs/notes/gangs.md
-// gives the protocol and its bounds.
+// Executes the steps of starting and stopping a gang at all its agents in parallel: reserve
+// everywhere, start all tasks held, release when all are up, then replace the short initial lease
+// by a full one. docs/notes/gangs.md describes the protocol and its time bounds.
 #pragma once
 
 #include <functional>
@@ -17,19 +17,19 @@
 
 namespace turmericshift {
 
-// Reservations and held tasks lapse by themselves after this.
-inline constexpr Duration kGangHold = std::chrono::seconds(5);
-// Lease of released members until all are known to be released: the longest that part of a gang can
-// run because its planner died between two releases.
-inline constexpr Duration kFirstLease = std::chrono::seconds(2);
+// Reservations and held tasks expire after this time.
+inline constexpr Duration kGangHoldTimeout = std::chrono::seconds(5);
+// Lease of released members until all members are known to be released. It limits how long part of
+// a gang can run if its planner dies between two releases.
+inline constexpr Duration kInitialLease = std::chrono::seconds(2);
 
 struct MemberFailure {
   std::string worker;
   Error error;
 };
 
-// One attempt of a gang, as its agents know it.
-struct GangOrder {
+// One attempt to run a gang, as its agents know it.
+struct GangAttempt {
   std::string job;
   int64_t attempt = 0;
   Sequence epoch = kNoSequence;
@@ -42,46 +42,46 @@
   std::set<std::string> workers() const;
 };
 
-// AgentBeat::sent_at by worker.
-using BeatTimes = std::map<std::string, int64_t>;
+// AgentBeat::sent_at for each worker.
+using HeartbeatTimes = std::map<std::string, int64_t>;
 
 struct GangStartResult {
-  // A release was sent to at least one member.
-  bool may_run = false;
+  // True if a release was sent to at least one member, so that tasks may have run.
+  bool may_have_run = false;
   std::vector<MemberFailure> failures;
 
   bool ok() const { return failures.empty(); }
 };
 
 struct GangStopResult {
-  // Members at which the attempt is over for good.
-  std::set<std::string> over;
-  // Members that answer and whose tasks have not stopped yet.
-  std::set<std::string> stopping;
+  // Members at which the attempt has ended for good.
+  std::set<std::string> ended_members;
+  // Members that answered, but whose tasks have not stopped yet.
+  std::set<std::string> active_members;
 };
 
 class GangRunner {
  public:
-  // `directory` must outlive the runner. At most `max_calls` calls run at once; 0: one after the
-  // other, on the caller's thread.
+  // `directory` must outlive the runner. At most `max_calls` calls run in parallel; with 0, calls
+  // run one after the other on the caller's thread.
   GangRunner(const AgentDirectory* directory, int max_calls);
 
-  // `before_release` runs when all members are held; it may throw Error to call the start off.
-  // After a failure all members have been asked to stop.
-  GangStartResult Start(const GangOrder& order, const std::function<void()>& before_release);
-  // Renews all members; only to be called on evidence of every one of them, each from the beat that
-  // gave it. Returns what failed.
-  std::vector<MemberFailure> Renew(const GangOrder& order, const BeatTimes& beats);
-  GangStopResult Stop(const GangOrder& order, bool checkpoint);
-  void Forget(const GangOrder& order);
+  // `before_release` runs once all members hold their tasks; it may throw Error to abort the start.
+  // If the start fails, all members have been asked to stop before the call returns.
+  GangStartResult Start(const GangAttempt& gang, const std::function<void()>& before_release);
+  // Renews the leases of all members. Call it only if every member's heartbeat shows that it still
+  // runs; `heartbeat_times` names these heartbeats. Returns the members that failed.
+  std::vector<MemberFailure> Renew(const GangAttempt& gang, const HeartbeatTimes& heartbeat_times);
+  GangStopResult Stop(const GangAttempt& gang, bool checkpoint);
+  void Forget(const GangAttempt& gang);
 
  private:
   using Step = std::function<void(const AgentState& agent)>;
 
-  // Runs `step` for each worker and waits for all.
-  std::vector<MemberFailure> AtAll(const std::set<std::string>& workers, const Step& step);
-  std::vector<MemberFailure> Release(const GangOrder& order);
-  void StopAfterFailure(const GangOrder& order, const std::vector<MemberFailure>& failures);
+  // Runs `step` for each worker and waits for all of them. Returns the members that failed.
+  std::vector<MemberFailure> CallAll(const std::set<std::string>& workers, const Step& step);
+  std::vector<MemberFailure> Release(const GangAttempt& gang);
+  void StopAfterFailure(const GangAttempt& gang, const std::vector<MemberFailure>& failures);
 
   const AgentDirectory* const directory_;
   const int max_calls_;
--- a/servers/planner/guarantee_split.cc
+++ b/servers/planner/guarantee_split.cc
@@ -6,7 +6,7 @@
 namespace turmericshift {
 namespace {
 
-// How many cells of each level a zone can still host.
+// The number of cells of each level that a zone can still host.
 class ZoneSupply {
  public:
   explicit ZoneSupply(const AvailabilityZoneSpec& zone) : sizes_(SizesOf(zone)) {
@@ -23,12 +23,13 @@
     for (size_t index = 0; index < left_.size(); ++index) {
       if (index <= static_cast<size_t>(level) && left_[index] < cost[index]) return false;
     }
-    // A cell may break one of each level above it; taking from what is broken already comes first.
+    // A new cell may split one cell of each level above it. Cells that are already split are used
+    // first.
     CellCounts after = left_;
     for (size_t index = 0; index < left_.size(); ++index) after[index] -= cost[index];
     for (size_t index = static_cast<size_t>(level) + 1; index < left_.size(); ++index) {
       const auto outer = static_cast<CellLevel>(index);
-      const int64_t whole = after[index - 1] / std::max<int64_t>(1, RatioOneUp(outer));
+      const int64_t whole = after[index - 1] / std::max<int64_t>(1, RatioToLowerLevel(outer));
       after[index] = std::min(after[index], whole);
     }
     left_ = after;
@@ -40,7 +41,7 @@
   }
 
  private:
-  int64_t RatioOneUp(CellLevel outer) const {
+  int64_t RatioToLowerLevel(CellLevel outer) const {
     return sizes_.Ratio(outer, static_cast<CellLevel>(static_cast<int>(outer) - 1));
   }
 
@@ -55,7 +56,7 @@
   CellLevel level;
 };
 
-// Large cells first, so that small ones don't break the room they need.
+// Returns large cells first, so that small cells don't fragment the room that large cells need.
 std::vector<Cell> CellsOf(const Environment& environment) {
   std::vector<Cell> cells;
   for (const auto& [name, workspace] : environment.workspaces) {
@@ -68,8 +69,8 @@
   return cells;
 }
 
-void Host(const Cell& cell, const std::string& zone, const Supplies& supplies,
-          GuaranteeSplit* split) {
+void AssignCell(const Cell& cell, const std::string& zone, const Supplies& supplies,
+                GuaranteeSplit* split) {
   const CellLevel level = supplies.at(zone).sizes().Normalize(cell.level);
   std::vector<CellCount>& cells = split->zones[zone][cell.workspace].cells;
   const auto found = std::find_if(cells.begin(), cells.end(),
@@ -83,12 +84,12 @@
             [](const CellCount& a, const CellCount& b) { return a.level > b.level; });
 }
 
-// A workspace's cells are kept together, so that its gangs find them in one zone; else the zone
-// with the most left.
-std::string ChooseZone(const Cell& cell, const std::map<std::string, std::string>& last,
+// Keeps the cells of a workspace together, so that its gangs find them in one zone; otherwise takes
+// the zone with the most accelerators left. Returns "" if no zone can host the cell.
+std::string ChooseZone(const Cell& cell, const std::map<std::string, std::string>& last_zone,
                        Supplies* supplies) {
-  const auto previous = last.find(cell.workspace);
-  if (previous != last.end() && supplies->at(previous->second).Take(cell.level)) {
+  const auto previous = last_zone.find(cell.workspace);
+  if (previous != last_zone.end() && supplies->at(previous->second).Take(cell.level)) {
     return previous->second;
   }
   std::vector<std::pair<int64_t, std::string>> order;
@@ -111,10 +112,11 @@
   unhosted->push_back({cell.workspace, cell.level, 1});
 }
 
-// The zone in which a workspace gets a large share though an even one would be small; "" where an
-// even one will do. Another one for each workspace, so that not all crowd into the same.
+// The zone in which a workspace gets a large share although an even share would be small; "" if
+// even shares are large enough. The zone differs between workspaces, so that they don't all use the
+// same zone.
 std::string ZoneForWideGangs(const Environment& environment, const WorkspaceSpec& workspace) {
-  // Shares from a quarter of a zone on hold most gangs that a zone can place at all.
+  // Shares of at least a quarter of a zone hold most gangs that a zone can place at all.
   constexpr int kSmallShare = 4;
   std::vector<std::string> names;
   for (const auto& [name, zone] : environment.zones) {
@@ -129,10 +131,10 @@
   return small ? name : "";
 }
 
-// Even over the zones, in whole workers where possible, but half of one zone first where an even
-// share is small: a gang runs in one zone, and in an even split over eight zones none above an
-// eighth of the cap would ever run, however idle the cluster; its caller is told that the job is
-// impossible.
+// Splits the cap evenly over the zones, in whole workers where possible. If an even share is small,
+// one zone first gets half of its accelerators: a gang runs in one zone, so with an even split over
+// eight zones no gang above an eighth of the cap could run, however idle the cluster, and its
+// caller would be told that the job is impossible.
 void SplitCap(const Environment& environment, const WorkspaceSpec& workspace,
               GuaranteeSplit* split) {
   int left = workspace.accelerator_cap;
@@ -148,7 +150,7 @@
     left -= share.accelerator_cap;
     room[name] = AcceleratorsOf(zone) - share.accelerator_cap;
   }
-  const auto give = [&](const std::string& name, int most) {
+  const auto assign = [&](const std::string& name, int most) {
     const int piece = std::min({left, most, room[name]});
     split->zones[name][workspace.name].accelerator_cap += piece;
     room[name] -= piece;
@@ -157,7 +159,7 @@
   const std::string wide = ZoneForWideGangs(environment, workspace);
   if (!wide.empty()) {
     const int has = split->zones[wide][workspace.name].accelerator_cap;
-    give(wide, std::max(0, AcceleratorsOf(*environment.FindZone(wide)) / 2 - has));
+    assign(wide, std::max(0, AcceleratorsOf(*environment.FindZone(wide)) / 2 - has));
   }
   while (left > 0) {
     std::string emptiest;
@@ -171,7 +173,7 @@
       emptiest = name;
     }
     if (emptiest.empty()) return;
-    give(emptiest, std::max(1, environment.FindZone(emptiest)->worker.accelerators));
+    assign(emptiest, std::max(1, environment.FindZone(emptiest)->worker.accelerators));
   }
 }
 
@@ -198,32 +200,32 @@
   GuaranteeSplit split;
   Supplies supplies;
   for (const auto& [name, zone] : environment.zones) supplies.emplace(name, ZoneSupply(zone));
-  std::vector<Cell> homeless;
-  std::map<std::string, std::string> last;
+  std::vector<Cell> unplaced;
+  std::map<std::string, std::string> last_zone;
   for (const Cell& cell : CellsOf(environment)) {
-    const std::string home = ChooseZone(cell, last, &supplies);
+    const std::string home = ChooseZone(cell, last_zone, &supplies);
     if (home.empty()) {
-      homeless.push_back(cell);
+      unplaced.push_back(cell);
       continue;
     }
-    last[cell.workspace] = home;
+    last_zone[cell.workspace] = home;
     if (environment.FindZone(home)->in) {
-      Host(cell, home, supplies, &split);
+      AssignCell(cell, home, supplies, &split);
     } else {
-      homeless.push_back(cell);
+      unplaced.push_back(cell);
     }
   }
   std::erase_if(supplies,
                 [&](const auto& entry) { return !environment.FindZone(entry.first)->in; });
-  std::erase_if(last, [&](const auto& entry) { return supplies.count(entry.second) == 0; });
-  for (const Cell& cell : homeless) {
-    const std::string host = ChooseZone(cell, last, &supplies);
+  std::erase_if(last_zone, [&](const auto& entry) { return supplies.count(entry.second) == 0; });
+  for (const Cell& cell : unplaced) {
+    const std::string host = ChooseZone(cell, last_zone, &supplies);
     if (host.empty()) {
       AddUnhosted(cell, &split.unhosted);
       continue;
     }
-    last[cell.workspace] = host;
-    Host(cell, host, supplies, &split);
+    last_zone[cell.workspace] = host;
+    AssignCell(cell, host, supplies, &split);
   }
   for (const auto& [name, workspace] : environment.workspaces) {
     SplitCap(environment, workspace, &split);
--- a/servers/planner/guarantee_split.h
+++ b/servers/planner/guarantee_split.h
@@ -1,8 +1,8 @@
-// Which availability zone hosts which guaranteed cells, and how each workspace's accelerator cap is
-// split between zones. Pure functions of the document, so that planners of different zones agree
-// without talking. Each cell has a home that does not depend on which zones are in; a cell whose
-// home is out is hosted in the zones that are in as far as they hold it. A zone that leaves thus
-// moves no cell of another zone.
+// Assigns guaranteed cells to availability zones and splits each workspace's accelerator cap
+// between zones. The functions are pure functions of the document, so planners of different zones
+// agree without communicating. Each cell has a home zone that does not depend on which zones are
+// in. A cell whose home zone is out is hosted by zones that are in, as far as they have capacity.
+// Taking a zone out therefore moves no cell of another zone.
 #pragma once
 
 #include <map>
@@ -13,14 +13,14 @@
 
 namespace turmericshift {
 
-// What one zone holds for one workspace.
+// The guaranteed cells and the accelerator cap of one workspace in one zone.
 struct ZoneShare {
-  // By level, in descending order, each level at most once.
+  // In descending order of level, each level at most once.
   std::vector<CellCount> cells;
   int accelerator_cap = 0;
 };
 
-// A cell that no zone that is in can host.
+// Guaranteed cells that no zone that is in can host.
 struct UnhostedCell {
   std::string workspace;
   CellLevel level = CellLevel::kAccelerator;
@@ -28,19 +28,19 @@
 };
 
 struct GuaranteeSplit {
-  // By zone, then by workspace. A zone that is out hosts nothing.
+  // By zone, then by workspace. A zone that is out hosts no cells.
   std::map<std::string, std::map<std::string, ZoneShare>> zones;
   std::vector<UnhostedCell> unhosted;
 
-  // An empty share when the zone holds nothing for the workspace.
+  // Returns an empty share if the zone hosts nothing for the workspace.
   const ZoneShare& Share(const std::string& zone, const std::string& workspace) const;
 };
 
 GuaranteeSplit SplitGuarantees(const Environment& environment);
 
-// Cell sizes on the zone's workers.
+// The sizes of cells on the zone's workers.
 CellSizes SizesOf(const AvailabilityZoneSpec& zone);
-// Accelerators of all the zone's workers.
+// The total number of accelerators of the zone's workers.
 int AcceleratorsOf(const AvailabilityZoneSpec& zone);
 
 }  // namespace turmericshift
--- a/servers/planner/guarantee_split_test.cc
+++ b/servers/planner/guarantee_split_test.cc
@@ -31,7 +31,7 @@
   return total;
 }
 
-TEST(GuaranteeSplitTest, HostsEveryCellOfBothDeployments) {
+TEST(GuaranteeSplitTest, HostsAllCellsOfBothExampleDeployments) {
   for (const char* name : {"potkocsi", "thistle-and-rind"}) {
     const Environment environment = Example(name);
     const GuaranteeSplit split = SplitGuarantees(environment);
@@ -40,7 +40,7 @@
   }
 }
 
-TEST(GuaranteeSplitTest, CapsAddUpToTheWorkspacesOwn) {
+TEST(GuaranteeSplitTest, ZoneCapsAddUpToWorkspaceCap) {
   const Environment environment = Example("potkocsi");
   const GuaranteeSplit split = SplitGuarantees(environment);
   for (const auto& [name, workspace] : environment.workspaces) {
@@ -52,9 +52,9 @@
   }
 }
 
-// A gang runs in one zone. With eight zones and an even split of the cap, a gang of 128 under a cap
-// of 512 is refused as impossible on an idle cluster.
-TEST(GuaranteeSplitTest, LeavesRoomForAWideGangInSomeZone) {
+// A gang runs in one zone. With an even split of a cap of 512 over eight zones, a gang of 128 would
+// be refused as impossible on an idle cluster.
+TEST(GuaranteeSplitTest, LeavesRoomForWideGangInOneZone) {
   std::string text = "[environment]\ndeployment = wide\n";
   for (const char* zone : {"a", "b", "c", "d", "e", "f", "g", "h"}) {
     text += std::string("[availability_zone ") + zone +
@@ -75,9 +75,9 @@
   EXPECT_EQ(total, 512);
 }
 
-// Operators take a zone out: cells of the other zones must stay where they are, or work that runs
-// within them would lose its promise because of maintenance elsewhere.
-TEST(GuaranteeSplitTest, ZoneOutMovesNoCellOfOtherZones) {
+// When operators take a zone out, cells of the other zones must not move. Otherwise work that runs
+// within these cells would lose its guarantee because of maintenance elsewhere.
+TEST(GuaranteeSplitTest, TakingZoneOutMovesNoCellsOfOtherZones) {
   Environment environment = Example("thistle-and-rind");
   const GuaranteeSplit before = SplitGuarantees(environment);
   environment.zones["clyde-b"].in = false;
@@ -98,7 +98,7 @@
   EXPECT_GT(HostedAccelerators(environment, after), 0);
 }
 
-TEST(GuaranteeCheckTest, TellsWhatIsNotPromisedWithAZoneOut) {
+TEST(GuaranteeCheckTest, WarnsOfGuaranteesNotMetWithOneZoneOut) {
   const GuaranteeReport report = CheckGuarantees(Example("potkocsi"));
   EXPECT_TRUE(report.errors.empty());
   ASSERT_FALSE(report.warnings.empty());
@@ -106,15 +106,15 @@
       << report.warnings[0];
 }
 
-TEST(GuaranteeCheckTest, RefusesMoreThanAllZonesHold) {
+TEST(GuaranteeCheckTest, RejectsGuaranteesBeyondTotalCapacity) {
   Environment environment = Example("potkocsi");
   environment.workspaces["weekly-boxes"].guarantee = {{CellLevel::kWorker, 12}};
   EXPECT_FALSE(CheckGuarantees(environment).errors.empty());
 }
 
-// A job that no zone can ever run would wait for good; its caller must hear at once, with the
-// nearest shape that can.
-TEST(FeasibilityTest, RefusesWithTheNearestShape) {
+// A job that no zone can ever run must be refused immediately, with the nearest shape that can run,
+// or it would wait forever.
+TEST(FeasibilityTest, RefusalNamesNearestShape) {
   const Feasibility feasibility(std::make_shared<const Environment>(Example("potkocsi")));
   JobSpec spec;
   spec.workspace = "weekly-boxes";
@@ -127,7 +127,7 @@
   EXPECT_NE(feasibility.Anywhere(spec)->Text().find("at most"), std::string::npos);
 }
 
-TEST(FeasibilityTest, WorkThatCannotBeStoppedNeedsGuaranteedCells) {
+TEST(FeasibilityTest, NonStoppableJobNeedsGuaranteedCells) {
   const Feasibility feasibility(std::make_shared<const Environment>(Example("potkocsi")));
   JobSpec spec;
   spec.workspace = "co-packer";
--- a/servers/planner/live_attempt.h
+++ b/servers/planner/live_attempt.h
@@ -1,5 +1,5 @@
-// One attempt of a job that this planner has under way, from the first reservation until it is
-// proved over at every member.
+// An attempt of a job that this planner manages, from the first reservation until the attempt is
+// proven to have ended at every member.
 #pragma once
 
 #include <optional>
@@ -14,37 +14,38 @@
 enum class AttemptStage { kStarting, kRunning, kEnding };
 
 struct LiveAttempt {
-  GangOrder order;
-  // The number that ZonePlanner knows it by; the agents' is order.attempt.
+  GangAttempt gang;
+  // The attempt's number in ZonePlanner. The agents know the attempt as gang.attempt.
   int64_t view_attempt = 0;
   AttemptStage stage = AttemptStage::kStarting;
-  // When the stage began.
-  Time since{};
-  // By then each member that can't be reached has stopped by itself, clock rates allowed for.
-  Time lapses_at{};
+  // When the current stage began.
+  Time stage_since{};
+  // By this time each unreachable member has stopped by itself, clock drift included.
+  Time leases_expire_at{};
   bool renewing = false;
-  // A job_starting record may have been written for it.
-  bool recorded = false;
-  // Asked for while it was being started.
-  std::optional<StopDecision> stop_asked;
+  // True if a job_starting record may have been written for this attempt.
+  bool start_recorded = false;
+  // A stop that was requested while the attempt was starting.
+  std::optional<StopDecision> requested_stop;
 
-  // How it ends, once it does.
+  // How the attempt ended. Only meaningful in kEnding, as are the members below.
   AttemptEnd end = AttemptEnd::kStopped;
-  // The state that the job ends in; kWaiting when it goes back to the queue.
+  // The state that the job ends in; kWaiting if it returns to the queue.
   JobState final_state = JobState::kWaiting;
   std::string reason;
   bool checkpoint = false;
   bool may_have_run = true;
-  bool asking = false;
-  Time next_ask{};
-  // Members at which it is over for good, and those that answer but have not stopped.
-  std::set<std::string> over;
-  std::set<std::string> stopping;
-  std::optional<Time> over_since;
+  bool call_in_flight = false;
+  Time next_call_at{};
+  // Members at which the attempt has ended for good, and members that answer but whose tasks have
+  // not stopped.
+  std::set<std::string> ended_members;
+  std::set<std::string> active_members;
+  std::optional<Time> ended_since;
 };
 
-// Attempt numbers are unique over all planners of a zone: the epoch and a counter. Agents and the
-// log never see a number twice, whichever planner gave it out.
+// Attempt numbers combine the epoch and a counter, so they are unique over all planners of a zone.
+// Agents and the log never see the same number for two attempts.
 inline constexpr int64_t kAttemptsPerEpoch = int64_t{1} << 20;
 inline int64_t AttemptNumber(Sequence epoch, int64_t count) {
   return epoch * kAttemptsPerEpoch + count;
--- a/servers/planner/placement_policy.h
+++ b/servers/planner/placement_policy.h
@@ -1,4 +1,5 @@
-// Decides which waiting jobs start where and which running ones make room.
+// A placement policy decides which waiting jobs start, on which workers, and which running jobs are
+// stopped to free room.
 #pragma once
 
 #include "core/plugin_registry.h"
@@ -9,9 +10,10 @@
 class PlacementPolicy {
  public:
   virtual ~PlacementPolicy() = default;
-  // Must be deterministic in the view, the time and what it was told before.
+  // Must be deterministic: the plan depends only on the view, the time and earlier calls.
   virtual Plan Decide(const ZoneView& view, Time now) = 0;
-  // A job ended after `run_time`; policies that learn may use it.
+  // Reports that a job completed and would have taken `run_time` in a single attempt. Policies that
+  // estimate run times may learn from it.
   virtual void Learn(const JobSpec& /*spec*/, Duration /*run_time*/, Time /*now*/) {}
 };
 
--- a/servers/planner/planner_simulation.h
+++ b/servers/planner/planner_simulation.h
@@ -1,5 +1,5 @@
-// A small world of entries, agents and a log in passed-in time, with the faults that the real ones
-// have. Same seed, same run. For tests only.
+// A simulation of entries, agents and a log under a manual clock, with the faults that occur in
+// production. A run is determined by its seed. For tests only.
 #pragma once
 
 #include <functional>
@@ -19,38 +19,39 @@
 
 namespace turmericshift {
 
-// Faults that a test plants to see that the checks notice.
-struct PlantedFaults {
-  // Agents obey a call under any epoch.
+// Defects that a test injects to verify that the checks detect them.
+struct InjectedFaults {
+  // Agents accept calls of any epoch.
   bool no_fencing = false;
 };
 
 class PlannerSimulation {
  public:
-  PlannerSimulation(uint64_t seed, const PlantedFaults& planted);
+  PlannerSimulation(uint64_t seed, const InjectedFaults& injected);
   ~PlannerSimulation();
 
-  // Both bring the log up first.
+  // Submit and Cancel bring the log up first.
   std::string Submit(const JobSpec& spec);
   void Cancel(const std::string& job);
-  // Passes time with random faults, or without.
+  // Advances the simulation by `time`, with or without random faults.
   void Run(Duration time, bool faults);
-  // Ends all faults and brings everything back up.
-  void Heal();
+  // Ends all faults and restarts all stopped entries and agents.
+  void RecoverAll();
 
-  // What went wrong, for people; empty if nothing.
+  // Descriptions of the violated invariants; empty if none was violated.
   const std::vector<std::string>& violations() const { return violations_; }
   std::optional<JobRecord> Job(const std::string& id) const;
-  // The entry that holds the duty by the log; "" if none.
+  // The entry that acts as the active planner; "" if none.
   std::string planner() const;
   void KillEntry(const std::string& name);
   void SetLogDown(bool down);
-  // The agent and these entries don't reach each other until then.
-  void CutAgent(const std::string& agent, const std::set<std::string>& entries, Duration time);
-  // The entry that makes the next call stands still first, for so long.
+  // Interrupts the connections between the agent and these entries for `time`.
+  void PartitionAgent(const std::string& agent, const std::set<std::string>& entries,
+                      Duration time);
+  // Pauses the entry that makes the next call for `time` before it sends the call.
   void PauseNextCall(Duration time) { pause_next_call_ = time; }
   void SetZoneIn(bool in);
-  // Attempts of the job that were ever released somewhere.
+  // The number of attempts of the job that were released on at least one worker.
   size_t AttemptsReleased(const std::string& job) const;
   bool Runs(const std::string& job) const;
 
@@ -61,8 +62,8 @@
   struct Agent;
 
   void Tick(bool faults);
-  void Pump(Entry* entry);
-  void Beat(Entry* entry, Agent* agent);
+  void ReadLog(Entry* entry);
+  void SendHeartbeat(Entry* entry, Agent* agent);
   void StartEntry(Entry* entry);
   void StartAgent(Agent* agent);
   void MaybeFault();
@@ -73,27 +74,27 @@
   template <typename Each>
   Each* Pick(const std::vector<std::unique_ptr<Each>>& all);
 
-  const PlantedFaults planted_;
+  const InjectedFaults injected_;
   std::mt19937_64 random_;
   ManualClock clock_;
   MemoryLog log_;
   MetricsRegistry metrics_;
   std::vector<std::unique_ptr<Entry>> entries_;
   std::vector<std::unique_ptr<Agent>> agents_;
-  // Calls that were sent and will arrive later.
-  std::vector<std::pair<Time, std::function<void()>>> late_calls_;
+  // Actions that are due later, such as the delivery of a delayed call.
+  std::vector<std::pair<Time, std::function<void()>>> delayed_actions_;
   bool faults_ = false;
   Duration pause_next_call_{};
   bool log_down_ = false;
-  int nested_ = 0;
+  int nested_pauses_ = 0;
   bool zone_in_ = true;
   Time zone_out_at_{};
   int64_t version_ = 0;
   std::map<std::string, JobSpec> jobs_;
   std::map<std::string, std::set<int64_t>> released_;
   std::map<std::string, std::set<int64_t>> done_;
-  // Jobs whose result was out of reach or lost before it could be recorded: the attempt may be
-  // repeated if the job may.
+  // Jobs whose result was unreachable or lost before it could be recorded. A repeatable job of this
+  // kind may be done twice.
   std::set<std::string> result_lost_;
   std::map<std::string, Time> partial_since_;
   std::vector<std::string> violations_;
--- a/servers/planner/planner_simulation_test.cc
+++ b/servers/planner/planner_simulation_test.cc
@@ -17,12 +17,13 @@
 constexpr int kEntries = 3;
 constexpr int kAgents = 4;
 constexpr Duration kTick = milliseconds(100);
-constexpr int kTicksPerBeat = 10;
+constexpr int kTicksPerHeartbeat = 10;
 constexpr Duration kLease = seconds(10);
 constexpr Duration kZoneOutBound = seconds(3);
-// The lease counts from the evidence of every member; the rest is the agents' round and ours.
-constexpr Duration kPartialBound = kLease + seconds(1);
-constexpr size_t kMaxLines = 20;
+// The lease counts from the heartbeats that show every member running. The additional second covers
+// a round of the agents and of the simulation.
+constexpr Duration kPartialGangLimit = kLease + seconds(1);
+constexpr size_t kMaxViolations = 20;
 constexpr TaskShape kCapacity = {8, int64_t{8} << 30, 4};
 
 std::string Document(bool zone_in) {
@@ -56,18 +57,18 @@
   Offset next = 0;
   int64_t appends_seen = -1;
   bool up = true;
-  // Its thread stands still until then.
+  // The entry's thread is paused until this time.
   Time paused_until{};
-  bool log_cut = false;
+  bool log_unreachable = false;
   bool failing = false;
-  Time fresh_at{};
+  Time log_current_at{};
   std::unique_ptr<JobFold> jobs;
   std::unique_ptr<ConfigFold> config;
   std::unique_ptr<AgentDirectory> directory;
   std::unique_ptr<Writer> writer;
   std::unique_ptr<GangRunner> runner;
   std::vector<std::function<void()>> work;
-  std::unique_ptr<ZonePlannerService> duty;
+  std::unique_ptr<ZonePlannerService> service;
 };
 
 struct PlannerSimulation::Agent {
@@ -76,26 +77,27 @@
   std::unique_ptr<FakeWorker> worker;
   std::unique_ptr<StartGuard> guard;
   std::unique_ptr<GangHost> host;
-  // Entries that it can't reach.
-  std::set<std::string> cut;
+  // Entries that the agent can't reach.
+  std::set<std::string> unreachable_entries;
 };
 
-// Appends to the common log and reads on until the entry's own fold has the record.
+// Appends to the shared log and then reads until the entry's own replicated state includes the
+// record.
 class PlannerSimulation::Writer : public RecordWriter {
  public:
-  Writer(PlannerSimulation* world, Entry* entry) : world_(world), entry_(entry) {}
+  Writer(PlannerSimulation* simulation, Entry* entry) : simulation_(simulation), entry_(entry) {}
 
   Written Write(const Record& record, Duration /*timeout*/) override {
-    if (entry_->log_cut) {
-      throw Error(ErrorKind::kLogUnavailable, Outcome::kNotRun, "cut off from the log");
+    if (entry_->log_unreachable) {
+      throw Error(ErrorKind::kLogUnavailable, Outcome::kNotRun, "the log is unreachable");
     }
-    const Offset offset = world_->log_.Append("jobs", EncodeRecords({record}), seconds(1));
-    // The answer is lost at times, after the record has landed.
-    if (world_->faults_ && world_->Chance(0.05)) {
-      throw Error(ErrorKind::kLogUnavailable, Outcome::kUnknown, "the answer was lost");
+    const Offset offset = simulation_->log_.Append("jobs", EncodeRecords({record}), seconds(1));
+    // Sometimes the response is lost after the record was written.
+    if (simulation_->faults_ && simulation_->Chance(0.05)) {
+      throw Error(ErrorKind::kLogUnavailable, Outcome::kUnknown, "the response was lost");
     }
     last_offset_ = offset;
-    world_->Pump(entry_);
+    simulation_->ReadLog(entry_);
     return {SequenceOf(offset, 0), last_verdict_};
   }
 
@@ -104,17 +106,18 @@
   }
 
  private:
-  PlannerSimulation* const world_;
+  PlannerSimulation* const simulation_;
   Entry* const entry_;
   Offset last_offset_ = kNoOffset;
   FoldVerdict last_verdict_;
 };
 
-// An agent as one entry reaches it: calls and answers are lost, late, or the caller is paused.
+// The connection from one entry to an agent. Calls and responses may be lost or delayed, and the
+// caller may be paused.
 class PlannerSimulation::Port : public AgentPort {
  public:
-  Port(PlannerSimulation* world, Entry* entry, Agent* agent)
-      : world_(world), entry_(entry), agent_(agent) {}
+  Port(PlannerSimulation* simulation, Entry* entry, Agent* agent)
+      : simulation_(simulation), entry_(entry), agent_(agent) {}
 
   ServiceAnswer Serve(const ServiceRequest&) override { return {}; }
   void Cancel(const std::string&) override {}
@@ -130,46 +133,49 @@
   template <typename Step>
   void Send(Step step, void (GangHost::*call)(const Step&, Time)) {
     MaybePause();
-    // A fault that tests plant: what the agents fence by is passed off as new.
-    if (world_->planted_.no_fencing) step.epoch = std::max(step.epoch, agent_->host->epoch());
-    const Error lost(ErrorKind::kDeadlineExceeded, Outcome::kUnknown, "no answer in time");
-    if (!agent_->up || agent_->cut.count(entry_->name) != 0) throw lost;
-    if (world_->faults_ && world_->Chance(0.02)) throw lost;
-    if (world_->faults_ && world_->Chance(0.02)) {
-      const Time arrival = world_->clock_.Now() + kTick * static_cast<int>(world_->random_() % 250);
-      world_->late_calls_.emplace_back(arrival, [world = world_, agent = agent_, step, call] {
-        try {
-          if (agent->up) (agent->host.get()->*call)(step, world->clock_.Now());
-        } catch (const Error&) {
-          // Nobody waits for the answer any more.
-        }
-      });
+    // Injected defect: the call carries an epoch that the agent accepts as new.
+    if (simulation_->injected_.no_fencing) step.epoch = std::max(step.epoch, agent_->host->epoch());
+    const Error lost(ErrorKind::kDeadlineExceeded, Outcome::kUnknown,
+                     "no response before the timeout");
+    if (!agent_->up || agent_->unreachable_entries.count(entry_->name) != 0) throw lost;
+    if (simulation_->faults_ && simulation_->Chance(0.02)) throw lost;
+    if (simulation_->faults_ && simulation_->Chance(0.02)) {
+      const Time arrival =
+          simulation_->clock_.Now() + kTick * static_cast<int>(simulation_->random_() % 250);
+      simulation_->delayed_actions_.emplace_back(
+          arrival, [simulation = simulation_, agent = agent_, step, call] {
+            try {
+              if (agent->up) (agent->host.get()->*call)(step, simulation->clock_.Now());
+            } catch (const Error&) {
+              // The caller no longer waits for the response.
+            }
+          });
       throw lost;
     }
-    (agent_->host.get()->*call)(step, world_->clock_.Now());
-    if (world_->faults_ && world_->Chance(0.02)) throw lost;
+    (agent_->host.get()->*call)(step, simulation_->clock_.Now());
+    if (simulation_->faults_ && simulation_->Chance(0.02)) throw lost;
   }
 
-  // The world goes on while this entry stands still in the middle of its work.
+  // Advances the rest of the simulation while this entry is paused within a call.
   void MaybePause() {
-    int64_t ticks = std::exchange(world_->pause_next_call_, Duration::zero()) / kTick;
-    if (world_->nested_ != 0) return;
-    if (world_->faults_ && world_->Chance(0.02)) ticks = world_->random_() % 300;
+    int64_t ticks = std::exchange(simulation_->pause_next_call_, Duration::zero()) / kTick;
+    if (simulation_->nested_pauses_ != 0) return;
+    if (simulation_->faults_ && simulation_->Chance(0.02)) ticks = simulation_->random_() % 300;
     if (ticks == 0) return;
-    ++world_->nested_;
-    // It wakes before it has read on in the log.
-    entry_->paused_until = world_->clock_.Now() + kTick * (ticks + 1);
-    for (int64_t tick = 0; tick < ticks; ++tick) world_->Tick(false);
-    --world_->nested_;
+    ++simulation_->nested_pauses_;
+    // The entry resumes before it has read the records that were added meanwhile.
+    entry_->paused_until = simulation_->clock_.Now() + kTick * (ticks + 1);
+    for (int64_t tick = 0; tick < ticks; ++tick) simulation_->Tick(false);
+    --simulation_->nested_pauses_;
   }
 
-  PlannerSimulation* const world_;
+  PlannerSimulation* const simulation_;
   Entry* const entry_;
   Agent* const agent_;
 };
 
-PlannerSimulation::PlannerSimulation(uint64_t seed, const PlantedFaults& planted)
-    : planted_(planted), random_(seed) {
+PlannerSimulation::PlannerSimulation(uint64_t seed, const InjectedFaults& injected)
+    : injected_(injected), random_(seed) {
   PublishDocument();
   for (int index = 0; index < kAgents; ++index) {
     agents_.push_back(std::make_unique<Agent>());
@@ -187,9 +193,9 @@
 
 PlannerSimulation::~PlannerSimulation() {
   for (auto& entry : entries_) {
-    // Let each piece of work end, as the duty waits for it.
+    // The service waits in its destructor until all work has finished.
     for (const auto& work : std::exchange(entry->work, {})) work();
-    entry->duty.reset();
+    entry->service.reset();
   }
 }
 
@@ -217,16 +223,16 @@
   faults_ = false;
 }
 
-void PlannerSimulation::Heal() {
+void PlannerSimulation::RecoverAll() {
   SetLogDown(false);
   SetZoneIn(true);
   for (auto& entry : entries_) {
     entry->paused_until = Time();
-    entry->log_cut = false;
+    entry->log_unreachable = false;
     if (!entry->up) StartEntry(entry.get());
   }
   for (auto& agent : agents_) {
-    agent->cut.clear();
+    agent->unreachable_entries.clear();
     if (!agent->up) StartAgent(agent.get());
   }
 }
@@ -237,7 +243,7 @@
 
 std::string PlannerSimulation::planner() const {
   for (const auto& entry : entries_) {
-    if (entry->up && entry->duty->holds_duty()) return entry->name;
+    if (entry->up && entry->service->is_leader()) return entry->name;
   }
   return "";
 }
@@ -246,12 +252,12 @@
   for (auto& entry : entries_) {
     if (entry->name != name || !entry->up) continue;
     entry->up = false;
-    // Its calls under way are lost with it; the executor's bookkeeping must still end.
-    for (auto& agent : agents_) agent->cut.insert(name);
-    entry->log_cut = true;
+    // Calls in flight fail when the entry is killed, but the executor's work must still finish.
+    for (auto& agent : agents_) agent->unreachable_entries.insert(name);
+    entry->log_unreachable = true;
     for (const auto& work : std::exchange(entry->work, {})) work();
-    entry->duty.reset();
-    for (auto& agent : agents_) agent->cut.erase(name);
+    entry->service.reset();
+    for (auto& agent : agents_) agent->unreachable_entries.erase(name);
   }
 }
 
@@ -263,12 +269,14 @@
   log_.SetFaults(faults);
 }
 
-void PlannerSimulation::CutAgent(const std::string& name, const std::set<std::string>& entries,
-                                 Duration time) {
+void PlannerSimulation::PartitionAgent(const std::string& name,
+                                       const std::set<std::string>& entries, Duration time) {
   for (auto& agent : agents_) {
     if (agent->name != name) continue;
-    agent->cut = entries;
-    late_calls_.emplace_back(clock_.Now() + time, [cut = agent.get()] { cut->cut.clear(); });
+    agent->unreachable_entries = entries;
+    delayed_actions_.emplace_back(clock_.Now() + time, [partitioned = agent.get()] {
+      partitioned->unreachable_entries.clear();
+    });
   }
 }
 
@@ -298,10 +306,10 @@
   const Time now = clock_.Now();
   if (faults) MaybeFault();
   for (auto& entry : entries_) {
-    if (entry->up && now >= entry->paused_until) Pump(entry.get());
+    if (entry->up && now >= entry->paused_until) ReadLog(entry.get());
   }
   std::vector<std::function<void()>> arrived;
-  std::erase_if(late_calls_, [&](const auto& call) {
+  std::erase_if(delayed_actions_, [&](const auto& call) {
     if (call.first <= now) arrived.push_back(call.second);
     return call.first <= now;
   });
@@ -311,27 +319,27 @@
     Agent* agent = agents_[index].get();
     if (!agent->up) continue;
     agent->host->Expire(now);
-    if ((number + static_cast<int64_t>(index)) % kTicksPerBeat != 0) continue;
-    for (auto& entry : entries_) Beat(entry.get(), agent);
+    if ((number + static_cast<int64_t>(index)) % kTicksPerHeartbeat != 0) continue;
+    for (auto& entry : entries_) SendHeartbeat(entry.get(), agent);
   }
   for (auto& entry : entries_) {
     if (!entry->up || now < entry->paused_until) continue;
-    entry->duty->Step(now);
+    entry->service->Step(now);
     for (const auto& work : std::exchange(entry->work, {})) work();
   }
   Check();
 }
 
-void PlannerSimulation::Pump(Entry* entry) {
+void PlannerSimulation::ReadLog(Entry* entry) {
   const int64_t appends = log_.appends();
-  // A read that finds nothing sleeps for a moment of real time, which adds up.
-  if (!log_down_ && !entry->log_cut && entry->appends_seen == appends) {
+  // A read that finds nothing sleeps for a short real time, which adds up over a run.
+  if (!log_down_ && !entry->log_unreachable && entry->appends_seen == appends) {
     entry->failing = false;
-    entry->fresh_at = clock_.Now();
+    entry->log_current_at = clock_.Now();
     return;
   }
   try {
-    if (entry->log_cut) throw Error(ErrorKind::kLogUnavailable, "cut off from the log");
+    if (entry->log_unreachable) throw Error(ErrorKind::kLogUnavailable, "the log is unreachable");
     const LogBatch batch = log_.Read("jobs", entry->next, Duration::zero(), seconds(1));
     for (const LogEntry& each : batch.entries) {
       for (const PlacedRecord& placed : DecodeRecords(each.bytes)) {
@@ -342,27 +350,27 @@
     }
     entry->appends_seen = appends;
     entry->failing = false;
-    entry->fresh_at = clock_.Now();
+    entry->log_current_at = clock_.Now();
   } catch (const Error&) {
     entry->failing = true;
   }
 }
 
-void PlannerSimulation::Beat(Entry* entry, Agent* agent) {
+void PlannerSimulation::SendHeartbeat(Entry* entry, Agent* agent) {
   const Time now = clock_.Now();
   const bool paused = now < entry->paused_until;
-  if (!entry->up || paused || agent->cut.count(entry->name) != 0) return;
+  if (!entry->up || paused || agent->unreachable_entries.count(entry->name) != 0) return;
   AgentBeat beat;
   agent->host->FillBeat(&beat, now);
   entry->directory->Heard(HelloOf(agent->name), beat, now);
   EntryBeat answer;
   const PlannerEpoch epoch = entry->jobs->Planner(kZone);
   answer.planner_epoch = epoch.epoch;
-  answer.planner_active = epoch.process == entry->name && entry->duty->holds_duty();
-  answer.jobs_freshness = {now - entry->fresh_at, entry->failing};
+  answer.planner_active = epoch.process == entry->name && entry->service->is_leader();
+  answer.jobs_freshness = {now - entry->log_current_at, entry->failing};
   for (const auto& each : entries_) answer.entries.push_back(each->name);
   agent->host->Hear(entry->name, answer, now);
-  // Documents reach agents at once here; their own outages are tested elsewhere.
+  // Agents receive documents immediately; outages of this path are tested elsewhere.
   const auto config = entry->config->current();
   answer.config_version = config->version;
   answer.config_text = config->text;
@@ -372,7 +380,7 @@
 
 void PlannerSimulation::StartEntry(Entry* entry) {
   entry->up = true;
-  entry->log_cut = false;
+  entry->log_unreachable = false;
   entry->next = 0;
   entry->appends_seen = -1;
   entry->jobs = std::make_unique<JobFold>();
@@ -387,12 +395,12 @@
     entry->directory->Open(HelloOf(agent->name), std::make_shared<Port>(this, entry, agent.get()),
                            clock_.Now());
   }
-  Pump(entry);
+  ReadLog(entry);
   PlannerOptions options;
   options.zone = kZone;
   options.process = entry->name;
   options.own_zone = entry->name == "entry-0" ? kZone : "zone-b";
-  entry->duty = std::make_unique<ZonePlannerService>(
+  entry->service = std::make_unique<ZonePlannerService>(
       options, entry->directory.get(), entry->writer.get(), entry->jobs.get(), entry->config.get(),
       entry->runner.get(),
       [entry](std::function<void()> work) { entry->work.push_back(std::move(work)); }, &metrics_);
@@ -411,25 +419,25 @@
   Agent* agent = Pick(agents_);
   switch (random_() % 10) {
     case 0:
-      if (nested_ == 0) KillEntry(entry->name);
+      if (nested_pauses_ == 0) KillEntry(entry->name);
       break;
     case 1:
-      if (!entry->up && nested_ == 0) StartEntry(entry);
+      if (!entry->up && nested_pauses_ == 0) StartEntry(entry);
       break;
     case 2:
       entry->paused_until = clock_.Now() + kTick * static_cast<int>(random_() % 300);
       break;
     case 3:
-      entry->log_cut = !entry->log_cut;
+      entry->log_unreachable = !entry->log_unreachable;
       break;
     case 4:
       SetLogDown(Chance(0.5));
       break;
     case 5:
-      agent->cut.insert(entry->name);
+      agent->unreachable_entries.insert(entry->name);
       break;
     case 6:
-      agent->cut.clear();
+      agent->unreachable_entries.clear();
       break;
     case 7:
       agent->up = false;
@@ -438,7 +446,7 @@
       if (!agent->up) StartAgent(agent);
       break;
     default:
-      // The machine itself goes, and what ran there with it.
+      // The VM fails, and the tasks that ran on it are lost.
       agent->worker = std::make_unique<FakeWorker>(&clock_);
       StartAgent(agent);
       break;
@@ -471,24 +479,24 @@
   CheckDone(ended);
   std::set<std::string> partial;
   for (const auto& [job, attempts] : running) {
-    if (attempts.size() > 1) violations_.push_back("two attempts of " + job + " run at once");
+    if (attempts.size() > 1) violations_.push_back("two attempts of " + job + " run in parallel");
     const auto& [attempt, tasks] = *attempts.begin();
     if (tasks + ended[job][attempt] >= jobs_[job].tasks) continue;
     partial.insert(job);
     const Time since = partial_since_.try_emplace(job, now).first->second;
-    if (now - since > kPartialBound) violations_.push_back("part of " + job + " ran on alone");
+    if (now - since > kPartialGangLimit) violations_.push_back("part of " + job + " ran alone");
   }
   std::erase_if(partial_since_, [&](const auto& each) { return partial.count(each.first) == 0; });
   for (const auto& [job, attempts] : released_) {
     if (jobs_[job].repeatable || attempts.size() < 2) continue;
-    violations_.push_back(job + " may run once and was released twice");
+    violations_.push_back(job + " is not repeatable but was released twice");
   }
-  if (violations_.size() > kMaxLines) violations_.resize(kMaxLines);
+  if (violations_.size() > kMaxViolations) violations_.resize(kMaxViolations);
 }
 
 void PlannerSimulation::CheckDone(const std::map<std::string, std::map<int64_t, int>>& ended) {
-  const bool all_heard = std::all_of(agents_.begin(), agents_.end(), [](const auto& agent) {
-    return agent->up && agent->cut.empty();
+  const bool all_reachable = std::all_of(agents_.begin(), agents_.end(), [](const auto& agent) {
+    return agent->up && agent->unreachable_entries.empty();
   });
   for (const auto& [job, attempts] : done_) {
     if (attempts.empty()) continue;
@@ -498,14 +506,14 @@
                        found->second.at(newest) == jobs_[job].tasks;
     const auto recorded = entries_.front()->jobs->Find(job);
     const bool open = !recorded || recorded->state == JobState::kWaiting;
-    if (open && !(whole && all_heard)) result_lost_.insert(job);
+    if (open && !(whole && all_reachable)) result_lost_.insert(job);
   }
   for (const auto& [job, attempts] : ended) {
     for (const auto& [attempt, tasks] : attempts) {
       if (tasks == jobs_[job].tasks) done_[job].insert(attempt);
     }
     if (done_[job].size() > 1 && result_lost_.count(job) == 0) {
-      violations_.push_back(job + " was done twice");
+      violations_.push_back(job + " was completed twice");
     }
   }
 }
--- a/servers/planner/report_table.h
+++ b/servers/planner/report_table.h
@@ -1,4 +1,4 @@
-// What the agents of a zone report of tasks, by attempt.
+// Groups the task reports of a zone's agents by attempt.
 #pragma once
 
 #include <map>
@@ -17,24 +17,24 @@
   TaskReport report;
 };
 
-// All that is reported of one attempt of a job.
+// All task reports of one attempt of a job.
 struct ReportedAttempt {
   std::string job;
   int64_t attempt = 0;
   std::vector<ReportedTask> tasks;
 
-  // Tasks in `phase`.
+  // The number of tasks in `phase`.
   int Count(TaskPhase phase) const;
-  // Tasks that run now.
+  // The number of tasks that run, throttled tasks included.
   int running() const;
-  // Tasks that are done, failed or stopped.
+  // The number of tasks that are done, failed or stopped.
   int ended() const;
   bool guaranteed() const;
-  // Workers at which a task failed, each once.
+  // The workers on which a task failed, each listed once.
   std::vector<std::string> FailedOn() const;
-  // Least progress among its tasks.
+  // The lowest progress among the attempt's tasks.
   double progress() const;
-  // The checkpoint of the task that got least far; empty unless every task has one.
+  // The checkpoint of the task with the lowest progress; empty unless every task has a checkpoint.
   std::string checkpoint() const;
   std::vector<TaskOnWorker> placement() const;
 };
@@ -43,9 +43,9 @@
  public:
   explicit ReportTable(const std::vector<AgentState>& agents);
 
-  // Null if nothing is reported of it.
+  // Null if no agent reports this attempt.
   const ReportedAttempt* Find(const std::string& job, int64_t attempt) const;
-  // The highest attempt that is reported of the job; null if none.
+  // The attempt of the job with the highest number; null if no agent reports the job.
   const ReportedAttempt* Newest(const std::string& job) const;
 
   using Key = std::pair<std::string, int64_t>;
--- a/servers/planner/worker_health.cc
+++ b/servers/planner/worker_health.cc
@@ -5,8 +5,8 @@
 namespace turmericshift {
 namespace {
 
-// Beyond this many doublings every hold is the longest.
-constexpr int kMostDoublings = 20;
+// After this many doublings every quarantine lasts max_quarantine.
+constexpr int kMaxDoublings = 20;
 
 }  // namespace
 
@@ -19,7 +19,7 @@
   ++known.failures;
   for (const std::string& worker : workers) {
     known.failed_on.insert(worker);
-    Hold(worker, zone_workers, now);
+    Quarantine(worker, zone_workers, now);
   }
   const bool at_fault = known.failed_on.size() >= options_.workers_to_blame_job ||
                         known.failures >= options_.failures_to_blame_job;
@@ -42,25 +42,25 @@
 
 void WorkerHealth::ForgetWorker(const std::string& worker) { workers_.erase(worker); }
 
-bool WorkerHealth::HeldOut(const std::string& worker, Time now) const {
+bool WorkerHealth::IsQuarantined(const std::string& worker, Time now) const {
   const auto found = workers_.find(worker);
-  return found != workers_.end() && now < found->second.held_until;
+  return found != workers_.end() && now < found->second.quarantined_until;
 }
 
-size_t WorkerHealth::HeldOutCount(Time now) const {
+size_t WorkerHealth::QuarantinedCount(Time now) const {
   return static_cast<size_t>(
       std::count_if(workers_.begin(), workers_.end(),
-                    [now](const auto& entry) { return now < entry.second.held_until; }));
+                    [now](const auto& entry) { return now < entry.second.quarantined_until; }));
 }
 
-void WorkerHealth::Hold(const std::string& worker, size_t zone_workers, Time now) {
-  const double share = options_.most_held_share * static_cast<double>(zone_workers);
-  const auto most = std::max<size_t>(1, static_cast<size_t>(share));
+void WorkerHealth::Quarantine(const std::string& worker, size_t zone_workers, Time now) {
+  const double share = options_.max_quarantined_share * static_cast<double>(zone_workers);
+  const auto max_quarantined = std::max<size_t>(1, static_cast<size_t>(share));
   Worker& known = workers_[worker];
-  const int doublings = std::min(known.failures_in_row++, kMostDoublings);
-  if (now >= known.held_until && HeldOutCount(now) >= most) return;
-  known.held_until =
-      now + std::min(options_.longest_hold, options_.shortest_hold * (int64_t{1} << doublings));
+  const int doublings = std::min(known.failures_in_row++, kMaxDoublings);
+  if (now >= known.quarantined_until && QuarantinedCount(now) >= max_quarantined) return;
+  known.quarantined_until =
+      now + std::min(options_.max_quarantine, options_.min_quarantine * (int64_t{1} << doublings));
 }
 
 }  // namespace turmericshift
--- a/servers/planner/worker_health.h
+++ b/servers/planner/worker_health.h
@@ -1,8 +1,9 @@
-// Tells workers that fail everything from jobs that fail everywhere. A worker that fails all it
-// gets looks idle and would attract work: after a failure it is held out for a while, longer each
-// time, and the job is tried elsewhere. What happens there decides: a job that fails on several
-// workers is at fault and clears them; a job that gets done leaves the blame where it was. A worker
-// comes back by itself, and what it gets then is its probe.
+// Distinguishes workers on which every task fails from jobs that fail on every worker. A worker
+// that fails all its tasks looks idle and would attract more work. After a failure the worker is
+// therefore quarantined, for longer after each failure in a row, and the job is tried on other
+// workers. If the job fails on several workers, the job is at fault and the failures it caused no
+// longer count against them. If the job completes elsewhere, the quarantine of the first worker
+// stays. A quarantine ends by itself; the next job on the worker serves as the probe.
 #pragma once
 
 #include <map>
@@ -17,41 +18,42 @@
 enum class FailureVerdict { kTryElsewhere, kJobAtFault };
 
 struct WorkerHealthOptions {
-  // The first hold; each further failure in a row doubles it, up to the longest.
-  Duration shortest_hold = std::chrono::seconds(30);
-  Duration longest_hold = std::chrono::hours(1);
-  // A job that failed on this many workers, or this often in all, is at fault.
+  // The first quarantine. Each further failure in a row doubles it, up to max_quarantine.
+  Duration min_quarantine = std::chrono::seconds(30);
+  Duration max_quarantine = std::chrono::hours(1);
+  // A job that failed on this many workers, or in this many attempts, is at fault.
   size_t workers_to_blame_job = 3;
   int failures_to_blame_job = 5;
-  // At most this share of the zone's workers, but always one, is held out: when more fail, the
-  // cause is not in the workers.
-  double most_held_share = 0.1;
+  // The largest share of the zone's workers in quarantine, though one worker is always allowed. If
+  // more workers fail, the cause is not in the workers.
+  double max_quarantined_share = 0.1;
 };
 
 class WorkerHealth {
  public:
   explicit WorkerHealth(const WorkerHealthOptions& options = {});
 
-  // `workers` are those on which its tasks failed; the zone has `zone_workers`.
+  // `workers` are the workers on which the job's tasks failed; `zone_workers` is the number of
+  // workers in the zone.
   FailureVerdict AttemptFailed(const std::string& job, const std::vector<std::string>& workers,
                                size_t zone_workers, Time now);
   void AttemptDone(const std::string& job, const std::vector<std::string>& workers);
   void ForgetJob(const std::string& job);
   void ForgetWorker(const std::string& worker);
 
-  bool HeldOut(const std::string& worker, Time now) const;
-  size_t HeldOutCount(Time now) const;
+  bool IsQuarantined(const std::string& worker, Time now) const;
+  size_t QuarantinedCount(Time now) const;
 
  private:
   struct Worker {
     int failures_in_row = 0;
-    Time held_until{};
+    Time quarantined_until{};
   };
   struct Job {
     int failures = 0;
     std::set<std::string> failed_on;
   };
-  void Hold(const std::string& worker, size_t zone_workers, Time now);
+  void Quarantine(const std::string& worker, size_t zone_workers, Time now);
 
   const WorkerHealthOptions options_;
   std::map<std::string, Worker> workers_;
--- a/servers/planner/zone_choice.cc
+++ b/servers/planner/zone_choice.cc
@@ -7,8 +7,8 @@
 namespace turmericshift {
 namespace {
 
-// A waiting job moves only if that evens the loads out by more than this, in shares of a zone.
-constexpr double kWorthMoving = 0.1;
+// A waiting job moves only if this lowers its load ratio by more than this value.
+constexpr double kMinLoadImprovement = 0.1;
 
 int AcceleratorsOf(const JobSpec& spec) { return spec.shape.accelerators * spec.tasks; }
 
@@ -18,23 +18,23 @@
   return found == loads.end() ? kNone : found->second;
 }
 
-int OwnLoad(const ZoneLoad& load, const std::string& workspace) {
+int WorkspaceLoad(const ZoneLoad& load, const std::string& workspace) {
   const auto found = load.workspace_accelerators.find(workspace);
   return found == load.workspace_accelerators.end() ? 0 : found->second;
 }
 
-// Accelerators asked of the zone for each that it has, or of the workspace's cap there if that is
-// tighter, with `more` of the workspace's own.
-double Pressure(const AvailabilityZoneSpec& zone, const Feasibility& feasibility,
-                const ZoneLoad& load, const std::string& workspace, int more) {
+// The accelerators requested per accelerator of the zone, or per accelerator of the workspace's cap
+// in the zone if that ratio is higher, after adding `more` accelerators for the workspace.
+double LoadRatio(const AvailabilityZoneSpec& zone, const Feasibility& feasibility,
+                 const ZoneLoad& load, const std::string& workspace, int more) {
   const int cap = std::max(1, feasibility.AcceleratorCap(zone.name, workspace));
   const double of_zone =
       static_cast<double>(load.accelerators + more) / std::max(1, AcceleratorsOf(zone));
-  const double of_cap = static_cast<double>(OwnLoad(load, workspace) + more) / cap;
+  const double of_cap = static_cast<double>(WorkspaceLoad(load, workspace) + more) / cap;
   return std::max(of_zone, of_cap);
 }
 
-// `counted_in` has the job in its load already; "" if no zone has.
+// `counted_in` is the zone whose load already includes the job; "" if no load does.
 std::string Choose(const Environment& environment, const Feasibility& feasibility,
                    const JobSpec& spec, const ZoneLoads& loads, const std::string& counted_in) {
   std::string chosen;
@@ -43,11 +43,11 @@
     if (!zone.in || feasibility.InZone(name, spec)) continue;
     const ZoneLoad& load = LoadOf(loads, name);
     const int more = name == counted_in ? 0 : AcceleratorsOf(spec);
-    const int wanted = more + OwnLoad(load, spec.workspace);
+    const int wanted = more + WorkspaceLoad(load, spec.workspace);
     const bool guaranteed = wanted <= feasibility.GuaranteedAccelerators(name, spec.workspace);
-    const double pressure = Pressure(zone, feasibility, load, spec.workspace, more);
-    // Free room elsewhere comes before guaranteed room that has to be had back.
-    const std::tuple<bool, bool, double, int> rank = {pressure > 1, !guaranteed, pressure,
+    const double load_ratio = LoadRatio(zone, feasibility, load, spec.workspace, more);
+    // Free room in another zone is preferred over guaranteed room that must first be reclaimed.
+    const std::tuple<bool, bool, double, int> rank = {load_ratio > 1, !guaranteed, load_ratio,
                                                       load.jobs};
     if (!chosen.empty() && rank >= least) continue;
     chosen = name;
@@ -89,10 +89,10 @@
   if (to.empty() || to == from) return "";
   const AvailabilityZoneSpec* old_zone = environment.FindZone(from);
   if (old_zone == nullptr || !old_zone->in || feasibility.InZone(from, spec)) return to;
-  const double here = Pressure(*old_zone, feasibility, LoadOf(loads, from), spec.workspace, 0);
-  const double there = Pressure(*environment.FindZone(to), feasibility, LoadOf(loads, to),
-                                spec.workspace, AcceleratorsOf(spec));
-  return here - there > kWorthMoving ? to : "";
+  const double here = LoadRatio(*old_zone, feasibility, LoadOf(loads, from), spec.workspace, 0);
+  const double there = LoadRatio(*environment.FindZone(to), feasibility, LoadOf(loads, to),
+                                 spec.workspace, AcceleratorsOf(spec));
+  return here - there > kMinLoadImprovement ? to : "";
 }
 
 }  // namespace turmericshift
--- a/servers/planner/zone_choice.h
+++ b/servers/planner/zone_choice.h
@@ -1,5 +1,6 @@
-// Which availability zone's planner a job goes to, and when a waiting one is better off elsewhere.
-// Pure functions of the document and the open jobs, used by entries and by replay in the same way.
+// Chooses the availability zone whose planner receives a job, and decides when a waiting job should
+// move to another zone. The functions are pure functions of the document and the open jobs, used by
+// entries and by replay alike.
 #pragma once
 
 #include <map>
@@ -12,11 +13,11 @@
 
 namespace turmericshift {
 
-// What a zone's open jobs, running and waiting, ask for.
+// The resources requested by a zone's open jobs, running and waiting.
 struct ZoneLoad {
   int accelerators = 0;
   int jobs = 0;
-  // By workspace.
+  // Accelerators by workspace.
   std::map<std::string, int> workspace_accelerators;
 
   void Add(const JobSpec& spec);
@@ -26,16 +27,18 @@
 
 ZoneLoads LoadsOf(const Environment& environment, const JobFold& jobs);
 
-// `environment` must be that of `feasibility`. Returns the zone that is in, allowed, can run the
-// job and has the least asked of it for its size, one that holds unused guaranteed cells of the
-// job's workspace before others; "" if there is none.
+// `environment` must be the one that `feasibility` was made from. Returns a zone that is in,
+// allowed by the job and able to run it; "" if there is none. Prefers zones where the job fits
+// without exceeding full load, then zones where it fits in unused guaranteed cells of its
+// workspace, then the lowest load relative to the zone's size.
 std::string ChooseZone(const Environment& environment, const Feasibility& feasibility,
                        const JobSpec& spec, const ZoneLoads& loads);
 
-// Where a waiting job of zone `from` should move; "" if it should stay. It moves when its zone is
-// out, or when another would be much less loaded even with it. Each move narrows the difference, so
-// that jobs don't go back and forth, and callers bound the moves at a time: a zone that comes back
-// is filled step by step.
+// Returns the zone that a waiting job of zone `from` should move to; "" if it should stay. A job
+// moves if its zone is out or can't run it, or if another zone would be much less loaded even with
+// the job. Each move narrows the difference in load, so that jobs don't move back and forth.
+// Callers limit the number of moves at a time, so that a zone that comes back in is filled
+// gradually.
 std::string BetterZone(const Environment& environment, const Feasibility& feasibility,
                        const JobSpec& spec, const std::string& from, const ZoneLoads& loads);
 
--- a/servers/planner/zone_planner.cc
+++ b/servers/planner/zone_planner.cc
@@ -8,7 +8,7 @@
 namespace turmericshift {
 namespace {
 
-constexpr double kLeastPart = 0.1;
+constexpr double kMinAttemptShare = 0.1;
 
 uint32_t AllAccelerators(const TaskShape& capacity) {
   return (uint32_t{1} << capacity.accelerators) - 1;
@@ -32,9 +32,9 @@
   view_.in = zone != nullptr && zone->in;
   view_.split = std::make_shared<const GuaranteeSplit>(SplitGuarantees(*environment));
   feasibility_ = std::make_unique<Feasibility>(environment);
-  checked_.clear();
-  refused_.clear();
-  rebind_ = true;
+  checked_jobs_.clear();
+  refused_jobs_.clear();
+  rebind_needed_ = true;
   view_.environment = std::move(environment);
 }
 
@@ -78,7 +78,7 @@
   for (size_t index = 0; index < view_.workers.size(); ++index) {
     worker_index_[view_.workers[index].name] = index;
   }
-  for (RunningJob& job : view_.running) NotePositions(&job.tasks);
+  for (RunningJob& job : view_.running) UpdatePositions(&job.tasks);
 }
 
 void ZonePlanner::JobAccepted(const JobRecord& job, Time now) {
@@ -104,8 +104,8 @@
   if (waiting_ids_.erase(job) != 0) view_.waiting.erase(FindById(&view_.waiting, job));
   cancel_asked_.erase(job);
   health_.ForgetJob(job);
-  checked_.erase(job);
-  refused_.erase(job);
+  checked_jobs_.erase(job);
+  refused_jobs_.erase(job);
   checkpoints_.erase(job);
   wait_reasons_.erase(job);
 }
@@ -124,11 +124,11 @@
   running.last_checkpoint = now;
   running.borrowed = borrowed;
   running.tasks = tasks;
-  for (const TaskOnWorker& task : tasks) Take(job.spec.shape, task);
-  NotePositions(&running.tasks);
+  for (const TaskOnWorker& task : tasks) TakeRoom(job.spec.shape, task);
+  UpdatePositions(&running.tasks);
   running_index_[job.id] = view_.running.size();
   view_.running.push_back(running);
-  rebind_ = true;
+  rebind_needed_ = true;
 }
 
 void ZonePlanner::Progress(const std::string& job, double progress, Time /*now*/) {
@@ -149,11 +149,11 @@
   const RunningJob ended = *found;
   view_.running.erase(view_.running.begin() + (found - view_.running.data()));
   running_index_stale_ = true;
-  for (const TaskOnWorker& task : ended.tasks) GiveBack(ended.spec.shape, task);
+  for (const TaskOnWorker& task : ended.tasks) ReleaseRoom(ended.spec.shape, task);
   if (end == AttemptEnd::kDone) {
-    // Of work that went on from a checkpoint, this attempt ran only a part.
-    const double part = std::max(kLeastPart, 1 - ended.started_progress);
-    policy_->Learn(ended.spec, FromSeconds(Seconds(now - ended.started) / part), now);
+    // An attempt that continued from a checkpoint ran only a share of the work.
+    const double share = std::max(kMinAttemptShare, 1 - ended.started_progress);
+    policy_->Learn(ended.spec, FromSeconds(Seconds(now - ended.started) / share), now);
     std::vector<std::string> workers;
     for (const TaskOnWorker& task : ended.tasks) workers.push_back(task.worker);
     health_.AttemptDone(job, workers);
@@ -176,8 +176,8 @@
 
 Plan ZonePlanner::Decide(Time now) {
   Plan plan;
-  HoldOutWorkers(now);
-  if (rebind_) Rebind();
+  UpdateQuarantine(now);
+  if (rebind_needed_) RebindCells();
   BindBorrowed();
   if (view_.environment) {
     CheckFeasibility(&plan);
@@ -203,24 +203,24 @@
   return may_repeat ? verdict : FailureVerdict::kJobAtFault;
 }
 
-void ZonePlanner::HoldOutWorkers(Time now) {
+void ZonePlanner::UpdateQuarantine(Time now) {
   for (WorkerView& worker : view_.workers) {
-    worker.usable = worker.reachable && !health_.HeldOut(worker.name, now);
+    worker.usable = worker.reachable && !health_.IsQuarantined(worker.name, now);
   }
 }
 
 void ZonePlanner::CheckFeasibility(Plan* plan) {
   for (WaitingJob& job : view_.waiting) {
-    if (checked_.insert(job.id).second) {
+    if (checked_jobs_.insert(job.id).second) {
       const std::optional<Refusal> here = feasibility_->InZone(view_.zone, job.spec);
       job.obstacle = here ? here->Text() : "";
       if (here) {
         const std::optional<Refusal> anywhere = feasibility_->Anywhere(job.spec);
-        if (anywhere) refused_[job.id] = anywhere->Text();
+        if (anywhere) refused_jobs_[job.id] = anywhere->Text();
       }
     }
-    const auto refused = refused_.find(job.id);
-    if (refused != refused_.end()) plan->refusals.push_back({job.id, refused->second});
+    const auto refused = refused_jobs_.find(job.id);
+    if (refused != refused_jobs_.end()) plan->refusals.push_back({job.id, refused->second});
   }
 }
 
@@ -236,7 +236,7 @@
     } else if (!job.obstacle.empty()) {
       reason = job.obstacle;
     } else if (reason.empty()) {
-      reason = "jobs ahead of it wait for room";
+      reason = "jobs ahead of it are waiting for room";
     }
   }
 }
@@ -256,26 +256,27 @@
   }
 }
 
-void ZonePlanner::NotePositions(std::vector<TaskOnWorker>* tasks) const {
+void ZonePlanner::UpdatePositions(std::vector<TaskOnWorker>* tasks) const {
   for (TaskOnWorker& task : *tasks) {
     const auto found = worker_index_.find(task.worker);
     task.position = found == worker_index_.end() ? -1 : static_cast<int>(found->second);
   }
 }
 
-void ZonePlanner::Rebind() {
-  rebind_ = false;
+void ZonePlanner::RebindCells() {
+  rebind_needed_ = false;
   if (!view_.environment) return;
   std::vector<RunningJob> running;
   running.swap(view_.running);
   {
     ZoneRoom room(view_);
-    // Recorded cells first, so that found work does not take a cell that is in use.
+    // Jobs with recorded cells are bound first, so that adopted jobs don't take cells that are in
+    // use.
     for (const bool recorded : {true, false}) {
       for (RunningJob& job : running) {
         if (job.borrowed || job.tasks.front().cell.has_value() != recorded) continue;
         if (room.BindAll(job.spec, &job.tasks)) continue;
-        ForgetCells(&job.tasks);
+        ClearCells(&job.tasks);
         if (room.BindAll(job.spec, &job.tasks)) continue;
         job.borrowed = CanBeStopped(job.spec);
       }
@@ -285,11 +286,11 @@
 }
 
 void ZonePlanner::BindBorrowed() {
-  const auto may = [](const RunningJob& job) { return job.borrowed && !job.stopping; };
-  if (std::none_of(view_.running.begin(), view_.running.end(), may)) return;
+  const auto may_bind = [](const RunningJob& job) { return job.borrowed && !job.stopping; };
+  if (std::none_of(view_.running.begin(), view_.running.end(), may_bind)) return;
   ZoneRoom room(view_);
   for (RunningJob& job : view_.running) {
-    if (!may(job) || !room.HasUnbound(room.WorkspaceIndex(job.spec.workspace))) continue;
+    if (!may_bind(job) || !room.HasUnbound(room.WorkspaceIndex(job.spec.workspace))) continue;
     if (room.BindAll(job.spec, &job.tasks)) job.borrowed = false;
   }
 }
@@ -334,11 +335,11 @@
   running.saved_progress = found->progress;
   running.borrowed = start.borrowed;
   running.tasks = start.tasks;
-  for (const TaskOnWorker& task : start.tasks) Take(running.spec.shape, task);
+  for (const TaskOnWorker& task : start.tasks) TakeRoom(running.spec.shape, task);
   view_.waiting.erase(found);
   waiting_ids_.erase(start.job);
-  checked_.erase(start.job);
-  NotePositions(&running.tasks);
+  checked_jobs_.erase(start.job);
+  UpdatePositions(&running.tasks);
   running_index_[start.job] = view_.running.size();
   view_.running.push_back(running);
 }
@@ -360,7 +361,7 @@
   return found == running_index_.end() ? nullptr : &view_.running[found->second];
 }
 
-void ZonePlanner::Take(const TaskShape& shape, const TaskOnWorker& task) {
+void ZonePlanner::TakeRoom(const TaskShape& shape, const TaskOnWorker& task) {
   WorkerView* worker = FindWorker(task.worker);
   if (worker == nullptr) return;
   worker->free_processors -= shape.processors;
@@ -368,7 +369,7 @@
   worker->free_accelerators &= ~task.accelerators;
 }
 
-void ZonePlanner::GiveBack(const TaskShape& shape, const TaskOnWorker& task) {
+void ZonePlanner::ReleaseRoom(const TaskShape& shape, const TaskOnWorker& task) {
   WorkerView* worker = FindWorker(task.worker);
   if (worker == nullptr) return;
   worker->free_processors += shape.processors;
--- a/servers/planner/zone_planner.h
+++ b/servers/planner/zone_planner.h
@@ -1,5 +1,6 @@
-// The state of one zone's planning: takes events, keeps the view, asks the policy, and marks what
-// it decided as taken. Used by the planner's duty in production and by replay, in the same way.
+// The planning state of one zone: processes events, maintains the view, asks the policy for a plan
+// and reserves the room that the plan uses. Used by ZonePlannerService in production and by replay,
+// in the same way.
 #pragma once
 
 #include <map>
@@ -17,7 +18,6 @@
 
 namespace turmericshift {
 
-// Why an attempt ended.
 enum class AttemptEnd { kDone, kFailed, kStopped, kWorkerLost, kNotStarted };
 
 class ZonePlanner {
@@ -25,56 +25,61 @@
   ZonePlanner(const std::string& zone, std::unique_ptr<PlacementPolicy> policy);
 
   void SetEnvironment(std::shared_ptr<const Environment> environment);
-  // The worker is there with nothing running; a known worker only becomes usable again.
+  // Adds the worker with nothing running on it. A worker that is already known only becomes
+  // reachable again.
   void WorkerUp(const std::string& name, const std::string& rack, const TaskShape& capacity);
   void WorkerUsable(const std::string& name, bool usable);
-  // What ran there is lost: its jobs' attempts have ended.
+  // Removes the worker. All attempts with tasks on it have ended.
   void WorkerLost(const std::string& name, Time now);
 
   void JobAccepted(const JobRecord& job, Time now);
   // Takes effect with the next Decide.
   void CancelAsked(const std::string& job);
-  // The job has ended or belongs to another planner; forgets it.
+  // Forgets the job, which has ended or belongs to another planner now.
   void JobGone(const std::string& job);
-  // A job that was found running after a change of planner.
+  // Adds a job that was found running after a change of planner.
   void FoundRunning(const JobRecord& job, int64_t attempt, const std::vector<TaskOnWorker>& tasks,
                     bool borrowed, Time now);
   void Progress(const std::string& job, double progress, Time now);
   void Checkpointed(const std::string& job, const std::string& checkpoint, Time now);
-  // Frees its room. The job waits again unless it is done, failed or cancelled.
+  // Frees the attempt's room. The job waits again unless the attempt is done or failed.
   void AttemptEnded(const std::string& job, int64_t attempt, AttemptEnd end, Time now);
 
-  // To be asked before AttemptEnded when tasks failed on `workers`: whether the job is at fault
-  // (kFailed) or should be tried on other workers (kStopped). Work that may not be repeated is at
-  // fault at once.
+  // Must be called before AttemptEnded when tasks failed on `workers`. The verdict is kJobAtFault
+  // if the job failed (then pass AttemptEnd::kFailed), or kTryElsewhere if the job should be tried
+  // on other workers (pass kStopped). A job that may not be repeated is at fault immediately.
   FailureVerdict AttemptFailedOn(const std::string& job, const std::vector<std::string>& workers,
                                  Time now);
 
-  // Whether a start that a policy planned may go ahead is checked here once more, whatever the
-  // policy: zone in, room free, cap kept, every guarantee still within reach. One that may not is
-  // dropped and logged. Work beyond its workspace's cells is marked as borrowed.
+  // Asks the policy for a plan and checks each of its starts again: the zone must be in, the room
+  // free, the workspace's cap respected and every guarantee still attainable. A start that fails a
+  // check is dropped and logged. A start beyond its workspace's guaranteed cells is marked as
+  // borrowed.
   //
-  // Decides and takes the room of each start at once. The caller carries the plan out and reports
-  // a start that failed with AttemptEnded(kNotStarted).
+  // Takes the room of each start immediately. The caller carries out the plan and reports a failed
+  // start with AttemptEnded(kNotStarted).
   Plan Decide(Time now);
 
   const ZoneView& view() const { return view_; }
-  // Why the job waits; "" if it does not.
+  // Why the job waits; "" if it does not wait.
   std::string WaitReasonFor(const std::string& job) const;
 
  private:
   WorkerView* FindWorker(const std::string& name);
   RunningJob* FindRunning(const std::string& job);
-  void Take(const TaskShape& shape, const TaskOnWorker& task);
-  void GiveBack(const TaskShape& shape, const TaskOnWorker& task);
-  void NotePositions(std::vector<TaskOnWorker>* tasks) const;
-  // Binds what runs to the cells of the present document; work that no longer has one is borrowed.
-  void Rebind();
-  void HoldOutWorkers(Time now);
-  // Notes which waiting jobs can't run here, and refuses those that can't run anywhere.
+  void TakeRoom(const TaskShape& shape, const TaskOnWorker& task);
+  void ReleaseRoom(const TaskShape& shape, const TaskOnWorker& task);
+  void UpdatePositions(std::vector<TaskOnWorker>* tasks) const;
+  // Binds running jobs to the cells of the current document. A job that no longer gets a cell is
+  // marked as borrowed if it can be stopped.
+  void RebindCells();
+  void UpdateQuarantine(Time now);
+  // Determines which waiting jobs can't run in this zone, and refuses jobs that can't run in any
+  // zone.
   void CheckFeasibility(Plan* plan);
   void AddWaitReasons(const Plan& plan);
-  // Binds borrowed work to cells that its workspace does not use otherwise, where it runs now.
+  // Binds borrowed jobs, on the room where they run now, to cells that their workspace does not
+  // use.
   void BindBorrowed();
   void DropUnsafeStarts(Plan* plan);
   void ApplyStart(const StartDecision& start, Time now);
@@ -82,14 +87,14 @@
 
   ZoneView view_;
   WorkerHealth health_;
-  bool rebind_ = false;
+  bool rebind_needed_ = false;
   std::unique_ptr<Feasibility> feasibility_;
-  // Waiting jobs that were checked against the present document.
-  std::unordered_set<std::string> checked_;
-  std::unordered_map<std::string, std::string> refused_;
+  // Waiting jobs that were checked against the current document.
+  std::unordered_set<std::string> checked_jobs_;
+  std::unordered_map<std::string, std::string> refused_jobs_;
   std::unordered_map<std::string, size_t> worker_index_;
   std::unordered_set<std::string> waiting_ids_;
-  // Positions in view_.running; made anew after a removal.
+  // Positions in view_.running; rebuilt after a removal.
   std::unordered_map<std::string, size_t> running_index_;
   bool running_index_stale_ = false;
   const std::unique_ptr<PlacementPolicy> policy_;
--- a/servers/planner/zone_planner_manager.cc
+++ b/servers/planner/zone_planner_manager.cc
@@ -1,35 +1,38 @@
+#include "servers/planner/zone_planner_manager.h"
+
 #include <atomic>
 
 #include "core/error.h"
 #include "core/logging.h"
 #include "core/thread_pool.h"
-#include "servers/planner/zone_planner_manager.h"
 
 namespace turmericshift {
 namespace {
 
-// A round at least this often, and sooner when the jobs stream has news.
-constexpr Duration kPeriod = std::chrono::milliseconds(100);
-constexpr Duration kTick = std::chrono::milliseconds(20);
-constexpr Duration kZonesPeriod = std::chrono::milliseconds(200);
-// A planner whose last round is older than this hangs; agents must not take it for alive.
-constexpr Duration kActiveAge = std::chrono::seconds(2);
+// The interval between rounds. A round runs earlier when the jobs stream or a completion brings
+// news.
+constexpr Duration kStepInterval = std::chrono::milliseconds(100);
+constexpr Duration kPollInterval = std::chrono::milliseconds(20);
+constexpr Duration kZoneRefreshInterval = std::chrono::milliseconds(200);
+// A planner whose last round is older than this is considered hung, and must not be reported to
+// agents as active.
+constexpr Duration kMaxStepAge = std::chrono::seconds(2);
 constexpr int kStepThreads = 16;
 constexpr int kMaxCalls = 32;
 
 }  // namespace
 
-struct ZonePlannerManager::ZoneDuty {
-  ZoneDuty(const PlannerOptions& options, ZonePlannerManager* owner)
+struct ZonePlannerManager::ManagedZone {
+  ManagedZone(const PlannerOptions& options, ZonePlannerManager* owner)
       : steps("planner-step", kStepThreads),
-        duty(
+        service(
             options, owner->directory_, owner->jobs_, owner->job_fold_, owner->config_fold_,
             &owner->runner_, [this](std::function<void()> work) { steps.Submit(std::move(work)); },
             owner->metrics_) {}
 
   ThreadPool steps;
-  ZonePlannerService duty;
-  std::atomic<Time> stepped_at{Time()};
+  ZonePlannerService service;
+  std::atomic<Time> last_step_at{Time()};
   Thread thread;
 };
 
@@ -58,19 +61,19 @@
 }
 
 bool ZonePlannerManager::Active(const std::string& zone) const {
-  const ZoneDuty* duty = Find(zone);
-  if (duty == nullptr || !duty->duty.holds_duty()) return false;
-  return DefaultClock().Now() - duty->stepped_at.load() <= kActiveAge;
+  const ManagedZone* found = Find(zone);
+  if (found == nullptr || !found->service.is_leader()) return false;
+  return DefaultClock().Now() - found->last_step_at.load() <= kMaxStepAge;
 }
 
 std::string ZonePlannerManager::WaitReasonFor(const JobRecord& job) const {
-  const ZoneDuty* duty = Find(job.zone);
-  return duty == nullptr ? "" : duty->duty.WaitReasonFor(job.id);
+  const ManagedZone* zone = Find(job.zone);
+  return zone == nullptr ? "" : zone->service.WaitReasonFor(job.id);
 }
 
 int64_t ZonePlannerManager::RunningAttempt(const JobRecord& job) const {
-  const ZoneDuty* duty = Find(job.zone);
-  if (duty != nullptr && duty->duty.holds_duty()) return duty->duty.RunningAttempt(job.id);
+  const ManagedZone* zone = Find(job.zone);
+  if (zone != nullptr && zone->service.is_leader()) return zone->service.RunningAttempt(job.id);
   const ReportTable table(directory_->Agents(job.zone));
   const ReportedAttempt* newest = table.Newest(job.id);
   return newest != nullptr && newest->running() > 0 ? newest->attempt : 0;
@@ -78,10 +81,10 @@
 
 bool ZonePlannerManager::Leave(Duration limit) {
   std::unique_lock<std::mutex> lock(mutex_);
-  for (auto& [name, zone] : zones_) zone->duty.Leave();
+  for (auto& [name, zone] : zones_) zone->service.Leave();
   return changed_.wait_for(lock, limit, [this] {
     for (const auto& [name, zone] : zones_) {
-      if (zone->duty.holds_duty()) return false;
+      if (zone->service.is_leader()) return false;
     }
     return true;
   });
@@ -98,39 +101,39 @@
         options.process = options_.process;
         options.own_zone = options_.own_zone;
         options.policy = options_.policy;
-        auto zone = std::make_unique<ZoneDuty>(options, this);
-        ZoneDuty* const running = zone.get();
+        auto zone = std::make_unique<ManagedZone>(options, this);
+        ManagedZone* const running = zone.get();
         zones_[name] = std::move(zone);
         running->thread = Thread("planner", [this, running] { RunZone(running); });
       }
     }
-    changed_.wait_for(lock, kZonesPeriod, [this] { return stopping_; });
+    changed_.wait_for(lock, kZoneRefreshInterval, [this] { return stopping_; });
   }
 }
 
-void ZonePlannerManager::RunZone(ZoneDuty* zone) {
-  int64_t seen = -1;
-  Time next = DefaultClock().Now();
+void ZonePlannerManager::RunZone(ManagedZone* zone) {
+  int64_t seen_changes = -1;
+  Time next_step_at = DefaultClock().Now();
   while (true) {
     const int64_t changes = job_fold_->changes();
     const Time now = DefaultClock().Now();
-    if (changes != seen || now >= next || zone->duty.has_news()) {
-      seen = changes;
-      next = now + kPeriod;
+    if (changes != seen_changes || now >= next_step_at || zone->service.has_completions()) {
+      seen_changes = changes;
+      next_step_at = now + kStepInterval;
       try {
-        zone->duty.Step(now);
+        zone->service.Step(now);
       } catch (const Error& error) {
         LogEvent(LogLevel::kWarning, "planner_step_failed", {{"error", error.what()}});
       }
-      zone->stepped_at.store(DefaultClock().Now());
+      zone->last_step_at.store(DefaultClock().Now());
       changed_.notify_all();
     }
     std::unique_lock<std::mutex> lock(mutex_);
-    if (changed_.wait_for(lock, kTick, [this] { return stopping_; })) return;
+    if (changed_.wait_for(lock, kPollInterval, [this] { return stopping_; })) return;
   }
 }
 
-const ZonePlannerManager::ZoneDuty* ZonePlannerManager::Find(const std::string& zone) const {
+const ZonePlannerManager::ManagedZone* ZonePlannerManager::Find(const std::string& zone) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   const auto found = zones_.find(zone);
   return found == zones_.end() ? nullptr : found->second.get();
--- a/servers/planner/zone_planner_manager.h
+++ b/servers/planner/zone_planner_manager.h
@@ -1,6 +1,6 @@
-// The planner's duties of one entry: one ZonePlannerService on a thread of its own for every
-// availability zone of the document, so that a zone whose own entries are gone still gets a
-// planner.
+// Runs the zone planners of one entry: a ZonePlannerService on a thread of its own for each
+// availability zone of the document. Every entry can plan every zone, so a zone whose own entries
+// have failed still gets a planner.
 #pragma once
 
 #include <condition_variable>
@@ -17,7 +17,7 @@
 namespace turmericshift {
 
 struct ZonePlannerManagerOptions {
-  // This entry's name and zone.
+  // The name and the zone of this entry.
   std::string process;
   std::string own_zone;
   std::string policy = "first_fit";
@@ -25,7 +25,7 @@
 
 class ZonePlannerManager {
  public:
-  // All pointers must outlive the duties.
+  // All pointers must outlive the manager.
   ZonePlannerManager(const ZonePlannerManagerOptions& options, AgentDirectory* directory,
                      RecordWriter* jobs, const JobFold* job_fold, const ConfigFold* config_fold,
                      MetricsRegistry* metrics);
@@ -33,23 +33,24 @@
   ZonePlannerManager(const ZonePlannerManager&) = delete;
   ZonePlannerManager& operator=(const ZonePlannerManager&) = delete;
 
-  // This entry holds the zone's duty and its planner is at work.
+  // Returns whether this entry is the zone's active planner and its planning thread makes progress.
   bool Active(const std::string& zone) const;
-  // Why the job waits, as far as this entry knows; "" if it does not.
+  // Why the job waits, as far as this entry knows; "" if the job does not wait.
   std::string WaitReasonFor(const JobRecord& job) const;
-  // The attempt that runs now, by the planner or by what agents report; 0 if none.
+  // The number of the job's running attempt, as known to this entry's planner or else as reported
+  // by agents; 0 if no attempt runs.
   int64_t RunningAttempt(const JobRecord& job) const;
 
-  // Hands every duty over. Returns whether all are, within `limit`.
+  // Steps down from all zones. Returns whether this was completed within `limit`.
   bool Leave(Duration limit);
 
  private:
-  struct ZoneDuty;
+  struct ManagedZone;
 
   void Run();
-  void RunZone(ZoneDuty* zone);
-  // Null when there is none.
-  const ZoneDuty* Find(const std::string& zone) const;
+  void RunZone(ManagedZone* zone);
+  // Null if the zone has no planner here.
+  const ManagedZone* Find(const std::string& zone) const;
 
   const ZonePlannerManagerOptions options_;
   AgentDirectory* const directory_;
@@ -62,8 +63,8 @@
   mutable std::mutex mutex_;
   std::condition_variable changed_;
   bool stopping_ = false;
-  // Never removed before the end, so that what Find returns stays.
-  std::map<std::string, std::unique_ptr<ZoneDuty>> zones_;
+  // Elements are never removed, so pointers that Find returns stay valid.
+  std::map<std::string, std::unique_ptr<ManagedZone>> zones_;
   Thread thread_;
 };
 
--- a/servers/planner/zone_planner_service.h
+++ b/servers/planner/zone_planner_service.h
@@ -1,6 +1,7 @@
-// The planner's duty for one availability zone, held by one entry at a time under an epoch from the
-// log: feeds the ZonePlanner with what agents and the log say and carries its plans out.
-// docs/notes/planner-duty.md and docs/notes/gangs.md give the protocol.
+// Runs the planner of one availability zone. One entry at a time is the zone's active planner,
+// under an epoch from the log that serves as a fencing token. The service claims this leadership,
+// feeds the ZonePlanner with reports from agents and records from the log, and carries out its
+// plans. docs/notes/planner-duty.md and docs/notes/gangs.md describe the protocol.
 #pragma once
 
 #include <condition_variable>
@@ -28,106 +29,110 @@
 
 struct PlannerOptions {
   std::string zone;
-  // This entry's name and zone.
+  // The name and the zone of this entry.
   std::string process;
   std::string own_zone;
   std::string policy = "first_fit";
-  // An agent that has been silent for this long has lost what ran there.
-  Duration agent_silence = std::chrono::seconds(5);
+  // Tasks on an agent that has not reported for this long are considered lost.
+  Duration agent_timeout = std::chrono::seconds(5);
 };
 
 class ZonePlannerService {
  public:
-  // Runs work that may block, now or later, on any thread.
+  // Runs work that may block, either immediately or later, on any thread.
   using Executor = std::function<void(std::function<void()>)>;
 
-  // All pointers must outlive the duty.
+  // All pointers must outlive the service.
   ZonePlannerService(const PlannerOptions& options, AgentDirectory* directory, RecordWriter* jobs,
                      const JobFold* job_fold, const ConfigFold* config_fold, GangRunner* runner,
                      Executor executor, MetricsRegistry* metrics);
-  // Waits for the work it has given to the executor.
+  // Waits for all work that was passed to the executor.
   ~ZonePlannerService();
   ZonePlannerService(const ZonePlannerService&) = delete;
   ZonePlannerService& operator=(const ZonePlannerService&) = delete;
 
-  // One round: what is new, what to do about it. Blocks on nothing but the policy's decision.
+  // Runs one round: processes new reports and records and carries out a new plan. Blocks only for
+  // the policy's decision.
   void Step(Time now);
-  // Starts nothing more and gives the zone up in the log once no start is under way. What runs goes
-  // on, and the next planner finds it. Call Step until holds_duty() is false.
+  // Starts no more attempts and steps down, with a record in the log, once no start is in progress.
+  // Running attempts continue, and the next planner adopts them. Call Step until is_leader() is
+  // false.
   void Leave();
 
-  // Work given to the executor has ended: a round now makes use of it.
-  bool has_news() const;
-  bool holds_duty() const;
-  // "" if it does not wait, or this entry can't know.
+  // True if work on the executor has finished and its completion waits for the next Step.
+  bool has_completions() const;
+  bool is_leader() const;
+  // Why the job waits; "" if it does not wait or this entry does not know.
   std::string WaitReasonFor(const std::string& job) const;
-  // The job's attempt that runs now; 0 if none.
+  // The number of the job's running attempt; 0 if none.
   int64_t RunningAttempt(const std::string& job) const;
 
  private:
-  using Posted = std::function<void(Time now)>;
-  // What remains to be written about a job that this planner has done with.
-  struct Recording {
+  using Completion = std::function<void(Time now)>;
+  // A record about a job that this planner has finished with, to be written to the log.
+  struct PendingRecord {
     Record record;
-    // Reports that may be dropped once it is written.
-    GangOrder forget;
+    // The attempt whose task reports the agents may drop once the record is written.
+    GangAttempt attempt_to_forget;
     bool writing = false;
-    Time next_try{};
+    Time retry_at{};
   };
 
-  // Runs `work` on the executor and then, in the next round, what it returns, unless the epoch has
-  // changed meanwhile.
-  void Run(std::function<Posted()> work);
-  void DrainPosted(Time now);
-  // Whether this entry holds the duty; claims it where it should.
-  bool EnsureDuty(const std::vector<AgentState>& agents, Time now);
+  // Runs `work` on the executor and its completion in the next round. The completion is skipped if
+  // the epoch has changed meanwhile.
+  void RunAsync(std::function<Completion()> work);
+  void RunCompletions(Time now);
+  // Returns whether this entry is the active planner. Claims leadership if the claim rule says so.
+  bool EnsureLeadership(const std::vector<AgentState>& agents, Time now);
   void Claim(Sequence after);
-  void BecomeHolder(Sequence epoch, Time now);
-  void Resign(const std::string& why);
-  void ReleaseWhenIdle();
+  void BecomeLeader(Sequence epoch, Time now);
+  void StepDown(const std::string& reason);
+  void ReleaseLeadershipWhenIdle();
 
-  // Agents that can't obey an older planner any more, and were heard lately.
-  std::vector<AgentState> Confirmed(const std::vector<AgentState>& agents, Time now);
+  // Returns the agents that have reported recently and follow this planner's epoch, so that they
+  // reject calls of earlier planners.
+  std::vector<AgentState> ConfirmedAgents(const std::vector<AgentState>& agents, Time now);
   void SyncWorkers(const std::vector<AgentState>& confirmed, Time now);
   void SyncJobs(const ReportTable& table, Time now);
-  // Finds out what became of a job that an earlier planner may have started; returns whether that
-  // is known.
-  bool Resolve(const JobRecord& job, const ReportTable& table, Time now);
-  void Adopt(const JobRecord& job, const ReportedAttempt& found, Time now);
-  void Follow(LiveAttempt* attempt, const ReportTable& table, Time now);
+  // Determines the outcome of a job that an earlier planner may have started. Returns whether the
+  // outcome is known.
+  bool ResolvePreviousAttempt(const JobRecord& job, const ReportTable& table, Time now);
+  void AdoptAttempt(const JobRecord& job, const ReportedAttempt& found, Time now);
+  void TrackAttempt(LiveAttempt* attempt, const ReportTable& table, Time now);
   void BeginEnding(LiveAttempt* attempt, AttemptEnd end, Time now);
-  void AskStop(LiveAttempt* attempt);
-  // Returns whether the attempt is over and off the books.
+  void RequestStop(LiveAttempt* attempt);
+  // Returns whether the attempt has ended and can be removed from attempts_.
   bool ContinueEnding(LiveAttempt* attempt, const ReportTable& table, Time now);
   bool FinishEnding(LiveAttempt* attempt, const ReportTable& table, Time now);
-  void ClearStarting(LiveAttempt* attempt);
-  void DropOldReports(const ReportTable& table);
+  void ClearStartRecord(LiveAttempt* attempt);
+  void DropStaleReports(const ReportTable& table);
 
   void CarryOut(const Plan& plan, Time now);
-  void Begin(const StartDecision& start, Time now);
-  void OnStarted(const std::string& job, int64_t number, const GangStartResult& result,
-                 bool recorded, Time now);
+  void BeginStart(const StartDecision& start, Time now);
+  void OnStartFinished(const std::string& job, int64_t number, const GangStartResult& result,
+                       bool start_recorded, Time now);
   void Stop(const StopDecision& stop, Time now);
-  void RenewAll(const std::vector<AgentState>& confirmed, Time now);
-  void MoveAway(Time now);
+  void RenewLeases(const std::vector<AgentState>& confirmed, Time now);
+  void MoveWaitingJobs(Time now);
 
-  // Notes a record that must be written, however long the log is down.
-  void WriteLater(const std::string& job, const Record& record, const GangOrder& forget);
+  // Queues a record that must be written even if the log is down for long.
+  void QueueRecord(const std::string& job, const Record& record,
+                   const GangAttempt& attempt_to_forget);
   void EndJob(const std::string& job, int64_t number, JobState state, const std::string& reason,
-              const GangOrder& forget);
-  void WriteRecordings(Time now);
-  void OnWritten(const std::string& job, const FoldVerdict& verdict);
+              const GangAttempt& attempt_to_forget);
+  void WritePendingRecords(Time now);
+  void OnRecordWritten(const std::string& job, const FoldVerdict& verdict);
 
   LiveAttempt* Find(const std::string& job, int64_t number);
   Duration lease() const;
-  // When a lease that was counted from `from` has run out on any clock.
-  Time LapsesAt(Time from) const;
-  // When an agent that this planner has never heard has let go of all that an earlier one started:
-  // it may obey that one for a lease, until it has to learn of the claim, and what it was told last
-  // runs for a lease more.
-  Time UnheardLapsesAt() const;
+  // When a lease that began at `from` has expired on any clock.
+  Time LeaseExpiry(Time from) const;
+  // When an agent that has never reported to this planner has stopped everything that earlier
+  // planners started. Such an agent may follow an earlier planner for one lease after the claim,
+  // and the last lease that it was granted lasts one lease more.
+  Time UnreportedLeaseExpiry() const;
   Duration Jitter();
-  void LogJob(const char* event, const GangOrder& order) const;
+  void LogJob(const char* event, const GangAttempt& gang) const;
 
   const PlannerOptions options_;
   AgentDirectory* const directory_;
@@ -145,27 +150,28 @@
   bool releasing_ = false;
   Sequence epoch_ = kNoSequence;
   Time claimed_at_{};
-  // Every agent of the zone was heard under this epoch, or its leases have run out.
-  bool all_heard_ = false;
-  Time renewed_{};
-  int64_t starts_ = 0;
+  // True once every agent of the zone has reported under this epoch, or the leases of the others
+  // have expired.
+  bool all_agents_reported_ = false;
+  Time last_renewal_{};
+  int64_t start_count_ = 0;
   std::unique_ptr<ZonePlanner> planner_;
   std::map<std::string, LiveAttempt> attempts_;
-  // Open jobs of which it is known that no earlier planner's attempt runs on.
+  // Open jobs for which no attempt of an earlier planner can still be running unnoticed.
   std::set<std::string> resolved_;
   std::map<std::string, std::string> checkpoints_;
-  Time next_move_{};
-  std::map<std::string, Recording> recordings_;
-  // Attempts whose left-over reports are being dropped.
-  std::set<ReportTable::Key> dropping_;
-  // Workers whose calls timed out take no new work until then.
+  Time next_move_at_{};
+  std::map<std::string, PendingRecord> pending_records_;
+  // Attempts whose remaining task reports are being dropped.
+  std::set<ReportTable::Key> reports_being_dropped_;
+  // Workers whose calls timed out, with the time until which they get no new work.
   std::map<std::string, Time> avoided_until_;
   std::minstd_rand jitter_;
 
-  mutable std::mutex posted_mutex_;
-  std::condition_variable posted_changed_;
+  mutable std::mutex completions_mutex_;
+  std::condition_variable completions_changed_;
   int in_flight_ = 0;
-  std::vector<Posted> posted_;
+  std::vector<Completion> completions_;
 };
 
 }  // namespace turmericshift
--- a/servers/planner/zone_planner_service_attempts.cc
+++ b/servers/planner/zone_planner_service_attempts.cc
@@ -1,4 +1,5 @@
-// How ZonePlannerService follows attempts, proves them over, and gets their ends into the log.
+// The part of ZonePlannerService that tracks attempts, proves that they have ended, and records
+// their outcome in the log.
 #include <algorithm>
 
 #include "core/error.h"
@@ -10,15 +11,16 @@
 namespace {
 
 constexpr Duration kRecordTimeout = std::chrono::seconds(3);
-constexpr Duration kAskAgain = std::chrono::milliseconds(500);
-// Reports lag by a heartbeat and the agent's own round.
-constexpr Duration kReportLag = std::chrono::seconds(3);
-// How long the end waits for the reports that name its checkpoints.
-constexpr Duration kCheckpointWait = std::chrono::seconds(3);
-constexpr Duration kLeastPause = std::chrono::milliseconds(200);
-constexpr int kMostJitterMillis = 400;
-// Clocks of two machines may run this much apart; a message may be this long in a queue.
-constexpr double kClockRate = 1.05;
+constexpr Duration kRetryInterval = std::chrono::milliseconds(500);
+// Reports lag by one heartbeat interval and one round of the agent.
+constexpr Duration kMaxReportLag = std::chrono::seconds(3);
+// How long the end of an attempt waits for the reports that contain its checkpoints.
+constexpr Duration kCheckpointReportTimeout = std::chrono::seconds(3);
+constexpr Duration kMinRestartDelay = std::chrono::milliseconds(200);
+constexpr int kMaxJitterMillis = 400;
+// The largest assumed ratio between the clock rates of two VMs, and the longest assumed queueing
+// delay of a message.
+constexpr double kMaxClockRateRatio = 1.05;
 constexpr Duration kClockMargin = std::chrono::milliseconds(500);
 
 int64_t Milliseconds(Duration duration) {
@@ -27,17 +29,19 @@
 
 }  // namespace
 
-bool ZonePlannerService::Resolve(const JobRecord& job, const ReportTable& table, Time now) {
-  // An earlier planner reads the claim before it reads a job that came after it.
+bool ZonePlannerService::ResolvePreviousAttempt(const JobRecord& job, const ReportTable& table,
+                                                Time now) {
+  // An earlier planner reads this planner's claim before it reads a later job, so it can't have
+  // started the job.
   if (job.sequence > epoch_) return true;
   const ReportedAttempt* found = table.Newest(job.id);
-  // A whole attempt that runs or is done leaves no room for another. One that was stopped does: a
-  // newer one may run at an agent that was not heard yet.
+  // If a whole attempt runs or is done, no other attempt can exist. If it was stopped, a newer
+  // attempt may run at an agent that has not reported yet.
   const bool conclusive =
       found != nullptr && found->running() + found->Count(TaskPhase::kDone) == job.spec.tasks;
-  if (!conclusive && !all_heard_) return false;
+  if (!conclusive && !all_agents_reported_) return false;
   if (found != nullptr) {
-    Adopt(job, *found, now);
+    AdoptAttempt(job, *found, now);
     return true;
   }
   if (job.starting_attempt != 0 && job.checkpoint.empty()) {
@@ -47,56 +51,57 @@
   return true;
 }
 
-void ZonePlannerService::Adopt(const JobRecord& job, const ReportedAttempt& found, Time now) {
+void ZonePlannerService::AdoptAttempt(const JobRecord& job, const ReportedAttempt& found,
+                                      Time now) {
   LiveAttempt attempt;
   attempt.view_attempt = found.attempt;
   attempt.stage = AttemptStage::kRunning;
-  attempt.since = now;
-  attempt.order.job = job.id;
-  attempt.order.attempt = found.attempt;
-  attempt.order.epoch = epoch_;
-  attempt.order.lease = lease();
-  attempt.order.checkpoint = job.checkpoint;
-  attempt.order.borrowed = !found.guaranteed();
-  attempt.order.spec = job.spec;
-  attempt.order.tasks = found.placement();
-  attempt.recorded = job.starting_attempt == found.attempt;
-  attempt.lapses_at = std::max(UnheardLapsesAt(), LapsesAt(now));
-  planner_->FoundRunning(job, found.attempt, attempt.order.tasks, attempt.order.borrowed, now);
+  attempt.stage_since = now;
+  attempt.gang.job = job.id;
+  attempt.gang.attempt = found.attempt;
+  attempt.gang.epoch = epoch_;
+  attempt.gang.lease = lease();
+  attempt.gang.checkpoint = job.checkpoint;
+  attempt.gang.borrowed = !found.guaranteed();
+  attempt.gang.spec = job.spec;
+  attempt.gang.tasks = found.placement();
+  attempt.start_recorded = job.starting_attempt == found.attempt;
+  attempt.leases_expire_at = std::max(UnreportedLeaseExpiry(), LeaseExpiry(now));
+  planner_->FoundRunning(job, found.attempt, attempt.gang.tasks, attempt.gang.borrowed, now);
   LiveAttempt& adopted = attempts_[job.id] = attempt;
-  LogJob("job_found_running", adopted.order);
+  LogJob("job_found_running", adopted.gang);
   const bool all_reported = static_cast<int>(found.tasks.size()) == job.spec.tasks;
   const int held = found.Count(TaskPhase::kHeld);
   if (all_reported && held == 0) return;
-  // Part of it was never released, or is gone. Every agent that reports is out of the old
-  // planner's reach, so a gang that is held everywhere will never be released.
+  // Some tasks were never released or are gone. All reporting agents reject calls of the previous
+  // planner, so a gang that is held at every member will never be released.
   adopted.may_have_run = !(all_reported && held == job.spec.tasks);
   BeginEnding(&adopted, adopted.may_have_run ? AttemptEnd::kWorkerLost : AttemptEnd::kNotStarted,
               now);
 }
 
-void ZonePlannerService::Follow(LiveAttempt* attempt, const ReportTable& table, Time now) {
+void ZonePlannerService::TrackAttempt(LiveAttempt* attempt, const ReportTable& table, Time now) {
   if (attempt->stage != AttemptStage::kRunning) return;
-  const ReportedAttempt* found = table.Find(attempt->order.job, attempt->order.attempt);
-  const size_t total = attempt->order.tasks.size();
+  const ReportedAttempt* found = table.Find(attempt->gang.job, attempt->gang.attempt);
+  const size_t total = attempt->gang.tasks.size();
   if (found != nullptr) {
     if (found->tasks.size() == total) {
-      planner_->Progress(attempt->order.job, found->progress(), now);
+      planner_->Progress(attempt->gang.job, found->progress(), now);
       const std::string checkpoint = found->checkpoint();
-      std::string& saved = checkpoints_[attempt->order.job];
+      std::string& saved = checkpoints_[attempt->gang.job];
       if (!checkpoint.empty() && checkpoint != saved) {
         saved = checkpoint;
-        planner_->Checkpointed(attempt->order.job, checkpoint, now);
+        planner_->Checkpointed(attempt->gang.job, checkpoint, now);
       }
     }
     if (found->Count(TaskPhase::kDone) == static_cast<int>(total)) {
       attempt->final_state = JobState::kDone;
-      attempt->over = attempt->order.workers();
+      attempt->ended_members = attempt->gang.workers();
       return BeginEnding(attempt, AttemptEnd::kDone, now);
     }
     if (found->Count(TaskPhase::kFailed) > 0) {
-      // A worker that fails everything must not cost every job that it draws.
-      if (planner_->AttemptFailedOn(attempt->order.job, found->FailedOn(), now) ==
+      // A worker on which every task fails must not fail every job that is placed there.
+      if (planner_->AttemptFailedOn(attempt->gang.job, found->FailedOn(), now) ==
           FailureVerdict::kTryElsewhere) {
         return BeginEnding(attempt, AttemptEnd::kStopped, now);
       }
@@ -109,178 +114,179 @@
     }
   }
   const bool missing = found == nullptr || found->tasks.size() < total;
-  if (missing && now - attempt->since > kReportLag) {
+  if (missing && now - attempt->stage_since > kMaxReportLag) {
     BeginEnding(attempt, AttemptEnd::kWorkerLost, now);
   }
 }
 
 void ZonePlannerService::BeginEnding(LiveAttempt* attempt, AttemptEnd end, Time now) {
   attempt->stage = AttemptStage::kEnding;
-  attempt->since = now;
+  attempt->stage_since = now;
   attempt->end = end;
-  attempt->next_ask = now;
-  // Without a pause, two planners or two gangs that cross would meet again at once.
-  if (end == AttemptEnd::kNotStarted) attempt->next_ask += kLeastPause + Jitter();
+  attempt->next_call_at = now;
+  // Without a delay, two planners or two gangs that compete for the same room would collide again
+  // immediately.
+  if (end == AttemptEnd::kNotStarted) attempt->next_call_at += kMinRestartDelay + Jitter();
 }
 
-void ZonePlannerService::AskStop(LiveAttempt* attempt) {
-  attempt->asking = true;
-  Run([this, order = attempt->order, checkpoint = attempt->checkpoint]() -> Posted {
-    const GangStopResult result = runner_->Stop(order, checkpoint);
-    return [this, order, result](Time now) {
-      LiveAttempt* asked = Find(order.job, order.attempt);
-      if (asked == nullptr) return;
-      asked->asking = false;
-      asked->next_ask = now + kAskAgain;
-      asked->over.insert(result.over.begin(), result.over.end());
-      asked->stopping = result.stopping;
+void ZonePlannerService::RequestStop(LiveAttempt* attempt) {
+  attempt->call_in_flight = true;
+  RunAsync([this, gang = attempt->gang, checkpoint = attempt->checkpoint]() -> Completion {
+    const GangStopResult result = runner_->Stop(gang, checkpoint);
+    return [this, gang, result](Time now) {
+      LiveAttempt* found_attempt = Find(gang.job, gang.attempt);
+      if (found_attempt == nullptr) return;
+      found_attempt->call_in_flight = false;
+      found_attempt->next_call_at = now + kRetryInterval;
+      found_attempt->ended_members.insert(result.ended_members.begin(), result.ended_members.end());
+      found_attempt->active_members = result.active_members;
     };
   });
 }
 
 bool ZonePlannerService::ContinueEnding(LiveAttempt* attempt, const ReportTable& table, Time now) {
-  if (attempt->stage != AttemptStage::kEnding || attempt->asking) return false;
-  std::set<std::string> open = attempt->order.workers();
-  for (const std::string& worker : attempt->over) open.erase(worker);
-  // A member that answers and does not stop is never counted out: its task still runs.
-  if (now >= attempt->lapses_at) open = attempt->stopping;
+  if (attempt->stage != AttemptStage::kEnding || attempt->call_in_flight) return false;
+  std::set<std::string> open = attempt->gang.workers();
+  for (const std::string& worker : attempt->ended_members) open.erase(worker);
+  // A member that answers but does not stop is never presumed stopped, because its task still runs.
+  if (now >= attempt->leases_expire_at) open = attempt->active_members;
   if (!open.empty()) {
-    if (now >= attempt->next_ask) AskStop(attempt);
+    if (now >= attempt->next_call_at) RequestStop(attempt);
     return false;
   }
-  if (!attempt->over_since) attempt->over_since = now;
+  if (!attempt->ended_since) attempt->ended_since = now;
   return FinishEnding(attempt, table, now);
 }
 
 bool ZonePlannerService::FinishEnding(LiveAttempt* attempt, const ReportTable& table, Time now) {
-  const GangOrder& order = attempt->order;
-  const ReportedAttempt* found = table.Find(order.job, order.attempt);
-  const Duration waited = now - *attempt->over_since;
+  const GangAttempt& gang = attempt->gang;
+  const ReportedAttempt* found = table.Find(gang.job, gang.attempt);
+  const Duration waited = now - *attempt->ended_since;
   if (attempt->end == AttemptEnd::kNotStarted) {
-    if (now < attempt->next_ask) return false;
-  } else if (attempt->final_state == JobState::kWaiting && order.spec.checkpoints) {
-    const bool told = found != nullptr && found->ended() == static_cast<int>(order.tasks.size());
-    if (!told && waited < kCheckpointWait) return false;
+    if (now < attempt->next_call_at) return false;
+  } else if (attempt->final_state == JobState::kWaiting && gang.spec.checkpoints) {
+    const bool reported = found != nullptr && found->ended() == static_cast<int>(gang.tasks.size());
+    if (!reported && waited < kCheckpointReportTimeout) return false;
   }
   const std::string checkpoint = found == nullptr ? "" : found->checkpoint();
-  if (!checkpoint.empty()) checkpoints_[order.job] = checkpoint;
-  std::string& saved = checkpoints_[order.job];
-  if (saved.empty()) saved = order.checkpoint;
+  if (!checkpoint.empty()) checkpoints_[gang.job] = checkpoint;
+  std::string& saved = checkpoints_[gang.job];
+  if (saved.empty()) saved = gang.checkpoint;
   if (attempt->final_state != JobState::kWaiting) {
-    planner_->AttemptEnded(order.job, attempt->view_attempt, attempt->end, now);
-    EndJob(order.job, order.attempt, attempt->final_state, attempt->reason, order);
+    planner_->AttemptEnded(gang.job, attempt->view_attempt, attempt->end, now);
+    EndJob(gang.job, gang.attempt, attempt->final_state, attempt->reason, gang);
     return true;
   }
-  if (!order.spec.repeatable && attempt->recorded) {
+  if (!gang.spec.repeatable && attempt->start_recorded) {
     if (!attempt->may_have_run) {
-      ClearStarting(attempt);
+      ClearStartRecord(attempt);
       return false;
     }
     if (saved.empty()) {
-      planner_->AttemptEnded(order.job, attempt->view_attempt, AttemptEnd::kFailed, now);
-      EndJob(order.job, order.attempt, JobState::kFailed,
-             "it is unknown whether it ran, and it may not be repeated", order);
+      planner_->AttemptEnded(gang.job, attempt->view_attempt, AttemptEnd::kFailed, now);
+      EndJob(gang.job, gang.attempt, JobState::kFailed,
+             "it is unknown whether it ran, and it may not be repeated", gang);
       return true;
     }
   }
-  if (!saved.empty()) planner_->Checkpointed(order.job, saved, now);
-  planner_->AttemptEnded(order.job, attempt->view_attempt, attempt->end, now);
+  if (!saved.empty()) planner_->Checkpointed(gang.job, saved, now);
+  planner_->AttemptEnded(gang.job, attempt->view_attempt, attempt->end, now);
   return true;
 }
 
-void ZonePlannerService::ClearStarting(LiveAttempt* attempt) {
-  attempt->asking = true;
-  Run([this, order = attempt->order]() -> Posted {
+void ZonePlannerService::ClearStartRecord(LiveAttempt* attempt) {
+  attempt->call_in_flight = true;
+  RunAsync([this, gang = attempt->gang]() -> Completion {
     bool cleared = false;
     try {
-      const JobNotStarted record{NewRecordId(), order.job, order.attempt, order.epoch};
+      const JobNotStarted record{NewRecordId(), gang.job, gang.attempt, gang.epoch};
       jobs_->Write(record, kRecordTimeout);
-      // Accepted, or void because the job_starting record never landed.
+      // The record was accepted, or it was rejected because the job_starting record was never
+      // written.
       cleared = true;
     } catch (const Error& error) {
-      LogEvent(LogLevel::kWarning, "job_not_cleared",
-               {{"job", order.job}, {"error", error.what()}});
+      LogEvent(LogLevel::kWarning, "job_not_cleared", {{"job", gang.job}, {"error", error.what()}});
     }
-    return [this, order, cleared](Time) {
-      LiveAttempt* asked = Find(order.job, order.attempt);
-      if (asked == nullptr) return;
-      asked->asking = false;
-      if (cleared) asked->recorded = false;
+    return [this, gang, cleared](Time) {
+      LiveAttempt* found_attempt = Find(gang.job, gang.attempt);
+      if (found_attempt == nullptr) return;
+      found_attempt->call_in_flight = false;
+      if (cleared) found_attempt->start_recorded = false;
     };
   });
 }
 
-void ZonePlannerService::DropOldReports(const ReportTable& table) {
+void ZonePlannerService::DropStaleReports(const ReportTable& table) {
   for (const auto& [key, reported] : table.attempts()) {
     const auto& [job, number] = key;
-    if (Find(job, number) != nullptr || recordings_.count(job) != 0) continue;
+    if (Find(job, number) != nullptr || pending_records_.count(job) != 0) continue;
     const std::optional<JobRecord> record = job_fold_->Find(job);
     const bool open =
         record && record->state == JobState::kWaiting && record->zone == options_.zone;
     if (open && resolved_.count(job) == 0) continue;
-    // The newest reports of a job that waits hold its checkpoint, should this entry die.
+    // The newest reports of a waiting job hold its checkpoint, which is needed if this entry dies.
     const bool newest = table.Newest(job) == &reported;
     const bool all_ended = reported.ended() == static_cast<int>(reported.tasks.size());
     if (open && newest && all_ended && attempts_.count(job) == 0) continue;
-    if (!dropping_.insert(key).second) continue;
-    GangOrder order;
-    order.job = job;
-    order.attempt = number;
-    order.epoch = epoch_;
-    order.tasks = reported.placement();
-    Run([this, order, all_ended]() -> Posted {
-      if (!all_ended) runner_->Stop(order, false);
-      if (all_ended) runner_->Forget(order);
-      return [this, order](Time) { dropping_.erase({order.job, order.attempt}); };
+    if (!reports_being_dropped_.insert(key).second) continue;
+    GangAttempt gang;
+    gang.job = job;
+    gang.attempt = number;
+    gang.epoch = epoch_;
+    gang.tasks = reported.placement();
+    RunAsync([this, gang, all_ended]() -> Completion {
+      if (!all_ended) runner_->Stop(gang, false);
+      if (all_ended) runner_->Forget(gang);
+      return [this, gang](Time) { reports_being_dropped_.erase({gang.job, gang.attempt}); };
     });
   }
 }
 
 void ZonePlannerService::EndJob(const std::string& job, int64_t number, JobState state,
-                                const std::string& reason, const GangOrder& forget) {
+                                const std::string& reason, const GangAttempt& attempt_to_forget) {
   const JobEnded ended{NewRecordId(), job, number, state, reason, DefaultClock().WallMillis(),
                        epoch_};
-  WriteLater(job, ended, forget);
+  QueueRecord(job, ended, attempt_to_forget);
 }
 
-void ZonePlannerService::WriteLater(const std::string& job, const Record& record,
-                                    const GangOrder& forget) {
+void ZonePlannerService::QueueRecord(const std::string& job, const Record& record,
+                                     const GangAttempt& attempt_to_forget) {
   planner_->JobGone(job);
-  Recording recording;
-  recording.record = record;
-  recording.forget = forget;
-  recordings_[job] = recording;
+  PendingRecord pending;
+  pending.record = record;
+  pending.attempt_to_forget = attempt_to_forget;
+  pending_records_[job] = pending;
 }
 
-void ZonePlannerService::WriteRecordings(Time now) {
-  for (auto& [job, recording] : recordings_) {
-    if (recording.writing || now < recording.next_try) continue;
-    recording.writing = true;
-    Run([this, job = job, record = recording.record]() -> Posted {
+void ZonePlannerService::WritePendingRecords(Time now) {
+  for (auto& [job, pending] : pending_records_) {
+    if (pending.writing || now < pending.retry_at) continue;
+    pending.writing = true;
+    RunAsync([this, job = job, record = pending.record]() -> Completion {
       try {
         const FoldVerdict verdict = jobs_->Write(record, kRecordTimeout).verdict;
-        return [this, job, verdict](Time) { OnWritten(job, verdict); };
+        return [this, job, verdict](Time) { OnRecordWritten(job, verdict); };
       } catch (const Error&) {
-        // The reports stay with the agents until the log is back.
+        // The agents keep their reports until the log is available again.
         return [this, job](Time then) {
-          const auto found = recordings_.find(job);
-          if (found == recordings_.end()) return;
+          const auto found = pending_records_.find(job);
+          if (found == pending_records_.end()) return;
           found->second.writing = false;
-          found->second.next_try = then + kAskAgain;
+          found->second.retry_at = then + kRetryInterval;
         };
       }
     });
   }
 }
 
-void ZonePlannerService::OnWritten(const std::string& job, const FoldVerdict& verdict) {
-  const auto found = recordings_.find(job);
-  if (found == recordings_.end()) return;
-  const Recording recording = found->second;
-  recordings_.erase(found);
+void ZonePlannerService::OnRecordWritten(const std::string& job, const FoldVerdict& verdict) {
+  const auto found = pending_records_.find(job);
+  if (found == pending_records_.end()) return;
+  const PendingRecord pending = found->second;
+  pending_records_.erase(found);
   resolved_.erase(job);
   checkpoints_.erase(job);
-  const auto* ended = std::get_if<JobEnded>(&recording.record);
+  const auto* ended = std::get_if<JobEnded>(&pending.record);
   if (ended != nullptr && verdict.accepted) {
     const std::optional<JobRecord> record = job_fold_->Find(job);
     if (!record) return;
@@ -292,35 +298,35 @@
               {"declared_ms", Milliseconds(record->spec.declared_run_time)},
               {"took_ms", ended->wall_ms - record->submitted_wall_ms}});
   }
-  if (recording.forget.tasks.empty()) return;
-  Run([this, order = recording.forget]() -> Posted {
-    runner_->Forget(order);
+  if (pending.attempt_to_forget.tasks.empty()) return;
+  RunAsync([this, gang = pending.attempt_to_forget]() -> Completion {
+    runner_->Forget(gang);
     return [](Time) {};
   });
 }
 
-Time ZonePlannerService::LapsesAt(Time from) const {
-  return from + FromSeconds(Seconds(lease()) * kClockRate) + kClockMargin;
+Time ZonePlannerService::LeaseExpiry(Time from) const {
+  return from + FromSeconds(Seconds(lease()) * kMaxClockRateRatio) + kClockMargin;
 }
 
-Time ZonePlannerService::UnheardLapsesAt() const {
-  return LapsesAt(claimed_at_ + FromSeconds(Seconds(lease()) * kClockRate));
+Time ZonePlannerService::UnreportedLeaseExpiry() const {
+  return LeaseExpiry(claimed_at_ + FromSeconds(Seconds(lease()) * kMaxClockRateRatio));
 }
 
 Duration ZonePlannerService::Jitter() {
   return std::chrono::milliseconds(
-      std::uniform_int_distribution<int>(0, kMostJitterMillis)(jitter_));
+      std::uniform_int_distribution<int>(0, kMaxJitterMillis)(jitter_));
 }
 
-void ZonePlannerService::LogJob(const char* event, const GangOrder& order) const {
-  const std::optional<JobRecord> record = job_fold_->Find(order.job);
+void ZonePlannerService::LogJob(const char* event, const GangAttempt& gang) const {
+  const std::optional<JobRecord> record = job_fold_->Find(gang.job);
   const int64_t waited = record ? DefaultClock().WallMillis() - record->submitted_wall_ms : 0;
   LogEvent(LogLevel::kInfo, event,
-           {{"job", order.job},
-            {"workspace", order.spec.workspace},
-            {"attempt", order.attempt},
-            {"tasks", order.tasks.size()},
-            {"borrowed", order.borrowed},
+           {{"job", gang.job},
+            {"workspace", gang.spec.workspace},
+            {"attempt", gang.attempt},
+            {"tasks", gang.tasks.size()},
+            {"borrowed", gang.borrowed},
             {"zone", options_.zone},
             {"waited_ms", waited}});
 }
--- a/servers/planner/zone_planner_service_test.cc
+++ b/servers/planner/zone_planner_service_test.cc
@@ -1,10 +1,11 @@
-// Planners, their takeover and gangs, under faults in passed-in time.
+// Tests leadership, takeover and gangs in a simulation with faults and a manual clock.
+#include "servers/planner/zone_planner_service.h"
+
 #include <gtest/gtest.h>
 
 #include "modules/placement/register_types.h"
 #include "servers/planner/planner_simulation.h"
 #include "servers/planner/report_table.h"
-#include "servers/planner/zone_planner_service.h"
 
 namespace turmericshift {
 namespace {
@@ -23,12 +24,12 @@
   return spec;
 }
 
-class PlannerDutyTest : public ::testing::Test {
+class ZonePlannerServiceTest : public ::testing::Test {
  protected:
   static void SetUpTestSuite() { RegisterPlacementTypes(); }
 };
 
-std::string First(const PlannerSimulation& world) {
+std::string FirstViolation(const PlannerSimulation& world) {
   return world.violations().empty() ? "" : world.violations().front();
 }
 
@@ -36,7 +37,7 @@
   return world.Job(job)->state;
 }
 
-TEST_F(PlannerDutyTest, TheZonesOwnEntryPlansAndAJobRunsOnce) {
+TEST_F(ZonePlannerServiceTest, LocalEntryBecomesPlannerAndJobRunsOnce) {
   PlannerSimulation world(1, {});
   EXPECT_EQ(world.planner(), "entry-0");
   const std::string job = world.Submit(Spec("weekly", 4, "5s"));
@@ -47,9 +48,9 @@
   EXPECT_EQ(world.AttemptsReleased(job), 1U);
 }
 
-// The entry that plans the zone dies while a gang runs. Another takes over, finds the gang and
-// keeps its lease; the family's plan is neither lost nor begun anew.
-TEST_F(PlannerDutyTest, ASuccessorFindsWhatRunsAndKeepsIt) {
+// The active planner's entry dies while a gang runs. Its successor must adopt the gang and renew
+// its lease, so that the job is neither lost nor restarted.
+TEST_F(ZonePlannerServiceTest, SuccessorAdoptsRunningGang) {
   PlannerSimulation world(1, {});
   const std::string job = world.Submit(Spec("weekly", 4, "60s"));
   world.Run(seconds(3), false);
@@ -59,16 +60,16 @@
   EXPECT_NE(world.planner(), "entry-0");
   EXPECT_TRUE(world.Runs(job));
   world.Run(seconds(60), false);
-  world.Heal();
+  world.RecoverAll();
   world.Run(seconds(2), false);
   EXPECT_EQ(StateOf(world, job), JobState::kDone);
   EXPECT_EQ(world.AttemptsReleased(job), 1U);
-  EXPECT_EQ(First(world), "");
+  EXPECT_EQ(FirstViolation(world), "");
 }
 
-// The log is down for minutes. Accepted plans still run to their end and the next ones start;
-// their ends are kept until the log can take them.
-TEST_F(PlannerDutyTest, RepeatableJobsGoOnThroughALogOutage) {
+// The log is down for a minute. Running jobs must finish and repeatable waiting jobs must start;
+// their outcomes are recorded when the log is back.
+TEST_F(ZonePlannerServiceTest, RepeatableJobsContinueDuringLogOutage) {
   PlannerSimulation world(1, {});
   const std::string running = world.Submit(Spec("running", 8, "20s"));
   const std::string waiting = world.Submit(Spec("waiting", 8, "20s"));
@@ -81,15 +82,16 @@
   world.Run(seconds(5), false);
   EXPECT_EQ(StateOf(world, running), JobState::kDone);
   EXPECT_EQ(StateOf(world, waiting), JobState::kDone);
-  EXPECT_EQ(First(world), "");
+  EXPECT_EQ(FirstViolation(world), "");
 }
 
-// A label run may happen once, so its start must be on record first; in an outage it waits.
-TEST_F(PlannerDutyTest, AJobThatMayNotRepeatIsNotStartedWhileTheLogIsDown) {
+// The start of a job that may run only once must be recorded first, so the job waits during a log
+// outage.
+TEST_F(ZonePlannerServiceTest, NonRepeatableJobIsNotStartedDuringLogOutage) {
   PlannerSimulation world(1, {});
   JobSpec spec = Spec("labels", 2, "5s");
   spec.repeatable = false;
-  // Takes all room until after the log has gone.
+  // Occupies all room until after the log has gone down.
   world.Submit(Spec("busy", 8, "5s"));
   world.Run(seconds(1), false);
   const std::string job = world.Submit(spec);
@@ -103,8 +105,8 @@
   EXPECT_EQ(world.AttemptsReleased(job), 1U);
 }
 
-// The caller cancels a running plan and one that waits for its room.
-TEST_F(PlannerDutyTest, CancelEndsRunningAndWaitingJobs) {
+// Both a running job and a job that waits for room are cancelled.
+TEST_F(ZonePlannerServiceTest, CancelEndsRunningAndWaitingJobs) {
   PlannerSimulation world(1, {});
   const std::string running = world.Submit(Spec("running", 8, "600s"));
   const std::string waiting = world.Submit(Spec("waiting", 8, "600s"));
@@ -118,8 +120,8 @@
   EXPECT_FALSE(world.Runs(running));
 }
 
-// A gang lost two tasks at one worker. Only that worker is to blame, and once.
-TEST(ReportTableTest, FailedOnNamesEachWorkerOnce) {
+// Two tasks of a gang failed on the same worker, which must be blamed only once.
+TEST(ReportTableTest, FailedOnListsEachWorkerOnce) {
   ReportedAttempt attempt;
   const auto add = [&attempt](const std::string& worker, TaskPhase phase) {
     ReportedTask task;
@@ -138,7 +140,7 @@
   int unfinished = 0;
 };
 
-// Jobs arrive while everything fails, then all heals: what is open must end.
+// Submits jobs under random faults, then ends the faults. All open jobs must end afterwards.
 SeedResult RunSeed(uint64_t seed) {
   PlannerSimulation world(seed, {});
   std::vector<std::string> jobs;
@@ -155,23 +157,23 @@
     if (round == 2) world.Cancel(jobs.front());
     if (round == 3) world.SetZoneIn(false);
     if (round == 4) world.SetZoneIn(true);
-    if (!world.violations().empty()) return {First(world), 0};
+    if (!world.violations().empty()) return {FirstViolation(world), 0};
     world.SetLogDown(false);
   }
-  world.Heal();
+  world.RecoverAll();
   world.Run(seconds(240), false);
-  SeedResult result{First(world), 0};
+  SeedResult result{FirstViolation(world), 0};
   for (const std::string& job : jobs) {
     if (StateOf(world, job) == JobState::kWaiting) ++result.unfinished;
   }
   return result;
 }
 
-// Entries die, pause in the middle of a start, lose the log or their agents; agents restart,
-// machines go; calls and answers are lost or come half a minute late. Through all of it no two
-// attempts of a job run at once, no part of a gang runs on alone, what may run once runs once, and
-// nothing is forgotten.
-TEST_F(PlannerDutyTest, PromisesHoldUnderFaults) {
+// Entries die, pause in the middle of a start and lose the log or their agents; agents restart; VMs
+// fail; calls and responses are lost or arrive up to 25 s late. Still, two attempts of a job must
+// never run at the same time, part of a gang must not keep running, a job that is not repeatable
+// must run once, and no job may be forgotten.
+TEST_F(ZonePlannerServiceTest, InvariantsHoldUnderFaults) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     const SeedResult result = RunSeed(seed);
     EXPECT_EQ(result.violation, "") << "seed " << seed;
@@ -179,29 +181,27 @@
   }
 }
 
-// The planner's entry stands still just before it reserves a gang's room. One agent can't be heard
-// by the others; they wait its leases out and start the gang elsewhere. Then all is reached again
-// and the first entry wakes and goes on.
-std::string RunPausedPlanner(const PlantedFaults& planted) {
-  PlannerSimulation world(1, planted);
-  world.CutAgent("worker-3", {"entry-1", "entry-2"}, seconds(35));
+// The active planner pauses just before it reserves room for a gang. The other entries can't reach
+// one agent, so they wait for its leases to expire and start the gang elsewhere. Then all
+// connections recover, and the first entry resumes its call.
+std::string RunPausedPlanner(const InjectedFaults& injected) {
+  PlannerSimulation world(1, injected);
+  world.PartitionAgent("worker-3", {"entry-1", "entry-2"}, seconds(35));
   world.PauseNextCall(seconds(38));
   const std::string job = world.Submit(Spec("weekly", 2, "120s"));
   world.Run(seconds(60), false);
   EXPECT_TRUE(world.Runs(job));
-  return First(world);
+  return FirstViolation(world);
 }
 
-TEST_F(PlannerDutyTest, APausedPlannerThatWakesStartsNothing) {
-  EXPECT_EQ(RunPausedPlanner({}), "");
-}
+TEST_F(ZonePlannerServiceTest, ResumedPlannerStartsNothing) { EXPECT_EQ(RunPausedPlanner({}), ""); }
 
-// Without the agents' fence its calls take effect beside its successor's. The checks must see that,
-// or they would prove nothing.
-TEST_F(PlannerDutyTest, TheChecksNoticeAMissingFence) {
-  PlantedFaults planted;
-  planted.no_fencing = true;
-  EXPECT_EQ(RunPausedPlanner(planted), "two attempts of boxes/weekly run at once");
+// Without fencing at the agents, the resumed planner's calls take effect beside its successor's.
+// The checks must detect this, or the test above proves nothing.
+TEST_F(ZonePlannerServiceTest, ChecksDetectMissingFencing) {
+  InjectedFaults injected;
+  injected.no_fencing = true;
+  EXPECT_EQ(RunPausedPlanner(injected), "two attempts of boxes/weekly run in parallel");
 }
 
 }  // namespace
--- a/servers/planner/zone_room.cc
+++ b/servers/planner/zone_room.cc
@@ -7,7 +7,7 @@
 
 size_t At(CellLevel level) { return static_cast<size_t>(level); }
 
-bool Inside(uint32_t mask, uint32_t block) { return (mask & ~block) == 0; }
+bool IsSubset(uint32_t mask, uint32_t block) { return (mask & ~block) == 0; }
 
 }  // namespace
 
@@ -17,11 +17,11 @@
       "its workspace has reached its accelerator cap in this zone",
       "its workspace's guaranteed cells are in use, and work that can be neither repeated nor "
       "checkpointed may not run on borrowed room",
-      "starting it would leave a workspace's guarantee out of reach"};
+      "starting it would make a workspace's guarantee impossible to meet"};
   return kTexts.at(static_cast<size_t>(refusal));
 }
 
-void ForgetCells(std::vector<TaskOnWorker>* tasks) {
+void ClearCells(std::vector<TaskOnWorker>* tasks) {
   for (TaskOnWorker& task : *tasks) {
     task.cell.reset();
     task.cell_mask = 0;
@@ -47,11 +47,11 @@
   const auto zone = split.zones.find(view_.zone);
   if (zone == split.zones.end()) return;
   for (const auto& [name, share] : zone->second) {
-    Share& mine = shares_[WorkspaceIndex(name)];
-    mine.cap = share.accelerator_cap;
+    Share& limits = shares_[WorkspaceIndex(name)];
+    limits.cap = share.accelerator_cap;
     for (const CellCount& cell : share.cells) {
-      mine.unbound[At(cell.level)] += cell.count;
-      mine.guaranteed += cell.count * sizes_.Accelerators(cell.level);
+      limits.unbound[At(cell.level)] += cell.count;
+      limits.guaranteed += cell.count * sizes_.Accelerators(cell.level);
     }
     const CellCounts cells = sizes_.Cumulative(share.cells);
     for (size_t level = 0; level < cells.size(); ++level) demand_[level] += cells[level];
@@ -75,14 +75,14 @@
     room.free_processors = worker.free_processors;
     room.free_memory_bytes = worker.free_memory_bytes;
     room.free_accelerators = worker.free_accelerators;
-    // A worker smaller than the document says supplies no cell.
+    // A worker that is smaller than the document states supplies no cells.
     if (!FitsIn(sizes_.worker(), worker.capacity)) room.held = ~uint32_t{0};
     workers_.push_back(std::move(room));
     worker_index_.emplace(worker.name, index);
   }
-  for (size_t index = 0; index < workers_.size(); ++index) Count(static_cast<int>(index), 1);
+  for (size_t index = 0; index < workers_.size(); ++index) UpdateSupply(static_cast<int>(index), 1);
   for (size_t rack = 0; rack < racks_.size(); ++rack) {
-    if (RackWhole(static_cast<int>(rack))) ++supply_[At(CellLevel::kRack)];
+    if (IsRackAvailable(static_cast<int>(rack))) ++supply_[At(CellLevel::kRack)];
   }
 }
 
@@ -99,13 +99,13 @@
         continue;
       }
       if (Bind(workspace, job.spec.shape, &task, nullptr)) continue;
-      // Work left over from an earlier document or an earlier planner: it keeps its room.
+      // Left from an earlier document or an earlier planner: the job keeps its room without a cell.
       const CellLevel level = sizes_.LevelFor(job.spec.shape).value_or(CellLevel::kWorker);
       uint32_t mask = task.accelerators;
       for (const uint32_t block : sizes_.Blocks(level)) {
         if ((block & task.accelerators) != 0 || mask == 0) mask |= block;
       }
-      Hold(worker, mask);
+      MarkHeld(worker, mask);
     }
   }
 }
@@ -153,7 +153,7 @@
   if (start->borrowed || !BindAll(spec, &start->tasks)) {
     if (!CanBeStopped(spec)) return AdmitRefusal::kNotStoppable;
     start->borrowed = true;
-    ForgetCells(&start->tasks);
+    ClearCells(&start->tasks);
   }
   shares_[workspace].used += accelerators;
   TakeFree(spec, start->tasks);
@@ -163,7 +163,7 @@
 bool ZoneRoom::BindAll(const JobSpec& spec, std::vector<TaskOnWorker>* tasks) {
   const int workspace = WorkspaceIndex(spec.workspace);
   const CellCounts before = Deficit();
-  const std::vector<TaskOnWorker> asked = *tasks;
+  const std::vector<TaskOnWorker> requested = *tasks;
   Journal journal;
   journal.share = shares_[workspace];
   journal.demand = demand_;
@@ -177,7 +177,7 @@
   }
   if (bound) return true;
   Undo(workspace, &journal);
-  *tasks = asked;
+  *tasks = requested;
   return false;
 }
 
@@ -191,16 +191,16 @@
   TakeFree(spec, tasks);
 }
 
-void ZoneRoom::Hold(int worker, uint32_t mask) {
+void ZoneRoom::MarkHeld(int worker, uint32_t mask) {
   RoomWorker& room = workers_[worker];
-  const bool was_whole = RackWhole(room.rack);
-  Count(worker, -1);
+  const bool was_available = IsRackAvailable(room.rack);
+  UpdateSupply(worker, -1);
   room.held |= mask;
-  Count(worker, 1);
-  if (was_whole && !RackWhole(room.rack)) --supply_[At(CellLevel::kRack)];
+  UpdateSupply(worker, 1);
+  if (was_available && !IsRackAvailable(room.rack)) --supply_[At(CellLevel::kRack)];
 }
 
-void ZoneRoom::Count(int worker, int sign) {
+void ZoneRoom::UpdateSupply(int worker, int sign) {
   const RoomWorker& room = workers_[worker];
   if (!room.usable) return;
   for (const CellLevel level :
@@ -212,7 +212,7 @@
   }
 }
 
-bool ZoneRoom::RackWhole(int rack) const {
+bool ZoneRoom::IsRackAvailable(int rack) const {
   const std::vector<int>& members = racks_[rack];
   if (static_cast<int>(members.size()) < sizes_.workers_per_rack()) return false;
   return std::all_of(members.begin(), members.end(), [this](int worker) {
@@ -223,25 +223,25 @@
 bool ZoneRoom::Bind(int workspace, const TaskShape& shape, TaskOnWorker* task, Journal* journal) {
   const int worker = WorkerIndex(*task);
   if (worker < 0) return false;
-  if (Join(workspace, shape, worker, task, journal)) return true;
+  if (JoinCell(workspace, shape, worker, task, journal)) return true;
   const std::optional<CellLevel> least = sizes_.LevelFor(shape);
   if (!least) return false;
-  if (task->cell) return BindNew(workspace, *task->cell, shape, worker, task, journal);
+  if (task->cell) return BindNewCell(workspace, *task->cell, shape, worker, task, journal);
   for (int level = static_cast<int>(*least); level < kCellLevelCount; ++level) {
-    if (BindNew(workspace, static_cast<CellLevel>(level), shape, worker, task, journal)) {
+    if (BindNewCell(workspace, static_cast<CellLevel>(level), shape, worker, task, journal)) {
       return true;
     }
   }
   return false;
 }
 
-bool ZoneRoom::Join(int workspace, const TaskShape& shape, int worker, TaskOnWorker* task,
-                    Journal* journal) {
+bool ZoneRoom::JoinCell(int workspace, const TaskShape& shape, int worker, TaskOnWorker* task,
+                        Journal* journal) {
   for (size_t index = 0; index < workers_[worker].cells.size(); ++index) {
     const BoundCell& cell = workers_[worker].cells[index];
     if (cell.workspace != workspace || (task->cell && *task->cell != cell.level)) continue;
     if (task->cell_mask != 0 && task->cell_mask != cell.mask) continue;
-    if (!Inside(task->accelerators, cell.mask) || (task->accelerators & cell.used) != 0) continue;
+    if (!IsSubset(task->accelerators, cell.mask) || (task->accelerators & cell.used) != 0) continue;
     if (cell.processors_left < shape.processors || cell.memory_left < shape.memory_bytes) continue;
     Save(worker, journal);
     BoundCell& joined = workers_[worker].cells[index];
@@ -255,26 +255,26 @@
   return false;
 }
 
-bool ZoneRoom::BindNew(int workspace, CellLevel level, const TaskShape& shape, int worker,
-                       TaskOnWorker* task, Journal* journal) {
+bool ZoneRoom::BindNewCell(int workspace, CellLevel level, const TaskShape& shape, int worker,
+                           TaskOnWorker* task, Journal* journal) {
   if (sizes_.Normalize(level) != level || shares_[workspace].unbound[At(level)] <= 0) return false;
   const TaskShape cell_shape = sizes_.Shape(std::min(level, CellLevel::kWorker));
   if (!FitsIn(shape, cell_shape)) return false;
   const std::vector<uint32_t>& blocks = sizes_.Blocks(level);
   const auto block = std::find_if(blocks.begin(), blocks.end(), [&](uint32_t mask) {
-    // Work without accelerators would fit any block; it must keep the one it was bound to.
+    // A task without accelerators fits any block, so its recorded block must be kept explicitly.
     const bool kept = task->cell_mask == 0 || task->cell_mask == mask;
-    return kept && Inside(task->accelerators, mask) && (mask & workers_[worker].held) == 0;
+    return kept && IsSubset(task->accelerators, mask) && (mask & workers_[worker].held) == 0;
   });
   if (block == blocks.end()) return false;
   std::vector<int> members = {worker};
   if (level == CellLevel::kRack) {
-    if (!RackWhole(workers_[worker].rack)) return false;
+    if (!IsRackAvailable(workers_[worker].rack)) return false;
     members = racks_[workers_[worker].rack];
   }
   for (const int member : members) {
     Save(member, journal);
-    Hold(member, *block);
+    MarkHeld(member, *block);
     workers_[member].cells.push_back(
         {workspace, level, *block, 0, cell_shape.processors, cell_shape.memory_bytes});
   }
@@ -282,7 +282,7 @@
   const CellCounts cost = sizes_.Cumulative({{level, 1}});
   for (size_t each = 0; each < cost.size(); ++each) demand_[each] -= cost[each];
   task->cell = level;
-  return Join(workspace, shape, worker, task, journal);
+  return JoinCell(workspace, shape, worker, task, journal);
 }
 
 void ZoneRoom::Save(int worker, Journal* journal) const {
@@ -292,18 +292,18 @@
 void ZoneRoom::Undo(int workspace, Journal* journal) {
   for (auto saved = journal->workers.rbegin(); saved != journal->workers.rend(); ++saved) {
     const int rack = saved->second.rack;
-    const bool was_whole = RackWhole(rack);
-    Count(saved->first, -1);
+    const bool was_available = IsRackAvailable(rack);
+    UpdateSupply(saved->first, -1);
     workers_[saved->first] = saved->second;
-    Count(saved->first, 1);
-    if (!was_whole && RackWhole(rack)) ++supply_[At(CellLevel::kRack)];
+    UpdateSupply(saved->first, 1);
+    if (!was_available && IsRackAvailable(rack)) ++supply_[At(CellLevel::kRack)];
   }
   shares_[workspace] = journal->share;
   demand_ = journal->demand;
 }
 
 bool ZoneRoom::HasFreeRoom(const JobSpec& spec, const std::vector<TaskOnWorker>& tasks) const {
-  // Of each worker, what these tasks take together.
+  // The remaining resources of each worker that the tasks use.
   std::map<int, RoomWorker> left;
   for (const TaskOnWorker& task : tasks) {
     const int index = WorkerIndex(task);
@@ -311,7 +311,7 @@
     RoomWorker& room = left.emplace(index, workers_[index]).first->second;
     const bool enough = room.free_processors >= spec.shape.processors &&
                         room.free_memory_bytes >= spec.shape.memory_bytes &&
-                        Inside(task.accelerators, room.free_accelerators) &&
+                        IsSubset(task.accelerators, room.free_accelerators) &&
                         __builtin_popcount(task.accelerators) == spec.shape.accelerators;
     if (!enough) return false;
     room.free_processors -= spec.shape.processors;
--- a/servers/planner/zone_room.h
+++ b/servers/planner/zone_room.h
@@ -1,8 +1,9 @@
-// The room of one zone as guarantees see it. A guaranteed cell is bound to a block of a worker only
-// while work of its workspace runs in that block; the rest of the block then stays that workspace's
-// to claim. All other room may be lent to work that can be stopped within the reclaim bound. The
-// invariant: the cells that are not bound yet can be carved out of the room that is not held, that
-// is free or lent. Ends of work keep the invariant, so checking each start is enough.
+// The room of one zone from the point of view of guarantees. A guaranteed cell is bound to a block
+// of a worker while work of its workspace runs in that block; the rest of the block is then
+// reserved for that workspace. All other room may be lent to work that can be stopped within the
+// reclaim bound. The invariant: all unbound cells can be carved out of the room that is not held,
+// that is, free or lent room. Work that ends never breaks the invariant, so it is enough to check
+// each start.
 #pragma once
 
 #include <map>
@@ -16,13 +17,13 @@
 
 namespace turmericshift {
 
-// A guaranteed cell while work of its workspace runs in it.
+// A guaranteed cell in which work of its workspace runs.
 struct BoundCell {
   int workspace = 0;
   CellLevel level = CellLevel::kAccelerator;
   uint32_t mask = 0;
   uint32_t used = 0;
-  // What is left of the cell's part of the worker.
+  // What is left of the processors and memory that belong to the cell.
   int processors_left = 0;
   int64_t memory_left = 0;
 };
@@ -42,11 +43,11 @@
   int free_processors = 0;
   int64_t free_memory_bytes = 0;
   uint32_t free_accelerators = 0;
-  // Accelerators within bound cells, or under work that can't be stopped and has no cell.
+  // Accelerators that belong to bound cells or run work that has no cell and can't be stopped.
   uint32_t held = 0;
   std::vector<BoundCell> cells;
   std::vector<LentTask> lent;
-  // Gathered for a waiting gang; other work goes elsewhere if it can.
+  // Set aside for a waiting gang; other work avoids this worker if possible.
   bool soft_reserved = false;
 };
 
@@ -54,15 +55,16 @@
 enum class AdmitRefusal { kNone, kNoRoom, kOverCap, kNotStoppable, kBreaksGuarantee };
 const char* AdmitRefusalText(AdmitRefusal refusal);
 
-// Whether work on lent room can be had back within the reclaim bound without harm.
+// True if work on lent room can be stopped within the reclaim bound without harm, because the job
+// is repeatable or checkpointed.
 bool CanBeStopped(const JobSpec& spec);
 
-// The tasks are bound to no cell any more.
-void ForgetCells(std::vector<TaskOnWorker>* tasks);
+// Unbinds the tasks from their cells.
+void ClearCells(std::vector<TaskOnWorker>* tasks);
 
 class ZoneRoom {
  public:
-  // `view` must outlive the room and keep its workers in place.
+  // `view` must outlive this object and must not move its workers.
   explicit ZoneRoom(const ZoneView& view);
 
   const CellSizes& sizes() const { return sizes_; }
@@ -70,33 +72,35 @@
   // Indices of the workers of each rack.
   const std::vector<std::vector<int>>& racks() const { return racks_; }
 
-  // -1 for a worker that the view does not have.
+  // Returns -1 if the view does not have the worker.
   int WorkerIndex(const TaskOnWorker& task) const;
-  // A small number for the workspace, the same until the room is gone.
+  // Returns an index for the workspace that stays the same during the lifetime of this object.
   int WorkspaceIndex(const std::string& name);
-  // Cells of `level` that the workspace has not bound yet.
+  // The number of cells of `level` that the workspace has not bound.
   int Unbound(int workspace, CellLevel level) const;
   bool HasUnbound(int workspace) const;
   int AcceleratorsUsed(int workspace) const { return shares_[workspace].used; }
   int AcceleratorCap(int workspace) const { return shares_[workspace].cap; }
   int GuaranteedAccelerators(int workspace) const { return shares_[workspace].guaranteed; }
 
-  // Whether every workspace's unbound cells can be had within the reclaim bound.
+  // True if every workspace's unbound cells can be provided within the reclaim bound.
   bool GuaranteesHold() const;
-  // Cells of each level that are missing for that; all zero when it holds.
+  // The number of cells of each level that are missing to meet all guarantees; all zero if
+  // GuaranteesHold().
   CellCounts Deficit() const;
 
-  // Takes room for a start on free room: within the workspace's cells if they allow it and
-  // `start->borrowed` is false, else lent. Sets the cell of each task and `borrowed`. Changes
-  // nothing unless kNone is returned.
+  // Takes free room for a start: within the workspace's cells if they have room and
+  // `start->borrowed` is false, else as lent room. Sets `borrowed` and the cell of each task.
+  // Changes nothing unless the result is kNone.
   AdmitRefusal Admit(const JobSpec& spec, StartDecision* start);
-  // Whether the tasks could be bound to cells where they are put, lent work aside; binds if so.
+  // Binds the tasks to cells at their current places, lent work disregarded. Returns false and
+  // changes nothing if that is not possible.
   bool BindAll(const JobSpec& spec, std::vector<TaskOnWorker>* tasks);
-  // Whether the tasks' room is free on usable workers.
+  // True if the room that the tasks need is free on usable workers.
   bool HasFreeRoom(const JobSpec& spec, const std::vector<TaskOnWorker>& tasks) const;
   // Takes free room for tasks that BindAll has bound.
   void Take(const JobSpec& spec, const std::vector<TaskOnWorker>& tasks);
-  // Keeps other starts off the free room at these places until the room is built again.
+  // Reserves the free room at these places for the lifetime of this object.
   void Reserve(const JobSpec& spec, const std::vector<TaskOnWorker>& tasks);
   void MarkSoftReserved(int worker) { workers_[worker].soft_reserved = true; }
 
@@ -107,7 +111,7 @@
     int cap = 0;
     int used = 0;
   };
-  // Worker states from before a change, to undo it.
+  // The state before a change, needed to undo it.
   struct Journal {
     std::vector<std::pair<int, RoomWorker>> workers;
     Share share;
@@ -117,15 +121,15 @@
   void AddWorkers();
   void AddShares();
   void AddRunning();
-  void Hold(int worker, uint32_t mask);
-  // Adds (sign 1) or takes away (-1) what the worker supplies.
-  void Count(int worker, int sign);
-  bool RackWhole(int rack) const;
+  void MarkHeld(int worker, uint32_t mask);
+  // Adds (sign 1) or subtracts (sign -1) the blocks of the worker that are not held.
+  void UpdateSupply(int worker, int sign);
+  bool IsRackAvailable(int rack) const;
   bool Bind(int workspace, const TaskShape& shape, TaskOnWorker* task, Journal* journal);
-  bool Join(int workspace, const TaskShape& shape, int worker, TaskOnWorker* task,
-            Journal* journal);
-  bool BindNew(int workspace, CellLevel level, const TaskShape& shape, int worker,
-               TaskOnWorker* task, Journal* journal);
+  bool JoinCell(int workspace, const TaskShape& shape, int worker, TaskOnWorker* task,
+                Journal* journal);
+  bool BindNewCell(int workspace, CellLevel level, const TaskShape& shape, int worker,
+                   TaskOnWorker* task, Journal* journal);
   void Save(int worker, Journal* journal) const;
   void Undo(int workspace, Journal* journal);
   void TakeFree(const JobSpec& spec, const std::vector<TaskOnWorker>& tasks);
@@ -141,7 +145,7 @@
   CellCounts demand_{};
 };
 
-// The invariant over what runs now.
+// True if the running jobs of `view` leave every guarantee attainable.
 bool GuaranteesHold(const ZoneView& view);
 
 }  // namespace turmericshift
--- a/servers/planner/zone_view.h
+++ b/servers/planner/zone_view.h
@@ -1,5 +1,5 @@
-// What a planner knows about its availability zone, and what it may decide. Plain data: placement
-// policies read a view and return a plan; production and replay apply it in the same way.
+// What a planner knows about its availability zone, and what it can decide. Plain data: placement
+// policies read a view and return a plan, which production and replay apply in the same way.
 #pragma once
 
 #include <cstdint>
@@ -22,13 +22,14 @@
   std::string name;
   std::string rack;
   TaskShape capacity;
-  // What no task holds or reserves. Bit i of the mask: accelerator i is free.
+  // Resources that no task uses or reserves. Bit i of the mask is set if accelerator i is free.
   int free_processors = 0;
   int64_t free_memory_bytes = 0;
   uint32_t free_accelerators = 0;
-  // Reached, not held out, not leaving: new tasks may start here.
+  // New tasks may start here: the worker is reachable and not in quarantine.
   bool usable = true;
-  // As `usable`, but for being held out after failures.
+  // As `usable`, but regardless of a quarantine after failures. False while the worker's agent is
+  // silent or leaving.
   bool reachable = true;
 };
 
@@ -38,30 +39,30 @@
   uint32_t accelerators = 0;
   // The guaranteed cell that the task is bound to; none on borrowed room.
   std::optional<CellLevel> cell = std::nullopt;
-  // The accelerators of that cell's block; those of the task are among them.
+  // The accelerators of that cell's block, which include the task's accelerators.
   uint32_t cell_mask = 0;
-  // Where the worker stands in ZoneView::workers, if known; only a hint that saves looking up its
-  // name.
+  // The index of the worker in ZoneView::workers, or -1. Only a hint that saves a look-up by name.
   int position = -1;
 };
 
 struct WaitingJob {
   std::string id;
   JobSpec spec;
-  // Order of arrival.
+  // Order of submission.
   Sequence sequence = kNoSequence;
   Time waiting_since{};
-  // When this planner first saw the job; kept through restarts.
+  // When this planner first saw the job. Does not change when the job restarts.
   Time accepted{};
   int64_t last_attempt = 0;
-  // Attempts that ended without the job's own fault or success (worker lost, preempted).
+  // Attempts that ended without the job's success or fault, as when a worker was lost or the job
+  // was preempted.
   int restarts = 0;
   std::string checkpoint;
-  // Share of the work that the checkpoint holds.
+  // The share of the work that the checkpoint contains.
   double progress = 0;
-  // Its caller no longer wants it: never to be started.
+  // The caller has cancelled the job, so it must not be started.
   bool cancel_asked = false;
-  // Why it can't run in this zone under the present document; "" if it can.
+  // Why the job can't run in this zone under the current document; "" if it can.
   std::string obstacle;
 };
 
@@ -73,33 +74,33 @@
   Time started{};
   Time accepted{};
   int restarts = 0;
-  // Progress that this attempt started from, and that its newest checkpoint holds.
+  // The progress at which this attempt started, and the progress in its newest checkpoint.
   double started_progress = 0;
   double saved_progress = 0;
-  // Work since then is lost if the job is stopped now.
+  // Work since this time is lost if the job is stopped now.
   Time last_checkpoint{};
-  // Runs on room that another workspace's guarantee may claim back.
+  // Runs on room that the guarantee of another workspace may reclaim.
   bool borrowed = false;
-  // A stop was asked for; its room is coming free.
+  // A stop was requested, so the job's room will become free.
   bool stopping = false;
-  // Least share of work done among its tasks, as last reported.
+  // The lowest progress among the job's tasks, as last reported.
   double progress = 0;
   std::vector<TaskOnWorker> tasks;
 };
 
 struct ZoneView {
   std::string zone;
-  // False while operators have taken it out.
+  // False while operators have taken the zone out.
   bool in = true;
   std::shared_ptr<const Environment> environment;
-  // Of that environment. Null: to be computed by whoever needs it.
+  // The split of `environment`. If null, users of the view compute it.
   std::shared_ptr<const GuaranteeSplit> split;
   std::vector<WorkerView> workers;
   std::vector<WaitingJob> waiting;
   std::vector<RunningJob> running;
 };
 
-// Starts a gang; all of `tasks` or none.
+// Starts a gang: either all of `tasks` or none.
 struct StartDecision {
   std::string job;
   int64_t attempt = 0;
@@ -117,13 +118,13 @@
   StopReason reason = StopReason::kReclaim;
 };
 
-// The job can never run here.
+// Refuses a job that can never run in any zone.
 struct RefuseDecision {
   std::string job;
   std::string reason;
 };
 
-// Why a job is still waiting, for people.
+// Explains to users why a job is still waiting.
 struct WaitReason {
   std::string job;
   std::string reason;
