--- a/servers/entry/token_table.h
+++ b/servers/entry/token_table.h
@@ -1,4 +1,4 @@
-// Who a bearer token belongs to, by the document's salted hashes.
+// Finds the owner of a bearer token by the salted hashes in the environment document.
 #pragma once
 
 #include <memory>
@@ -18,15 +18,17 @@
   // The workspace whose token the request carries. Throws Error(kUnauthenticated), or
   // Error(kStale) before the first document.
   std::string RequireWorkspace(const HttpRequest& request);
-  // Throws Error(kUnauthenticated) unless the request carries `bootstrap` or a token of the
-  // document's operators.
+  // Throws Error(kUnauthenticated) unless the request carries an operator's token from the
+  // document, or the `bootstrap` token, which works before the first document and may be empty for
+  // none.
   void RequireOperator(const HttpRequest& request, const std::string& bootstrap) const;
 
  private:
   const ConfigFold* const config_;
   std::mutex mutex_;
   int64_t cached_version_ = 0;
-  // By digest of the token, so that one hash is enough for a token that was seen before.
+  // Workspace by keyed hash of the token, so that a token seen before costs one hash instead of one
+  // for each salted hash in the document.
   std::unordered_map<std::string, std::string> cache_;
 };
 
