--- a/main/benches/bench_control.cc
+++ b/main/benches/bench_control.cc
@@ -11,7 +11,7 @@
 #include "core/digest.h"
 #include "core/error.h"
 #include "core/secret.h"
-#include "main/benches/bench_spread.h"
+#include "main/benches/config_propagation.h"
 #include "main/dev_cluster.h"
 #include "rpc/traffic.h"
 #include "servers/state/job_fold.h"
@@ -19,9 +19,9 @@
 namespace turmericshift {
 namespace {
 
-constexpr Duration kObserve = std::chrono::seconds(5);
-constexpr Duration kLimit = std::chrono::seconds(40);
-constexpr Duration kLookPause = std::chrono::milliseconds(5);
+constexpr Duration kObservationTime = std::chrono::seconds(5);
+constexpr Duration kTimeout = std::chrono::seconds(40);
+constexpr Duration kPollInterval = std::chrono::milliseconds(5);
 constexpr double kMegabyte = 1024.0 * 1024.0;
 
 double ResidentMegabytes() {
@@ -42,20 +42,20 @@
   return seconds(usage.ru_utime) + seconds(usage.ru_stime);
 }
 
-void Await(const std::string& what, const std::function<bool()>& holds) {
-  const Time limit = DefaultClock().Now() + kLimit;
-  while (!holds()) {
-    if (DefaultClock().Now() > limit) throw Error(ErrorKind::kDeadlineExceeded, what);
-    std::this_thread::sleep_for(kLookPause);
+void Await(const std::string& what, const std::function<bool()>& condition) {
+  const Time deadline = DefaultClock().Now() + kTimeout;
+  while (!condition()) {
+    if (DefaultClock().Now() > deadline) throw Error(ErrorKind::kDeadlineExceeded, what);
+    std::this_thread::sleep_for(kPollInterval);
   }
 }
 
-BenchFigure Aimed(BenchFigure figure, const std::string& aim) {
+BenchFigure WithAim(BenchFigure figure, const std::string& aim) {
   figure.aim = aim;
   return figure;
 }
 
-std::string FleetDocument(int workers_per_zone) {
+std::string ClusterDocument(int workers_per_zone) {
   std::string text = "[environment]\ndeployment = bench\n";
   for (const char* zone : {"a", "b", "c"}) {
     text += std::string("[availability_zone ") + zone +
@@ -66,45 +66,45 @@
   return text;
 }
 
-void AddSpread(const std::string& way, int agents, const std::vector<SpreadResult>& runs,
-               std::vector<BenchFigure>* figures) {
+void AddPropagation(const std::string& method, int agents,
+                    const std::vector<PropagationResult>& runs, std::vector<BenchFigure>* figures) {
   std::vector<double> medians;
   std::vector<double> slowest;
   std::vector<double> reads;
-  for (const SpreadResult& run : runs) {
+  for (const PropagationResult& run : runs) {
     medians.push_back(run.Quantile(0.5));
     slowest.push_back(run.Quantile(1));
     reads.push_back(run.log_reads_per_second);
   }
   const std::string size = std::to_string(agents);
-  figures->push_back(MachineFigure("in_force_" + way + "_p50_" + size, "s", medians));
+  figures->push_back(MachineFigure("in_force_" + method + "_p50_" + size, "s", medians));
   figures->push_back(
-      Aimed(MachineFigure("in_force_" + way + "_max_" + size, "s", slowest), "below 5 s"));
+      WithAim(MachineFigure("in_force_" + method + "_max_" + size, "s", slowest), "below 5 s"));
   if (reads.front() > 0) {
-    figures->push_back(MachineFigure("log_reads_" + way + "_" + size, "1/s", reads));
+    figures->push_back(MachineFigure("log_reads_" + method + "_" + size, "1/s", reads));
   }
 }
 
-void MeasureSpread(const BenchOptions& options, std::vector<BenchFigure>* figures) {
+void MeasurePropagation(const BenchOptions& options, std::vector<BenchFigure>* figures) {
   for (const int agents : {12, 120, 1400}) {
-    std::vector<SpreadResult> pulls;
-    std::vector<SpreadResult> readers;
-    std::vector<SpreadResult> relays;
+    std::vector<PropagationResult> heartbeats;
+    std::vector<PropagationResult> readers;
+    std::vector<PropagationResult> relays;
     for (int run = 0; run < options.repeats; ++run) {
       const uint64_t seed = options.seed + static_cast<uint64_t>(run);
-      pulls.push_back(SpreadByHeartbeats(agents, seed));
-      readers.push_back(SpreadByLogReaders(agents));
-      relays.push_back(SpreadByRelays(agents, seed));
+      heartbeats.push_back(PropagateByHeartbeats(agents, seed));
+      readers.push_back(PropagateByLogReaders(agents));
+      relays.push_back(PropagateByRelays(agents, seed));
     }
-    AddSpread("heartbeats", agents, pulls, figures);
-    AddSpread("log_readers", agents, readers, figures);
-    AddSpread("relays", agents, relays, figures);
+    AddPropagation("heartbeats", agents, heartbeats, figures);
+    AddPropagation("log_readers", agents, readers, figures);
+    AddPropagation("relays", agents, relays, figures);
   }
 }
 
-std::unique_ptr<DevCluster> StartFleet(int workers_per_zone) {
+std::unique_ptr<DevCluster> StartCluster(int workers_per_zone) {
   DevOptions options;
-  options.environment_text = FleetDocument(workers_per_zone);
+  options.environment_text = ClusterDocument(workers_per_zone);
   options.operator_token = RandomHex(16);
   options.log_over_http = false;
   auto cluster = std::make_unique<DevCluster>(options);
@@ -114,7 +114,7 @@
   first.text = options.environment_text;
   first.digest = Digest(first.text);
   cluster->log().Append("config", EncodeRecords({first}), {});
-  Await("the fleet is not ready", [&cluster] {
+  Await("the first document is not in force at all agents", [&cluster] {
     for (const DevAgent& agent : cluster->agents()) {
       if (agent.server->guard().config_version() != 1) return false;
     }
@@ -123,58 +123,58 @@
   return cluster;
 }
 
-// What a fleet costs in a second, over kObserve.
-struct FleetCost {
+// Resource use of a cluster in this process; rates are means over kObservationTime.
+struct ClusterCost {
   double resident_megabytes = 0;
   double cpu_share = 0;
   double bytes_per_second = 0;
   double appends_per_second = 0;
 };
 
-FleetCost Observe(DevCluster* cluster) {
+ClusterCost MeasureCost(DevCluster* cluster) {
   const double cpu = CpuSeconds();
   const int64_t bytes = ProcessTraffic().written.load();
   const int64_t appends = cluster->log().appends();
   const Time begun = DefaultClock().Now();
-  std::this_thread::sleep_for(kObserve);
+  std::this_thread::sleep_for(kObservationTime);
   const double seconds = Seconds(DefaultClock().Now() - begun);
   return {ResidentMegabytes(), (CpuSeconds() - cpu) / seconds,
           static_cast<double>(ProcessTraffic().written.load() - bytes) / seconds,
           static_cast<double>(cluster->log().appends() - appends) / seconds};
 }
 
-// By the slope between a small and a large fleet in one process, so that what the process has
-// anyway drops out. An agent's part holds its three sessions at both ends, its stand-in worker and
-// target, so it is an upper bound for the agent.
-void MeasureFleet(std::vector<BenchFigure>* figures) {
+// Measures the cost of one agent as the slope between a small and a large cluster in this process,
+// which cancels the process's fixed cost. The result is an upper bound, since it includes both ends
+// of the agent's three sessions and its stand-in worker and target.
+void MeasureAgentCost(std::vector<BenchFigure>* figures) {
   constexpr int kSmall = 2;
   constexpr int kLarge = 22;
-  constexpr double kMoreAgents = 3.0 * (kLarge - kSmall);
-  FleetCost small;
-  FleetCost large;
+  constexpr double kExtraAgents = 3.0 * (kLarge - kSmall);
+  ClusterCost small;
+  ClusterCost large;
   {
-    const auto cluster = StartFleet(kSmall);
-    small = Observe(cluster.get());
+    const auto cluster = StartCluster(kSmall);
+    small = MeasureCost(cluster.get());
   }
   {
-    const auto cluster = StartFleet(kLarge);
-    large = Observe(cluster.get());
+    const auto cluster = StartCluster(kLarge);
+    large = MeasureCost(cluster.get());
   }
-  const auto slope = [&](double low, double high) { return (high - low) / kMoreAgents; };
+  const auto slope = [&](double low, double high) { return (high - low) / kExtraAgents; };
   figures->push_back(
-      Aimed(MachineFigure("agent_resident", "MB",
-                          {slope(small.resident_megabytes, large.resident_megabytes)}),
-            "below 32 MB"));
+      WithAim(MachineFigure("agent_resident", "MB",
+                            {slope(small.resident_megabytes, large.resident_megabytes)}),
+              "below 32 MB"));
   figures->push_back(
-      Aimed(MachineFigure("agent_cpu", "share", {slope(small.cpu_share, large.cpu_share)}),
-            "below 0.017"));
-  figures->push_back(Aimed(MachineFigure("agent_traffic", "B/s",
-                                         {slope(small.bytes_per_second, large.bytes_per_second)}),
-                           "below 4000 B/s"));
+      WithAim(MachineFigure("agent_cpu", "share", {slope(small.cpu_share, large.cpu_share)}),
+              "below 0.017"));
+  figures->push_back(WithAim(MachineFigure("agent_traffic", "B/s",
+                                           {slope(small.bytes_per_second, large.bytes_per_second)}),
+                             "below 4000 B/s"));
   figures->push_back(MachineFigure("idle_appends_3_entries", "1/s", {large.appends_per_second}));
 }
 
-// The epoch of a zone's planner, as the log has it.
+// Returns the epoch of the zone's planner according to the log; kNoSequence if there is none.
 Sequence PlannerEpochIn(DevCluster* cluster, const std::string& zone) {
   JobFold fold;
   const LogBatch batch = cluster->log().Read("jobs", 0, {}, {});
@@ -186,23 +186,26 @@
   return fold.Planner(zone).epoch;
 }
 
-// An entry goes without a word and another VM takes its name: until the zone has a planner again.
+// Measures the time from the abrupt stop of a zone's entry, which another VM replaces under the
+// same name, until the zone has a planner with a higher epoch.
 void MeasureReplacement(const BenchOptions& options, std::vector<BenchFigure>* figures) {
   std::vector<double> samples;
   for (int run = 0; run < options.repeats; ++run) {
-    const auto cluster = StartFleet(2);
-    Await("no planner", [&] { return PlannerEpochIn(cluster.get(), "a") != kNoSequence; });
+    const auto cluster = StartCluster(2);
+    Await("no planner after the start",
+          [&] { return PlannerEpochIn(cluster.get(), "a") != kNoSequence; });
     const Sequence before = PlannerEpochIn(cluster.get(), "a");
     cluster->StopEntry(0);
     const Time stopped = DefaultClock().Now();
     cluster->StartEntry(0);
-    Await("no planner again", [&] { return PlannerEpochIn(cluster.get(), "a") > before; });
+    Await("no planner after the replacement",
+          [&] { return PlannerEpochIn(cluster.get(), "a") > before; });
     samples.push_back(Seconds(DefaultClock().Now() - stopped));
   }
   figures->push_back(MachineFigure("planner_after_replacement", "s", samples));
 }
 
-JobSubmitted Job(int number) {
+JobSubmitted MakeJob(int number) {
   JobSubmitted record;
   record.id = NewRecordId();
   record.spec.workspace = "weekly-boxes";
@@ -212,15 +215,16 @@
   return record;
 }
 
-// From nothing to a view that is fresh, for a log that holds so many jobs' records.
-void MeasureStart(int jobs, bool with_snapshot, std::vector<BenchFigure>* figures) {
-  constexpr int kGroup = 8;
+// Measures how long a new process needs for a fresh view of a log with the records of `jobs` jobs,
+// and how many bytes it reads, with or without a snapshot in the log.
+void MeasureColdStart(int jobs, bool with_snapshot, std::vector<BenchFigure>* figures) {
+  constexpr int kBatchSize = 8;
   MemoryLog log;
-  for (int number = 0; number < jobs; number += kGroup) {
-    std::vector<Record> group;
-    group.reserve(kGroup);
-    for (int place = 0; place < kGroup; ++place) group.emplace_back(Job(number + place));
-    log.Append("jobs", EncodeRecords(group), {});
+  for (int number = 0; number < jobs; number += kBatchSize) {
+    std::vector<Record> records;
+    records.reserve(kBatchSize);
+    for (int place = 0; place < kBatchSize; ++place) records.emplace_back(MakeJob(number + place));
+    log.Append("jobs", EncodeRecords(records), {});
   }
   StreamOptions options;
   options.snapshot_spread = Duration::zero();
@@ -228,14 +232,14 @@
     JobFold fold;
     MetricsRegistry metrics;
     StreamClient writer(Stream::kJobs, &log, &fold, &metrics, options);
-    writer.WaitUntilFresh(kLimit);
+    writer.WaitUntilFresh(kTimeout);
     writer.KeepSnapshot(DefaultClock().Now(), DefaultClock().WallMillis());
   }
   JobFold fold;
   MetricsRegistry metrics;
   const Time begun = DefaultClock().Now();
   StreamClient client(Stream::kJobs, &log, &fold, &metrics, options);
-  Await("not fresh", [&] { return client.view().ever_fresh; });
+  Await("the view is not fresh", [&] { return client.view().ever_fresh; });
   const std::string name =
       std::to_string(jobs) + "_jobs" + (with_snapshot ? "_snapshot" : "_whole");
   figures->push_back(MachineFigure("start_" + name, "s", {Seconds(DefaultClock().Now() - begun)}));
@@ -246,17 +250,17 @@
 class ControlBench : public BenchSuite {
  public:
   std::string Summary() const override {
-    return "time to in force, cost of a fleet, replacement, start from nothing";
+    return "propagation of documents, cost of an agent, planner replacement, cold start";
   }
 
   std::vector<BenchFigure> Run(const BenchOptions& options) override {
     std::vector<BenchFigure> figures;
-    MeasureSpread(options, &figures);
-    MeasureFleet(&figures);
+    MeasurePropagation(options, &figures);
+    MeasureAgentCost(&figures);
     MeasureReplacement(options, &figures);
     for (const int jobs : {1000, 10000, 50000}) {
-      MeasureStart(jobs, false, &figures);
-      MeasureStart(jobs, true, &figures);
+      MeasureColdStart(jobs, false, &figures);
+      MeasureColdStart(jobs, true, &figures);
     }
     return figures;
   }
--- a/main/benches/bench_control.h
+++ b/main/benches/bench_control.h
@@ -1,9 +1,9 @@
-// The benchmark suite `control`: what it costs to keep a fleet in agreement, and how fast it is.
+// Benchmark suite `control`: speed and cost of the control plane, that is propagation of documents,
+// heartbeats, planner replacement and cold starts.
 #pragma once
 
 namespace turmericshift {
 
-// Adds the suite to its registry.
 void RegisterControlBench();
 
 }  // namespace turmericshift
--- a/main/benches/bench_gangs.cc
+++ b/main/benches/bench_gangs.cc
@@ -12,8 +12,8 @@
 namespace turmericshift {
 namespace {
 
-constexpr Duration kLimit = std::chrono::seconds(60);
-constexpr Duration kLookPause = std::chrono::milliseconds(1);
+constexpr Duration kTimeout = std::chrono::seconds(60);
+constexpr Duration kPollInterval = std::chrono::milliseconds(1);
 constexpr int kStartsPerRun = 10;
 constexpr const char* kZone = "a";
 constexpr const char* kWorkspace = "boxes";
@@ -29,7 +29,7 @@
          "]\ntoken_hashes =\nguarantee = 2 worker\naccelerator_cap = 96\n";
 }
 
-// One fleet, with jobs put straight into the log, so that the time is the system's own.
+// One cluster. Jobs are appended directly to the log, so that the measured time excludes the API.
 class GangsRun {
  public:
   GangsRun() {
@@ -43,11 +43,12 @@
     first.text = options.environment_text;
     first.digest = Digest(first.text);
     cluster_->log().Append("config", EncodeRecords({first}), {});
-    // Until the first planners have the zones.
+    // Waits until the zones have their first planners.
     TimeToStart("warm-up", 1, "10ms");
   }
 
-  // Seconds from the record of an urgent gang until all its tasks run.
+  // Submits an urgent gang and returns the seconds from the append of its record until all its
+  // tasks run.
   double TimeToStart(const std::string& key, int tasks, const std::string& run_time) {
     JobSubmitted record;
     record.id = NewRecordId();
@@ -61,16 +62,17 @@
     const Time begun = DefaultClock().Now();
     cluster_->log().Append("jobs", EncodeRecords({record}), {});
     const std::string job = JobId(kWorkspace, key);
-    while (Released(job) < tasks) {
-      if (DefaultClock().Now() - begun > kLimit) {
+    while (ReleasedTasks(job) < tasks) {
+      if (DefaultClock().Now() - begun > kTimeout) {
         throw Error(ErrorKind::kDeadlineExceeded, job + " did not start");
       }
-      std::this_thread::sleep_for(kLookPause);
+      std::this_thread::sleep_for(kPollInterval);
     }
     return Seconds(DefaultClock().Now() - begun);
   }
 
-  // Takes the planner's machine away while a gang runs; seconds until the next job starts.
+  // Stops the planner's entry without a graceful shutdown while a gang runs. Returns the seconds
+  // from the stop until the next job has started.
   double TimeToStartWithoutPlanner() {
     TimeToStart("long", 4, "60s");
     const Time begun = DefaultClock().Now();
@@ -79,11 +81,11 @@
     return stopped + TimeToStart("next", 2, "1s");
   }
 
-  // Whether the successor found the long gang and let it run.
-  bool KeptLongGang() const { return Released(JobId(kWorkspace, "long")) == 4; }
+  // Whether the long gang still runs, so the next planner has adopted it.
+  bool KeptLongGang() const { return ReleasedTasks(JobId(kWorkspace, "long")) == 4; }
 
  private:
-  int Released(const std::string& job) const {
+  int ReleasedTasks(const std::string& job) const {
     int tasks = 0;
     for (const DevAgent& agent : cluster_->agents()) {
       for (const TaskReport& report : agent.worker->Report()) {
@@ -101,7 +103,7 @@
 class GangsBench : public BenchSuite {
  public:
   std::string Summary() const override {
-    return "start of urgent gangs, and after the death of a planner";
+    return "start times of urgent gangs, also after the failure of a planner";
   }
 
   std::vector<BenchFigure> Run(const BenchOptions& options) override {
--- a/main/benches/bench_gangs.h
+++ b/main/benches/bench_gangs.h
@@ -1,9 +1,9 @@
-// The benchmark suite `gangs`: how soon an accepted job runs, and after the death of its planner.
+// Benchmark suite `gangs`: time from an accepted job to its start, also after the failure of its
+// planner.
 #pragma once
 
 namespace turmericshift {
 
-// Adds the suite to its registry.
 void RegisterGangsBench();
 
 }  // namespace turmericshift
--- a/main/benches/bench_requests.cc
+++ b/main/benches/bench_requests.cc
@@ -13,8 +13,8 @@
 namespace {
 
 constexpr size_t kTokenBytes = 16;
-constexpr Duration kStartLimit = std::chrono::seconds(20);
-constexpr Duration kPoll = std::chrono::milliseconds(10);
+constexpr Duration kStartTimeout = std::chrono::seconds(20);
+constexpr Duration kPollInterval = std::chrono::milliseconds(10);
 constexpr const char* kService = "planner";
 constexpr size_t kBodyBytes = 256;
 constexpr int kTargets = 6;
@@ -24,12 +24,12 @@
 constexpr int kThroughputThreads = 24;
 constexpr double kKeyedRate = 1000;
 constexpr int kKeyedThreads = 64;
-// Of each request while goodput and slow targets are measured.
-constexpr Duration kWork = std::chrono::milliseconds(50);
-constexpr Duration kGoodputDeadline = std::chrono::milliseconds(400);
+// Service time of each request in the measurements of goodput and slow targets.
+constexpr Duration kServiceTime = std::chrono::milliseconds(50);
+constexpr Duration kGoodputTimeout = std::chrono::milliseconds(400);
 constexpr int kSlowFactor = 10;
-constexpr Duration kShort = std::chrono::seconds(1);
-constexpr Duration kLong = std::chrono::seconds(2);
+constexpr Duration kShortRun = std::chrono::seconds(1);
+constexpr Duration kLongRun = std::chrono::seconds(2);
 
 std::string Document(const std::string& token) {
   return "[environment]\ndeployment = bench\nreclaim_bound = 30s\nzone_out_bound = 3s\n"
@@ -45,10 +45,11 @@
          "\nconnections = 64\nrepeatable = true\n";
 }
 
-// One entry with a few targets, ready to be called.
-class Bench {
+// A cluster with one entry and kTargets targets, ready for requests.
+class BenchCluster {
  public:
-  Bench(const std::string& routing_policy, bool eject_outliers) : token_(RandomHex(kTokenBytes)) {
+  BenchCluster(const std::string& routing_policy, bool eject_outliers)
+      : token_(RandomHex(kTokenBytes)) {
     DevOptions options;
     options.environment_text = Document(token_);
     options.operator_token = RandomHex(kTokenBytes);
@@ -64,8 +65,8 @@
     Await([this] { return InForce(); });
   }
 
-  HttpCall Through(int number, bool keyed, Duration deadline) const {
-    HttpCall call = Direct(number);
+  HttpCall RoutedCall(int number, bool keyed, Duration deadline) const {
+    HttpCall call = DirectCall(number);
     call.url = cluster_->CallerUrl(0) + "/v1/services/" + kService + "/plan";
     const auto millis = duration_cast<std::chrono::milliseconds>(deadline).count();
     call.headers = {{"Authorization", "Bearer " + token_},
@@ -74,7 +75,7 @@
     return call;
   }
 
-  HttpCall Direct(int number) const {
+  HttpCall DirectCall(int number) const {
     const auto target = static_cast<size_t>(number) % cluster_->agents().size();
     HttpCall call;
     call.method = "POST";
@@ -84,13 +85,13 @@
     return call;
   }
 
-  LoadResult RunThrough(const LoadOptions& options, bool keyed = false,
-                        Duration deadline = std::chrono::seconds(10)) {
-    return GenerateLoad(options, [&](int number) { return Through(number, keyed, deadline); });
+  LoadResult RunRouted(const LoadOptions& options, bool keyed = false,
+                       Duration deadline = std::chrono::seconds(10)) {
+    return GenerateLoad(options, [&](int number) { return RoutedCall(number, keyed, deadline); });
   }
 
   LoadResult RunDirect(const LoadOptions& options) {
-    return GenerateLoad(options, [this](int number) { return Direct(number); });
+    return GenerateLoad(options, [this](int number) { return DirectCall(number); });
   }
 
   void SetFaults(size_t target, const TargetFaults& faults) {
@@ -106,11 +107,11 @@
   int64_t RequestAppends() { return cluster_->metrics().counter("log_appends_requests").value(); }
 
  private:
-  static void Await(const std::function<bool()>& holds) {
-    const Time limit = DefaultClock().Now() + kStartLimit;
-    while (!holds()) {
-      if (DefaultClock().Now() > limit) throw Error(ErrorKind::kUnavailable, "did not start");
-      std::this_thread::sleep_for(kPoll);
+  static void Await(const std::function<bool()>& condition) {
+    const Time deadline = DefaultClock().Now() + kStartTimeout;
+    while (!condition()) {
+      if (DefaultClock().Now() > deadline) throw Error(ErrorKind::kUnavailable, "entry not ready");
+      std::this_thread::sleep_for(kPollInterval);
     }
   }
 
@@ -130,7 +131,7 @@
   std::unique_ptr<DevCluster> cluster_;
 };
 
-// The samples of one figure and those of what it is compared with.
+// Samples of a figure and of its baseline.
 struct Samples {
   std::vector<double> values;
   std::vector<double> baselines;
@@ -149,35 +150,37 @@
   }
 };
 
-LoadOptions Load(int threads, Duration length, double rate = 0) { return {threads, length, rate}; }
+LoadOptions Load(int threads, Duration duration, double rate = 0) {
+  return {threads, duration, rate};
+}
 
-void MeasureLatency(Bench* bench, int repeats, std::vector<BenchFigure>* figures) {
+void MeasureLatency(BenchCluster* bench, int repeats, std::vector<BenchFigure>* figures) {
   Samples p50;
   Samples p99;
   for (int run = 0; run < repeats; ++run) {
-    const LoadResult direct = bench->RunDirect(Load(kLatencyThreads, kShort));
-    const LoadResult through = bench->RunThrough(Load(kLatencyThreads, kShort));
-    p50.Add((through.Quantile(0.5) - direct.Quantile(0.5)) * 1e3, direct.Quantile(0.5) * 1e3);
-    p99.Add((through.Quantile(0.99) - direct.Quantile(0.99)) * 1e3, direct.Quantile(0.99) * 1e3);
+    const LoadResult direct = bench->RunDirect(Load(kLatencyThreads, kShortRun));
+    const LoadResult routed = bench->RunRouted(Load(kLatencyThreads, kShortRun));
+    p50.Add((routed.Quantile(0.5) - direct.Quantile(0.5)) * 1e3, direct.Quantile(0.5) * 1e3);
+    p99.Add((routed.Quantile(0.99) - direct.Quantile(0.99)) * 1e3, direct.Quantile(0.99) * 1e3);
   }
   figures->push_back(p50.Figure("added_latency_p50", "ms", "under 0.5"));
   figures->push_back(p99.Figure("added_latency_p99", "ms", "under 2"));
 }
 
-void MeasureThroughput(Bench* bench, int repeats, std::vector<BenchFigure>* figures) {
+void MeasureThroughput(BenchCluster* bench, int repeats, std::vector<BenchFigure>* figures) {
   Samples rate;
   for (int run = 0; run < repeats; ++run) {
-    const double direct = bench->RunDirect(Load(kThroughputThreads, kShort)).AnsweredPerSecond();
-    rate.Add(bench->RunThrough(Load(kThroughputThreads, kShort)).AnsweredPerSecond(), direct);
+    const double direct = bench->RunDirect(Load(kThroughputThreads, kShortRun)).AnsweredPerSecond();
+    rate.Add(bench->RunRouted(Load(kThroughputThreads, kShortRun)).AnsweredPerSecond(), direct);
   }
   figures->push_back(rate.Figure("throughput_of_one_entry", "1/s", "at least 5000"));
 }
 
-void MeasureAppends(Bench* bench, int repeats, std::vector<BenchFigure>* figures) {
+void MeasureAppends(BenchCluster* bench, int repeats, std::vector<BenchFigure>* figures) {
   Samples appends;
   for (int run = 0; run < repeats; ++run) {
     const int64_t before = bench->RequestAppends();
-    const LoadResult load = bench->RunThrough(Load(kKeyedThreads, kShort, kKeyedRate), true);
+    const LoadResult load = bench->RunRouted(Load(kKeyedThreads, kShortRun, kKeyedRate), true);
     const auto made = static_cast<double>(bench->RequestAppends() - before);
     if (load.latencies.empty()) throw Error(ErrorKind::kUnavailable, "no keyed request answered");
     appends.Add(made / static_cast<double>(load.latencies.size()), 1);
@@ -185,7 +188,7 @@
   figures->push_back(appends.Figure("appends_per_keyed_request", "appends", "at most 0.1"));
 }
 
-void MeasureFailingThird(Bench* bench, int repeats, std::vector<BenchFigure>* figures) {
+void MeasureFailingThird(BenchCluster* bench, int repeats, std::vector<BenchFigure>* figures) {
   TargetFaults failing;
   failing.fails_everything = true;
   for (size_t target = 0; target < kTargets / 3; ++target) bench->SetFaults(target, failing);
@@ -193,7 +196,7 @@
   Samples answered;
   for (int run = 0; run < repeats; ++run) {
     const int64_t before = bench->CallsToTargets();
-    const LoadResult load = bench->RunThrough(Load(kLatencyThreads, kShort));
+    const LoadResult load = bench->RunRouted(Load(kLatencyThreads, kShortRun));
     const auto made = static_cast<double>(bench->CallsToTargets() - before);
     calls.Add(made / load.sent, 1);
     answered.Add(static_cast<double>(load.latencies.size()) / load.sent, 1);
@@ -203,47 +206,48 @@
   figures->push_back(answered.Figure("answered_well_third_failing", "share", ""));
 }
 
-void SetWork(Bench* bench, Duration work) {
+void SetServiceTime(BenchCluster* bench, Duration service_time) {
   TargetFaults faults;
-  faults.delay = work;
+  faults.delay = service_time;
   for (size_t target = 0; target < kTargets; ++target) bench->SetFaults(target, faults);
 }
 
-// Offered loads are paced, as callers who do not wait for each other.
-double Goodput(Bench* bench, double times) {
-  const double capacity = kTargets * kSlots / Seconds(kWork);
-  // Enough threads that none is late while every call takes as long as its deadline allows.
-  const int threads = static_cast<int>(capacity * times * Seconds(kGoodputDeadline)) + 1;
-  const LoadOptions load = Load(threads, kLong, capacity * times);
-  return bench->RunThrough(load, false, kGoodputDeadline).AnsweredPerSecond();
+// Returns the goodput at `load_factor` times the capacity of the targets. The load is open-loop:
+// calls are sent at a fixed rate, independently of the answers.
+double Goodput(BenchCluster* bench, double load_factor) {
+  const double capacity = kTargets * kSlots / Seconds(kServiceTime);
+  // Enough threads to keep the rate even if every call takes as long as its deadline allows.
+  const int threads = static_cast<int>(capacity * load_factor * Seconds(kGoodputTimeout)) + 1;
+  const LoadOptions load = Load(threads, kLongRun, capacity * load_factor);
+  return bench->RunRouted(load, false, kGoodputTimeout).AnsweredPerSecond();
 }
 
-void MeasureOverload(Bench* bench, int repeats, std::vector<BenchFigure>* figures) {
-  SetWork(bench, kWork);
+void MeasureOverload(BenchCluster* bench, int repeats, std::vector<BenchFigure>* figures) {
+  SetServiceTime(bench, kServiceTime);
   Samples twice;
   Samples four_times;
   for (int run = 0; run < repeats; ++run) {
-    const double once = Goodput(bench, 1);
-    twice.Add(Goodput(bench, 2), once);
-    four_times.Add(Goodput(bench, 4), once);
+    const double nominal = Goodput(bench, 1);
+    twice.Add(Goodput(bench, 2), nominal);
+    four_times.Add(Goodput(bench, 4), nominal);
   }
-  SetWork(bench, Duration::zero());
+  SetServiceTime(bench, Duration::zero());
   figures->push_back(twice.Figure("goodput_at_2x", "1/s", "ratio at least 0.9"));
   figures->push_back(four_times.Figure("goodput_at_4x", "1/s", "ratio at least 0.9"));
 }
 
-double SlowTargetP99(Bench* bench) {
-  SetWork(bench, kWork / kSlowFactor);
+double SlowTargetP99(BenchCluster* bench) {
+  SetServiceTime(bench, kServiceTime / kSlowFactor);
   TargetFaults slow;
-  slow.delay = kWork;
+  slow.delay = kServiceTime;
   bench->SetFaults(0, slow);
-  const double p99 = bench->RunThrough(Load(kTargets, kLong)).Quantile(0.99) * 1e3;
-  SetWork(bench, Duration::zero());
+  const double p99 = bench->RunRouted(Load(kTargets, kLongRun)).Quantile(0.99) * 1e3;
+  SetServiceTime(bench, Duration::zero());
   return p99;
 }
 
-void MeasureSlowTarget(Bench* bench, int repeats, std::vector<BenchFigure>* figures) {
-  Bench baseline("round_robin", false);
+void MeasureSlowTarget(BenchCluster* bench, int repeats, std::vector<BenchFigure>* figures) {
+  BenchCluster baseline("round_robin", false);
   Samples p99;
   for (int run = 0; run < repeats; ++run) p99.Add(SlowTargetP99(bench), SlowTargetP99(&baseline));
   figures->push_back(p99.Figure("p99_one_target_10x_slow", "ms", "below round_robin"));
@@ -252,12 +256,12 @@
 }  // namespace
 
 std::string RequestBench::Summary() const {
-  return "latency, throughput, overload, failing and slow targets, log appends of requests";
+  return "latency, throughput, overload, failing and slow targets, log appends per request";
 }
 
 std::vector<BenchFigure> RequestBench::Run(const BenchOptions& options) {
   std::vector<BenchFigure> figures;
-  Bench bench("two_choices", true);
+  BenchCluster bench("two_choices", true);
   MeasureLatency(&bench, options.repeats, &figures);
   MeasureThroughput(&bench, options.repeats, &figures);
   MeasureAppends(&bench, options.repeats, &figures);
--- a/main/benches/bench_requests.h
+++ b/main/benches/bench_requests.h
@@ -1,4 +1,5 @@
-// Benchmark suite "requests": the request path against direct calls to the same stand-in targets.
+// Benchmark suite `requests`: compares requests through an entry with direct calls to the same
+// stand-in targets.
 #pragma once
 
 #include "core/bench_suite.h"
@@ -11,7 +12,6 @@
   std::vector<BenchFigure> Run(const BenchOptions& options) override;
 };
 
-// Adds the suite to its registry.
 void RegisterRequestBench();
 
 }  // namespace turmericshift
--- a/main/benches/capacity_bench.cc
+++ b/main/benches/capacity_bench.cc
@@ -17,16 +17,16 @@
 namespace turmericshift {
 namespace {
 
-// The long-run size that the users state.
+// Size of the deployment that the users state as their long-run requirement.
 constexpr int kZones = 8;
 constexpr int kWorkersPerZone = 175;
 constexpr int kWorkspaces = 230;
 constexpr int kTasksPerWorker = 26;
-// A fortnight of 1,500 jobs a day, of which some hundreds have not ended.
+// Jobs of a fortnight at about 1,500 a day, of which some hundreds have not ended.
 constexpr int kJobs = 20000;
 constexpr int kOpenJobs = 600;
 constexpr int kOpenJobsCalls = 20;
-constexpr int kBeats = 100000;
+constexpr int kHeartbeats = 100000;
 
 double MicrosecondsFor(const Time begun, int count) {
   return 1e6 * Seconds(DefaultClock().Now() - begun) / count;
@@ -58,7 +58,7 @@
   return record;
 }
 
-BenchFigure Exact(const std::string& name, double value, const std::string& unit) {
+BenchFigure ExactFigure(const std::string& name, double value, const std::string& unit) {
   BenchFigure figure;
   figure.name = name;
   figure.value = value;
@@ -66,16 +66,16 @@
   return figure;
 }
 
-AgentBeat FullBeat() {
-  AgentBeat beat;
+AgentBeat FullHeartbeat() {
+  AgentBeat heartbeat;
   for (int task = 0; task < kTasksPerWorker; ++task) {
     TaskReport report;
     report.id = {"team-100/nightly-plan-" + std::to_string(task), 1, task};
     report.phase = TaskPhase::kRunning;
     report.shape = {8, int64_t{16} << 30, 1};
-    beat.tasks.push_back(report);
+    heartbeat.tasks.push_back(report);
   }
-  return beat;
+  return heartbeat;
 }
 
 template <typename Wire, typename Message>
@@ -88,14 +88,14 @@
 class CapacityBench : public BenchSuite {
  public:
   std::string Summary() const override {
-    return "bytes and time for each job, task, worker and workspace (docs/CAPACITY.md)";
+    return "bytes and time per job, task, worker and workspace (docs/CAPACITY.md)";
   }
 
   std::vector<BenchFigure> Run(const BenchOptions& options) override {
     std::vector<BenchFigure> figures;
     AddRecords(&figures);
-    AddBeats(options, &figures);
-    AddJobFold(options, &figures);
+    AddHeartbeats(options, &figures);
+    AddReplicatedJobs(options, &figures);
     AddDocument(options, &figures);
     return figures;
   }
@@ -105,37 +105,38 @@
     const JobSubmitted submitted = SubmittedRecord(1);
     const std::string id = JobId(submitted.spec.workspace, submitted.spec.key);
     const JobEnded ended{NewRecordId(), id, 1, JobState::kDone, "", 1, 1};
+    figures->push_back(ExactFigure("job_submitted_record",
+                                   static_cast<double>(EncodeRecords({submitted}).size()), "B"));
     figures->push_back(
-        Exact("job_submitted_record", static_cast<double>(EncodeRecords({submitted}).size()), "B"));
-    figures->push_back(
-        Exact("job_ended_record", static_cast<double>(EncodeRecords({ended}).size()), "B"));
+        ExactFigure("job_ended_record", static_cast<double>(EncodeRecords({ended}).size()), "B"));
   }
 
-  static void AddBeats(const BenchOptions& options, std::vector<BenchFigure>* figures) {
+  static void AddHeartbeats(const BenchOptions& options, std::vector<BenchFigure>* figures) {
     const AgentBeat empty;
-    const AgentBeat full = FullBeat();
-    figures->push_back(Exact("agent_beat_idle", WireBytes<wire::AgentBeat>(empty), "B"));
-    figures->push_back(Exact("agent_beat_26_tasks", WireBytes<wire::AgentBeat>(full), "B"));
-    figures->push_back(Exact("entry_beat_unchanged", WireBytes<wire::EntryBeat>(EntryBeat()), "B"));
+    const AgentBeat full = FullHeartbeat();
+    figures->push_back(ExactFigure("agent_beat_idle", WireBytes<wire::AgentBeat>(empty), "B"));
+    figures->push_back(ExactFigure("agent_beat_26_tasks", WireBytes<wire::AgentBeat>(full), "B"));
+    figures->push_back(
+        ExactFigure("entry_beat_unchanged", WireBytes<wire::EntryBeat>(EntryBeat()), "B"));
     std::vector<double> encode;
-    std::vector<double> hear;
+    std::vector<double> handle_reply;
     for (int repeat = 0; repeat < options.repeats; ++repeat) {
       constexpr int kEncodes = 10000;
       const Time begun = DefaultClock().Now();
-      for (int beat = 0; beat < kEncodes; ++beat) WireBytes<wire::AgentBeat>(full);
+      for (int heartbeat = 0; heartbeat < kEncodes; ++heartbeat) WireBytes<wire::AgentBeat>(full);
       encode.push_back(MicrosecondsFor(begun, kEncodes));
       StartGuard guard("zone-0");
       EntryBeat answer;
       answer.freshness.age = Duration::zero();
-      const Time hearing = DefaultClock().Now();
-      for (int beat = 0; beat < kBeats; ++beat) guard.Hear(answer, hearing);
-      hear.push_back(MicrosecondsFor(hearing, kBeats));
+      const Time handling_start = DefaultClock().Now();
+      for (int index = 0; index < kHeartbeats; ++index) guard.Hear(answer, handling_start);
+      handle_reply.push_back(MicrosecondsFor(handling_start, kHeartbeats));
     }
     figures->push_back(MachineFigure("agent_beat_encode", "us", encode));
-    figures->push_back(MachineFigure("start_guard_hear", "us", hear));
+    figures->push_back(MachineFigure("start_guard_hear", "us", handle_reply));
   }
 
-  static void AddJobFold(const BenchOptions& options, std::vector<BenchFigure>* figures) {
+  static void AddReplicatedJobs(const BenchOptions& options, std::vector<BenchFigure>* figures) {
     std::vector<double> bytes;
     std::vector<double> apply;
     std::vector<double> list;
@@ -155,9 +156,9 @@
         ended.job = JobId(spec.workspace, spec.key);
         fold.Apply(ended, kJobs + number);
       }
-      const Time listing = DefaultClock().Now();
+      const Time list_start = DefaultClock().Now();
       for (int call = 0; call < kOpenJobsCalls; ++call) fold.OpenJobs("zone-0");
-      list.push_back(MicrosecondsFor(listing, kOpenJobsCalls));
+      list.push_back(MicrosecondsFor(list_start, kOpenJobsCalls));
     }
     figures->push_back(MachineFigure("job_fold_memory_a_job", "B", bytes));
     figures->push_back(MachineFigure("job_fold_apply", "us", apply));
@@ -166,16 +167,17 @@
 
   static void AddDocument(const BenchOptions& options, std::vector<BenchFigure>* figures) {
     const std::string text = SyntheticDocument(LongRunSize());
-    figures->push_back(Exact("document_of_230_workspaces", static_cast<double>(text.size()), "B"));
+    figures->push_back(
+        ExactFigure("document_of_230_workspaces", static_cast<double>(text.size()), "B"));
     std::vector<double> parse;
     std::vector<double> split;
     for (int repeat = 0; repeat < options.repeats; ++repeat) {
       const Time begun = DefaultClock().Now();
       const Environment environment = ParseEnvironment("long-run", text);
       parse.push_back(1e3 * Seconds(DefaultClock().Now() - begun));
-      const Time splitting = DefaultClock().Now();
+      const Time split_start = DefaultClock().Now();
       SplitGuarantees(environment);
-      split.push_back(1e3 * Seconds(DefaultClock().Now() - splitting));
+      split.push_back(1e3 * Seconds(DefaultClock().Now() - split_start));
     }
     figures->push_back(MachineFigure("document_parse", "ms", parse));
     figures->push_back(MachineFigure("guarantee_split", "ms", split));
--- a/main/benches/capacity_bench.h
+++ b/main/benches/capacity_bench.h
@@ -2,8 +2,8 @@
 
 namespace turmericshift {
 
-// Adds the suite "capacity": sizes and costs for each job, task, worker and workspace, from which
-// docs/CAPACITY.md works out the long-run size.
+// Registers the benchmark suite `capacity`: bytes and time per job, task, worker and workspace,
+// from which docs/CAPACITY.md calculates the cost of the long-run size.
 void RegisterCapacityBench();
 
 }  // namespace turmericshift
--- a/main/benches/bench_spread.cc
+++ b/main/benches/config_propagation.cc
@@ -1,4 +1,4 @@
-#include "main/benches/bench_spread.h"
+#include "main/benches/config_propagation.h"
 
 #include <algorithm>
 #include <atomic>
@@ -20,10 +20,10 @@
 namespace turmericshift {
 namespace {
 
-constexpr Duration kHeartbeat = std::chrono::seconds(1);
-constexpr Duration kReadWait = std::chrono::milliseconds(500);
-constexpr Duration kLimit = std::chrono::seconds(30);
-constexpr int kDrivers = 4;
+constexpr Duration kHeartbeatInterval = std::chrono::seconds(1);
+constexpr Duration kLongPollWait = std::chrono::milliseconds(500);
+constexpr Duration kTimeout = std::chrono::seconds(30);
+constexpr int kDriverThreads = 4;
 constexpr size_t kReaderStackBytes = size_t{128} * 1024;
 
 std::string Document(int number) {
@@ -46,7 +46,7 @@
   return record;
 }
 
-// Counts what it is asked for.
+// Counts the reads of the log.
 class CountingLog : public MemoryLog {
  public:
   LogBatch Read(const std::string& stream, Offset from, Duration wait, Duration timeout) override {
@@ -59,7 +59,8 @@
   std::atomic<int64_t> reads_{0};
 };
 
-// An agent as far as documents go: its guard and three sessions.
+// The part of an agent that receives documents: its start guard and its sessions with three
+// entries.
 struct FakeAgent {
   StartGuard guard{"a"};
   AgentHello hello;
@@ -67,49 +68,53 @@
   std::atomic<int64_t> in_force_nanos{0};
 };
 
-struct Beat {
+struct ScheduledHeartbeat {
   Time due{};
   FakeAgent* agent = nullptr;
   size_t port = 0;
-  bool operator<(const Beat& other) const { return due > other.due; }
+  bool operator<(const ScheduledHeartbeat& other) const { return due > other.due; }
 };
 
-// Sends the heartbeats of some agents, each session at a phase of its own.
-void Drive(std::priority_queue<Beat> beats, int64_t version, const std::atomic<bool>* done) {
-  while (!done->load() && !beats.empty()) {
-    Beat beat = beats.top();
-    beats.pop();
-    std::this_thread::sleep_until(beat.due);
+// Sends the heartbeats of a group of agents until `done`, each session with its own phase, and
+// records when an agent has `version` in force.
+void SendHeartbeats(std::priority_queue<ScheduledHeartbeat> heartbeats, int64_t version,
+                    const std::atomic<bool>* done) {
+  while (!done->load() && !heartbeats.empty()) {
+    ScheduledHeartbeat heartbeat = heartbeats.top();
+    heartbeats.pop();
+    std::this_thread::sleep_until(heartbeat.due);
     const Time sent = DefaultClock().Now();
-    AgentBeat own;
-    own.config_version = beat.agent->guard.config_version();
-    beat.agent->guard.Hear(beat.agent->ports[beat.port]->Heartbeat(own, kHeartbeat), sent);
-    if (beat.agent->guard.config_version() >= version && beat.agent->in_force_nanos.load() == 0) {
-      beat.agent->in_force_nanos.store(DefaultClock().Now().time_since_epoch().count());
+    AgentBeat message;
+    message.config_version = heartbeat.agent->guard.config_version();
+    heartbeat.agent->guard.Hear(
+        heartbeat.agent->ports[heartbeat.port]->Heartbeat(message, kHeartbeatInterval), sent);
+    if (heartbeat.agent->guard.config_version() >= version &&
+        heartbeat.agent->in_force_nanos.load() == 0) {
+      heartbeat.agent->in_force_nanos.store(DefaultClock().Now().time_since_epoch().count());
     }
-    beat.due += kHeartbeat;
-    beats.push(beat);
+    heartbeat.due += kHeartbeatInterval;
+    heartbeats.push(heartbeat);
   }
 }
 
-void AwaitAll(const std::function<bool()>& holds) {
-  const Time limit = DefaultClock().Now() + kLimit;
-  while (!holds()) {
-    if (DefaultClock().Now() > limit) throw Error(ErrorKind::kDeadlineExceeded, "not spread");
+void AwaitAll(const std::function<bool()>& condition) {
+  const Time deadline = DefaultClock().Now() + kTimeout;
+  while (!condition()) {
+    if (DefaultClock().Now() > deadline) throw Error(ErrorKind::kDeadlineExceeded, "not in force");
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
   }
 }
 
 }  // namespace
 
-double SpreadResult::Quantile(double share) const {
+double PropagationResult::Quantile(double share) const {
   std::vector<double> sorted = delays;
   std::sort(sorted.begin(), sorted.end());
   const auto last = static_cast<double>(sorted.size() - 1);
   return sorted.at(static_cast<size_t>(share * last));
 }
 
-SpreadResult SpreadByHeartbeats(int agents, uint64_t seed) {
+PropagationResult PropagateByHeartbeats(int agents, uint64_t seed) {
   CountingLog log;
   MetricsRegistry metrics;
   DirectConnector connector;
@@ -125,46 +130,46 @@
   }
   log.Append("config", EncodeRecords({Published(1)}), {});
   std::minstd_rand random(static_cast<std::minstd_rand::result_type>(seed));
-  std::uniform_int_distribution<int64_t> phase(0, kHeartbeat.count());
+  std::uniform_int_distribution<int64_t> phase(0, kHeartbeatInterval.count());
   const Time begun = DefaultClock().Now();
-  std::vector<std::unique_ptr<FakeAgent>> fleet;
-  std::vector<std::priority_queue<Beat>> beats(kDrivers);
+  std::vector<std::unique_ptr<FakeAgent>> fake_agents;
+  std::vector<std::priority_queue<ScheduledHeartbeat>> heartbeats(kDriverThreads);
   for (int index = 0; index < agents; ++index) {
-    fleet.push_back(std::make_unique<FakeAgent>());
-    FakeAgent* agent = fleet.back().get();
+    fake_agents.push_back(std::make_unique<FakeAgent>());
+    FakeAgent* agent = fake_agents.back().get();
     agent->hello = {"agent-" + std::to_string(index), "i", "a", "r", "", {}};
     for (const std::string zone : {"a", "b", "c"}) {
       agent->ports.push_back(connector.Connect(zone, agent->hello, nullptr));
-      beats[static_cast<size_t>(index % kDrivers)].push(
+      heartbeats[static_cast<size_t>(index % kDriverThreads)].push(
           {begun + Duration(phase(random)), agent, agent->ports.size() - 1});
     }
   }
   std::atomic<bool> done{false};
   std::vector<Thread> drivers;
-  drivers.reserve(beats.size());
-  for (auto& queue : beats) {
-    drivers.emplace_back("bench-beats", [&queue, &done] { Drive(queue, 2, &done); });
+  drivers.reserve(heartbeats.size());
+  for (auto& queue : heartbeats) {
+    drivers.emplace_back("bench-beats", [&queue, &done] { SendHeartbeats(queue, 2, &done); });
   }
-  SpreadResult result;
+  PropagationResult result;
   try {
     AwaitAll([&] {
-      return std::all_of(fleet.begin(), fleet.end(),
+      return std::all_of(fake_agents.begin(), fake_agents.end(),
                          [](const auto& agent) { return agent->guard.config_version() == 1; });
     });
     const int64_t reads = log.reads();
-    const Time quiet = DefaultClock().Now();
-    std::this_thread::sleep_for(kHeartbeat);
+    const Time idle_start = DefaultClock().Now();
+    std::this_thread::sleep_for(kHeartbeatInterval);
     result.log_reads_per_second =
-        static_cast<double>(log.reads() - reads) / Seconds(DefaultClock().Now() - quiet);
-    const Time accepted = DefaultClock().Now();
+        static_cast<double>(log.reads() - reads) / Seconds(DefaultClock().Now() - idle_start);
+    const Time published_at = DefaultClock().Now();
     log.Append("config", EncodeRecords({Published(2)}), {});
     AwaitAll([&] {
-      return std::all_of(fleet.begin(), fleet.end(),
+      return std::all_of(fake_agents.begin(), fake_agents.end(),
                          [](const auto& agent) { return agent->in_force_nanos.load() != 0; });
     });
-    for (const auto& agent : fleet) {
+    for (const auto& agent : fake_agents) {
       const Time in_force{Duration(agent->in_force_nanos.load())};
-      result.delays.push_back(Seconds(in_force - accepted));
+      result.delays.push_back(Seconds(in_force - published_at));
     }
   } catch (...) {
     done.store(true);
@@ -175,27 +180,27 @@
   return result;
 }
 
-SpreadResult SpreadByLogReaders(int agents) {
+PropagationResult PropagateByLogReaders(int agents) {
   CountingLog log;
   std::atomic<bool> done{false};
   std::atomic<int> reading{0};
   std::vector<std::atomic<int64_t>> in_force(static_cast<size_t>(agents));
-  SpreadResult result;
-  Time accepted{};
+  PropagationResult result;
+  Time published_at{};
   {
     std::vector<Thread> readers;
     readers.reserve(in_force.size());
-    for (std::atomic<int64_t>& mine : in_force) {
-      const auto read = [&log, &done, &reading, &mine] {
+    for (std::atomic<int64_t>& agent_in_force : in_force) {
+      const auto read = [&log, &done, &reading, &agent_in_force] {
         bool counted = false;
         Offset next = 0;
         while (!done.load()) {
           if (!std::exchange(counted, true)) reading.fetch_add(1);
-          const LogBatch batch = log.Read("config", next, kReadWait, kReadWait);
+          const LogBatch batch = log.Read("config", next, kLongPollWait, kLongPollWait);
           next += static_cast<Offset>(batch.entries.size());
           if (!batch.entries.empty()) {
             for (const LogEntry& entry : batch.entries) DecodeRecords(entry.bytes);
-            mine.store(DefaultClock().Now().time_since_epoch().count());
+            agent_in_force.store(DefaultClock().Now().time_since_epoch().count());
           }
         }
       };
@@ -203,11 +208,11 @@
     }
     AwaitAll([&] { return reading.load() == agents; });
     const int64_t reads = log.reads();
-    const Time quiet = DefaultClock().Now();
-    std::this_thread::sleep_for(2 * kReadWait);
+    const Time idle_start = DefaultClock().Now();
+    std::this_thread::sleep_for(2 * kLongPollWait);
     result.log_reads_per_second =
-        static_cast<double>(log.reads() - reads) / Seconds(DefaultClock().Now() - quiet);
-    accepted = DefaultClock().Now();
+        static_cast<double>(log.reads() - reads) / Seconds(DefaultClock().Now() - idle_start);
+    published_at = DefaultClock().Now();
     log.Append("config", EncodeRecords({Published(1)}), {});
     AwaitAll([&] {
       return std::all_of(in_force.begin(), in_force.end(),
@@ -216,23 +221,22 @@
     done.store(true);
   }
   for (const auto& each : in_force) {
-    result.delays.push_back(Seconds(Time{Duration(each.load())} - accepted));
+    result.delays.push_back(Seconds(Time{Duration(each.load())} - published_at));
   }
   return result;
 }
 
-SpreadResult SpreadByRelays(int agents, uint64_t seed) {
-  constexpr int kToldByEntries = 10;
-  constexpr int kChildren = 3;
+PropagationResult PropagateByRelays(int agents, uint64_t seed) {
+  constexpr int kRootAgents = 10;
+  constexpr int kFanOut = 3;
   std::minstd_rand random(static_cast<std::minstd_rand::result_type>(seed));
-  std::uniform_real_distribution<double> wait(0, Seconds(kHeartbeat));
-  SpreadResult result;
+  std::uniform_real_distribution<double> wait(0, Seconds(kHeartbeatInterval));
+  PropagationResult result;
   for (int index = 0; index < agents; ++index) {
-    // Each level waits for its own next heartbeat after its parent had the document.
-    const double parent =
-        index < kToldByEntries
-            ? 0
-            : result.delays[static_cast<size_t>((index - kToldByEntries) / kChildren)];
+    // An agent receives the document with its next heartbeat after its parent has received it.
+    const double parent = index < kRootAgents
+                              ? 0
+                              : result.delays[static_cast<size_t>((index - kRootAgents) / kFanOut)];
     result.delays.push_back(parent + wait(random));
   }
   return result;
--- a/main/benches/load_generator.cc
+++ b/main/benches/load_generator.cc
@@ -26,9 +26,9 @@
 double LoadResult::Quantile(double share) const {
   if (latencies.empty()) return 0;
   std::vector<double> sorted = latencies;
-  const auto place = static_cast<std::ptrdiff_t>(share * static_cast<double>(sorted.size() - 1));
-  std::nth_element(sorted.begin(), sorted.begin() + place, sorted.end());
-  return sorted[static_cast<size_t>(place)];
+  const auto index = static_cast<std::ptrdiff_t>(share * static_cast<double>(sorted.size() - 1));
+  std::nth_element(sorted.begin(), sorted.begin() + index, sorted.end());
+  return sorted[static_cast<size_t>(index)];
 }
 
 double LoadResult::AnsweredPerSecond() const {
@@ -40,7 +40,7 @@
   std::mutex mutex;
   std::atomic<int> next{0};
   const Time begun = DefaultClock().Now();
-  const Time end = begun + options.length;
+  const Time end = begun + options.duration;
   const auto run = [&] {
     std::vector<double> latencies;
     while (true) {
@@ -59,7 +59,7 @@
   threads.reserve(static_cast<size_t>(options.threads));
   for (int index = 0; index < options.threads; ++index) threads.emplace_back("load", run);
   threads.clear();
-  // Each thread took one number that it did not use.
+  // Each thread drew one number after the end that it did not use for a call.
   result.sent = next.load() - options.threads;
   result.elapsed_seconds = Seconds(DefaultClock().Now() - begun);
   return result;
--- a/main/benches/pool_rounds_bench.cc
+++ b/main/benches/pool_rounds_bench.cc
@@ -22,14 +22,14 @@
 
 constexpr int kWorkersPerRack = 20;
 constexpr pool::Room kWorkerRoom = {64'000, 131'072, 8};
-constexpr Duration kStep = std::chrono::milliseconds(10);
-constexpr Duration kPollEvery = std::chrono::milliseconds(500);
-constexpr Duration kWarmUp = std::chrono::seconds(8);
-constexpr Duration kMeasured = std::chrono::seconds(8);
-// Jobs a second for each worker; somewhat more work than the pool can carry.
+constexpr Duration kTickInterval = std::chrono::milliseconds(10);
+constexpr Duration kPollInterval = std::chrono::milliseconds(500);
+constexpr Duration kWarmUpTime = std::chrono::seconds(8);
+constexpr Duration kMeasuredTime = std::chrono::seconds(8);
+// Jobs per second and worker; a load slightly above the capacity of the pool.
 constexpr double kJobsPerWorker = 0.02;
 constexpr int64_t kWallStartMs = 1'700'000'000'000;
-constexpr double kTail = 0.99;
+constexpr double kTailQuantile = 0.99;
 
 struct PoolSize {
   const char* name;
@@ -39,7 +39,7 @@
 constexpr std::array<PoolSize, 3> kSizes = {
     {{"60_workers", 60}, {"240_workers", 240}, {"1400_workers", 1400}}};
 
-// A worker whose runs take as long as their step says, with the agent beside it.
+// Simulated worker and its agent. Runs last for a fixed time that depends on the job.
 struct BenchWorker {
   std::string node;
   std::string rack;
@@ -50,18 +50,18 @@
   std::map<RunId, std::pair<Time, Time>> running;
   std::map<int64_t, pool::EndedTask> ended;
   std::vector<pool::StartResult> results;
-  bool news = true;
+  bool report_due = true;
 };
 
 class PoolLoad {
  public:
-  PoolLoad(int workers, uint64_t seed) : random_(seed), arrivals_(kJobsPerWorker * workers) {
+  PoolLoad(int workers, uint64_t seed) : random_(seed), arrival_rate_(kJobsPerWorker * workers) {
     std::set<std::string> nodes;
     for (int index = 0; index < workers; ++index) {
       BenchWorker worker;
       worker.node = "worker-" + std::to_string(index);
       worker.rack = "rack-" + std::to_string(index / kWorkersPerRack);
-      worker.next_poll = now_ + kPollEvery * index / workers;
+      worker.next_poll = now_ + kPollInterval * index / workers;
       nodes.insert(worker.node);
       workers_.push_back(worker);
     }
@@ -72,16 +72,16 @@
 
   void RunFor(Duration time) {
     const Time end = now_ + time;
-    while (now_ < end) Step();
+    while (now_ < end) Tick();
   }
 
-  void ForgetFigures() {
+  void ResetFigures() {
     rounds_.clear();
     reports_ = 0;
     report_seconds_ = 0;
   }
   const std::vector<double>& rounds() const { return rounds_; }
-  // Mean seconds for an agent's report and its answer.
+  // Mean seconds to handle an agent's report and compute its orders.
   double report_seconds() const { return report_seconds_ / std::max(reports_, 1); }
 
  private:
@@ -103,69 +103,70 @@
     return state;
   }
 
-  int Below(int limit) { return static_cast<int>(random_() % static_cast<uint64_t>(limit)); }
+  int RandomBelow(int limit) { return static_cast<int>(random_() % static_cast<uint64_t>(limit)); }
   int64_t wall_ms() const {
     return kWallStartMs + duration_cast<std::chrono::milliseconds>(now_.time_since_epoch()).count();
   }
 
   void Submit() {
     constexpr std::array<const char*, 3> kQueues = {"urgent", "batch", "bulk"};
-    const int kind = std::array<int, 8>{0, 0, 0, 0, 0, 1, 1, 2}.at(static_cast<size_t>(Below(8)));
+    const int kind =
+        std::array<int, 8>{0, 0, 0, 0, 0, 1, 1, 2}.at(static_cast<size_t>(RandomBelow(8)));
     StepSpec step;
-    const int accelerators = kind == 2 ? 1 : std::array<int, 4>{1, 2, 4, 8}.at(Below(4));
+    const int accelerators = kind == 2 ? 1 : std::array<int, 4>{1, 2, 4, 8}.at(RandomBelow(4));
     const std::array<int, 3> widest = {16, 50, 160};
-    step.tasks = 1 + Below(widest.at(static_cast<size_t>(kind)));
+    step.tasks = 1 + RandomBelow(widest.at(static_cast<size_t>(kind)));
     if (kind != 2) step.tasks = std::max(1, step.tasks / accelerators);
     step.need = {std::array<int, 3>{7500, 26000, 5600}.at(static_cast<size_t>(kind)), 11'000,
                  accelerators};
     step.gang = kind != 2;
-    step.one_rack = step.gang && Below(3) != 0;
-    step.checkpoints = Below(2) == 0;
+    step.one_rack = step.gang && RandomBelow(3) != 0;
+    step.checkpoints = RandomBelow(2) == 0;
     step.estimate = std::chrono::milliseconds(kind == 0 ? 2500 : 7000);
     JobSpec job;
     job.id = "job-" + std::to_string(++jobs_);
     job.queue = kQueues.at(static_cast<size_t>(kind));
-    job.workspace = Below(2) == 0 ? "one" : "two";
+    job.workspace = RandomBelow(2) == 0 ? "one" : "two";
     job.accepted_ms = wall_ms();
     job.steps.push_back(step);
     planner_->Submit(job);
   }
 
-  void Step() {
-    now_ += kStep;
+  void Tick() {
+    now_ += kTickInterval;
     planner_->Confirm(now_);
     planner_->outbox().Take();
     planner_->outbox().MarkDurable();
     planner_->SetOperatorState(operators_, now_);
-    std::poisson_distribution<int> arrivals(arrivals_ * Seconds(kStep));
-    for (int left = arrivals(random_); left > 0; --left) Submit();
+    std::poisson_distribution<int> arrivals(arrival_rate_ * Seconds(kTickInterval));
+    for (int remaining = arrivals(random_); remaining > 0; --remaining) Submit();
     const Time begun = DefaultClock().Now();
     planner_->NoteKept();
     planner_->Plan(wall_ms(), now_);
     rounds_.push_back(Seconds(DefaultClock().Now() - begun));
-    for (BenchWorker& worker : workers_) StepWorker(&worker);
+    for (BenchWorker& worker : workers_) TickWorker(&worker);
   }
 
-  void StepWorker(BenchWorker* worker) {
+  void TickWorker(BenchWorker* worker) {
     for (auto run = worker->running.begin(); run != worker->running.end();) {
       if (now_ < run->second.second) {
         ++run;
         continue;
       }
-      End(worker, run->first, pool::EndKind::kDone);
+      EndRun(worker, run->first, pool::EndKind::kDone);
       run = worker->running.erase(run);
     }
-    const bool told = planner_->HasNews(worker->node);
-    if (now_ < worker->next_poll && !worker->news && !told) return;
-    worker->news = false;
-    worker->next_poll = now_ + kPollEvery;
-    Exchange(worker);
+    const bool has_orders = planner_->HasNews(worker->node);
+    if (now_ < worker->next_poll && !worker->report_due && !has_orders) return;
+    worker->report_due = false;
+    worker->next_poll = now_ + kPollInterval;
+    ExchangeReport(worker);
   }
 
-  void End(BenchWorker* worker, const RunId& run, pool::EndKind how) {
+  void EndRun(BenchWorker* worker, const RunId& run, pool::EndKind kind) {
     const int64_t number = ++worker->ends;
-    worker->ended[number] = {number, run, how, ""};
-    worker->news = true;
+    worker->ended[number] = {number, run, kind, ""};
+    worker->report_due = true;
   }
 
   AgentReport ReportOf(BenchWorker* worker) const {
@@ -191,7 +192,7 @@
     return report;
   }
 
-  void Exchange(BenchWorker* worker) {
+  void ExchangeReport(BenchWorker* worker) {
     const AgentReport report = ReportOf(worker);
     const Time begun = DefaultClock().Now();
     planner_->TakeReport(report, wall_ms(), now_);
@@ -202,18 +203,18 @@
     worker->ended.erase(worker->ended.begin(), worker->ended.upper_bound(orders.acked_ends));
     for (const pool::StartOrder& start : orders.starts) {
       const bool urgent = start.run.task.job.back() % 2 == 0;
-      const Duration takes = std::chrono::milliseconds(urgent ? 2500 : 6000);
-      if (!worker->running.emplace(start.run, std::make_pair(now_, now_ + takes)).second) continue;
+      const Duration length = std::chrono::milliseconds(urgent ? 2500 : 6000);
+      if (!worker->running.emplace(start.run, std::make_pair(now_, now_ + length)).second) continue;
       worker->results.push_back({start.run, pool::StartOutcome::kStarted, ""});
-      worker->news = true;
+      worker->report_due = true;
     }
     for (const RunId& stop : orders.stops) {
-      if (worker->running.erase(stop) > 0) End(worker, stop, pool::EndKind::kStopped);
+      if (worker->running.erase(stop) > 0) EndRun(worker, stop, pool::EndKind::kStopped);
     }
   }
 
   std::mt19937_64 random_;
-  const double arrivals_;
+  const double arrival_rate_;
   Time now_ = Time(std::chrono::hours(1));
   std::vector<BenchWorker> workers_;
   std::unique_ptr<PoolPlanner> planner_;
@@ -227,7 +228,7 @@
 class PoolRoundsSuite : public BenchSuite {
  public:
   std::string Summary() const override {
-    return "what planning a pool costs: rounds and agents' reports, by the pool's size";
+    return "time for planning rounds and for agents' reports, by the pool's size";
   }
 
   std::vector<BenchFigure> Run(const BenchOptions& options) override {
@@ -244,15 +245,16 @@
     std::vector<double> reports;
     for (int repeat = 0; repeat < options.repeats; ++repeat) {
       PoolLoad load(size.workers, options.seed + static_cast<uint64_t>(repeat));
-      load.RunFor(kWarmUp);
-      load.ForgetFigures();
-      load.RunFor(kMeasured);
+      load.RunFor(kWarmUpTime);
+      load.ResetFigures();
+      load.RunFor(kMeasuredTime);
       std::vector<double> rounds = load.rounds();
       std::sort(rounds.begin(), rounds.end());
       double sum = 0;
       for (const double round : rounds) sum += round;
       means.push_back(sum / static_cast<double>(rounds.size()));
-      tails.push_back(rounds[static_cast<size_t>(kTail * static_cast<double>(rounds.size()))]);
+      tails.push_back(
+          rounds[static_cast<size_t>(kTailQuantile * static_cast<double>(rounds.size()))]);
       reports.push_back(load.report_seconds());
     }
     const std::string name = size.name;
--- a/main/benches/pool_rounds_bench.h
+++ b/main/benches/pool_rounds_bench.h
@@ -1,5 +1,5 @@
-// What deciding for a pool costs the VM that plans it: rounds of planning and agents' reports, at
-// several sizes of the pool.
+// Benchmark suite `pool_rounds`: time that the planner of a pool spends on planning rounds and on
+// agents' reports, at several pool sizes.
 #pragma once
 
 namespace turmericshift {
--- a/main/benches/replay_bench.cc
+++ b/main/benches/replay_bench.cc
@@ -49,7 +49,7 @@
 class ReplayBench : public BenchSuite {
  public:
   std::string Summary() const override {
-    return "policy measures of the traces under tests/traces, against first_fit";
+    return "policy measures of the traces under tests/traces, compared with first_fit";
   }
 
   std::vector<BenchFigure> Run(const BenchOptions& /*options*/) override {
--- a/main/benches/replay_bench.h
+++ b/main/benches/replay_bench.h
@@ -2,8 +2,8 @@
 
 namespace turmericshift {
 
-// Adds the suite "replay": the policy measures of every trace under tests/traces, each held
-// against the first_fit policy. Its figures are the same on every run.
+// Registers the benchmark suite `replay`: the policy measures of every trace under tests/traces,
+// compared with the first_fit policy. The figures are the same on every run.
 void RegisterReplayBench();
 
 }  // namespace turmericshift
