--- a/main/commands.h
+++ b/main/commands.h
@@ -1,4 +1,5 @@
-// The subcommands of the binary. Each takes the words after its name and returns an exit code.
+// The subcommands of the binary. Each takes the command-line arguments after its name and returns
+// an exit code.
 #pragma once
 
 #include <string>
@@ -12,40 +13,42 @@
 struct Command {
   std::string name;
   std::string summary;
-  ExitCode (*run)(const Words& words);
-  // Serves until SIGTERM, under a supervisor.
+  ExitCode (*run)(const Args& args);
+  // True for a process that a supervisor runs and that serves until SIGTERM.
   bool daemon = false;
 };
 
 // All commands, in the order of the help text.
 const std::vector<Command>& Commands();
 
-// Whether the command of this name is a daemon.
+// Whether the command called `name` is a daemon.
 bool IsDaemon(const std::string& name);
 
-// Runs the command that words[0] names among `commands`; prints their list for no words or
-// "--help". `prefix` is "turmericshift" or "turmericshift job".
+// Runs the command in `commands` that args[0] names. Prints the list of commands if there are
+// no arguments (exit code kUsage) or for "--help" and "-h". `prefix` is the part of the command
+// line before the command's name, such as "turmericshift" or "turmericshift job". Throws
+// Error(kInvalidInput) for an unknown command.
 ExitCode Dispatch(const std::string& prefix, const std::vector<Command>& commands,
-                  const Words& words);
-
-// Processes.
-ExitCode RunEntry(const Words& words);
-ExitCode RunAgent(const Words& words);
-// Entries and agents of a pool on a platform that an adapter speaks to.
-ExitCode RunPool(const Words& words);
-ExitCode RunStandIn(const Words& words);
-ExitCode RunDev(const Words& words);
-ExitCode RunDemo(const Words& words);
-
-// An entry's API.
-ExitCode RunJob(const Words& words);
-ExitCode RunRequest(const Words& words);
-ExitCode RunConfig(const Words& words);
-ExitCode RunZone(const Words& words);
-ExitCode RunStatus(const Words& words);
-
-ExitCode RunExplain(const Words& words);
-ExitCode RunToken(const Words& words);
-ExitCode RunVersion(const Words& words);
+                  const Args& args);
+
+// Commands that run processes of the system.
+ExitCode RunEntry(const Args& args);
+ExitCode RunAgent(const Args& args);
+// `pool entry` and `pool agent`: processes of a pool on a platform reached through an adapter.
+ExitCode RunPool(const Args& args);
+ExitCode RunStandIn(const Args& args);
+ExitCode RunDev(const Args& args);
+ExitCode RunDemo(const Args& args);
+
+// Commands that call an entry's HTTP API.
+ExitCode RunJob(const Args& args);
+ExitCode RunRequest(const Args& args);
+ExitCode RunConfig(const Args& args);
+ExitCode RunZone(const Args& args);
+ExitCode RunStatus(const Args& args);
+
+ExitCode RunExplain(const Args& args);
+ExitCode RunToken(const Args& args);
+ExitCode RunVersion(const Args& args);
 
 }  // namespace turmericshift
--- a/main/commands/api_client.cc
+++ b/main/commands/api_client.cc
@@ -29,7 +29,7 @@
   throw Error(ErrorKind::kInvalidInput, "give --" + option + " or set " + variable);
 }
 
-Time EndOf(const CommandOptions& options, Time now, Duration extra) {
+Time DeadlineFrom(const CommandOptions& options, Time now, Duration extra) {
   const std::string timeout = options.value("timeout");
   return now + (timeout.empty() ? kDefaultTimeout + extra : ParseDuration(timeout));
 }
@@ -51,55 +51,57 @@
 
 }  // namespace
 
-// What entries have answered to one call. Shared with the threads that ask, which may outlive it.
-struct ApiClient::Answers {
-  struct Answer {
+// Queue of the entries' replies to one call. Shared with the threads that send the call, which may
+// outlive the call.
+struct ApiClient::ReplyQueue {
+  struct EntryReply {
     size_t entry = 0;
     Attempt<HttpReply> reply;
   };
 
-  void Put(Answer answer) {
+  void Push(EntryReply entry_reply) {
     {
       const std::lock_guard<std::mutex> lock(mutex);
-      list.push_back(std::move(answer));
+      list.push_back(std::move(entry_reply));
     }
     changed.notify_all();
   }
 
-  // The next answer, if one comes until then.
-  std::optional<Answer> WaitUntil(Time limit) {
+  // Returns the next reply; nullopt if none arrives before `deadline`.
+  std::optional<EntryReply> WaitUntil(Time deadline) {
     std::unique_lock<std::mutex> lock(mutex);
-    changed.wait_until(lock, limit, [this] { return !list.empty(); });
+    changed.wait_until(lock, deadline, [this] { return !list.empty(); });
     if (list.empty()) return std::nullopt;
-    Answer answer = std::move(list.front());
+    EntryReply entry_reply = std::move(list.front());
     list.pop_front();
-    return answer;
+    return entry_reply;
   }
 
   std::mutex mutex;
   std::condition_variable changed;
-  std::deque<Answer> list;
+  std::deque<EntryReply> list;
 };
 
 void AddApiOptions(CommandOptions* options) {
-  options->Value("entries", "entries to ask, 'IP:port IP:port …'")
+  options->Value("entries", "addresses of entries, 'IP:port IP:port …'")
       .Value("token-file", "file that holds the token")
-      .Value("timeout", "the command ends by then, with status 4; default: 30s, and --wait on top")
+      .Value("timeout",
+             "time limit of the command, which then exits with 4; default: 30s plus --wait")
       .Flag("json", "print JSON");
 }
 
 ApiClient::ApiClient(const CommandOptions& options, Time now, Duration extra)
     : ApiClient(OptionOrVariable(options, "entries", "TURMERICSHIFT_ENTRIES"),
                 OptionOrVariable(options, "token-file", "TURMERICSHIFT_TOKEN_FILE"),
-                EndOf(options, now, extra)) {}
+                DeadlineFrom(options, now, extra)) {}
 
-ApiClient::ApiClient(const std::string& entries, const std::string& token_file, Time until)
-    : until_(until) {
-  std::istringstream words(entries);
-  std::string word;
-  while (words >> word) entries_.push_back(word);
+ApiClient::ApiClient(const std::string& entries, const std::string& token_file, Time deadline)
+    : deadline_(deadline) {
+  std::istringstream list(entries);
+  std::string address;
+  while (list >> address) entries_.push_back(address);
   const std::vector<std::string> lines = ReadFileLines(token_file);
-  if (lines.empty()) throw Error(ErrorKind::kInvalidInput, "the token file is empty");
+  if (lines.empty()) throw Error(ErrorKind::kInvalidInput, "the token file holds no token");
   token_ = lines.front();
 }
 
@@ -109,7 +111,7 @@
 
 nlohmann::json ApiClient::Change(const std::string& method, const std::string& path,
                                  const std::string& body) {
-  return CallJson(method, path, body, CallKind::kRepeatable);
+  return CallJson(method, path, body, CallKind::kIdempotent);
 }
 
 nlohmann::json ApiClient::CallJson(const std::string& method, const std::string& path,
@@ -118,53 +120,54 @@
   call.method = method;
   call.body = body;
   CallLimits limits;
-  limits.patience = patience_;
-  limits.total = until_ - DefaultClock().Now();
+  limits.hedge_delay = hedge_delay_;
+  limits.timeout = deadline_ - DefaultClock().Now();
   nlohmann::json json =
       nlohmann::json::parse(Perform(call, path, kind, limits).body, nullptr, false);
-  if (json.is_discarded()) throw Error(ErrorKind::kInternal, "the entry's answer is no JSON");
+  if (json.is_discarded()) throw Error(ErrorKind::kInternal, "the answer is not valid JSON");
   return json;
 }
 
 HttpReply ApiClient::Perform(HttpCall call, const std::string& path, CallKind kind,
                              CallLimits limits) {
   call.headers.push_back({"Authorization", "Bearer " + token_});
-  const Time begun = DefaultClock().Now();
-  const auto answers = std::make_shared<Answers>();
-  CallPlan plan(entries_.size(), first_, kind, limits, begun);
+  const Time start = DefaultClock().Now();
+  const auto replies = std::make_shared<ReplyQueue>();
+  CallPlan plan(entries_.size(), preferred_entry_, kind, limits, start);
   while (true) {
     const Time now = DefaultClock().Now();
-    for (const size_t entry : plan.TakeDue(now)) {
-      Ask(answers, entry, call, path, begun + limits.total - now);
+    for (const size_t entry : plan.TakeDueEntries(now)) {
+      SendTo(replies, entry, call, path, start + limits.timeout - now);
     }
-    if (plan.over(now)) throw plan.failure(now);
-    if (plan.TakeNotice(now)) TellSilence(plan, call.method + " " + path);
-    std::optional<Answers::Answer> answer = answers->WaitUntil(plan.next_look());
-    if (!answer) continue;
-    if (!answer->reply.error) {
-      first_ = answer->entry;
-      return answer->reply.Take();
+    if (plan.finished(now)) throw plan.failure(now);
+    if (plan.TakeSilenceNotice(now)) ReportUnanswered(plan, call.method + " " + path);
+    std::optional<ReplyQueue::EntryReply> entry_reply = replies->WaitUntil(plan.next_wakeup());
+    if (!entry_reply) continue;
+    if (!entry_reply->reply.error) {
+      preferred_entry_ = entry_reply->entry;
+      return entry_reply->reply.Take();
     }
-    plan.Failed(answer->entry, *answer->reply.error);
+    plan.HandleFailure(entry_reply->entry, *entry_reply->reply.error);
   }
 }
 
-void ApiClient::Ask(const std::shared_ptr<Answers>& answers, size_t entry, const HttpCall& call,
-                    const std::string& path, Duration left) const {
-  HttpCall own = call;
-  own.url = "http://" + entries_[entry] + path;
-  own.timeout = left;
-  Thread thread("ask-entry", [answers, entry, own] {
-    answers->Put({entry, AttemptOf<HttpReply>([&own] { return PerformOrThrow(own); })});
+void ApiClient::SendTo(const std::shared_ptr<ReplyQueue>& replies, size_t entry,
+                       const HttpCall& call, const std::string& path, Duration timeout) const {
+  HttpCall entry_call = call;
+  entry_call.url = "http://" + entries_[entry] + path;
+  entry_call.timeout = timeout;
+  Thread thread("ask-entry", [replies, entry, entry_call] {
+    replies->Push(
+        {entry, AttemptOf<HttpReply>([&entry_call] { return PerformOrThrow(entry_call); })});
   });
   thread.Detach();
 }
 
-void ApiClient::TellSilence(const CallPlan& plan, const std::string& what) const {
-  std::string who;
-  for (const size_t entry : plan.silent()) who += " " + entries_[entry];
-  std::fprintf(stderr, "no answer yet to %s from%s\n", what.substr(0, what.find('?')).c_str(),
-               who.c_str());
+void ApiClient::ReportUnanswered(const CallPlan& plan, const std::string& request) const {
+  std::string addresses;
+  for (const size_t entry : plan.unanswered()) addresses += " " + entries_[entry];
+  std::fprintf(stderr, "no answer yet to %s from%s\n", request.substr(0, request.find('?')).c_str(),
+               addresses.c_str());
 }
 
 std::string UrlEscape(const std::string& text) {
--- a/main/commands/api_client.h
+++ b/main/commands/api_client.h
@@ -1,5 +1,5 @@
-// The command line's side of an entry's HTTP API. Gets past entries that do not answer, as far as
-// the kind of call allows; see CallPlan.
+// Client of the entries' HTTP API for the commands. Sends a call to further entries if one does not
+// answer, as far as the kind of call allows; see CallPlan.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -13,53 +13,55 @@
 
 namespace turmericshift {
 
-// Adds the options that say where to ask, as whom and how long.
+// Adds the options for the entries' addresses, the token, the time limit and JSON output.
 void AddApiOptions(CommandOptions* options);
 
 class ApiClient {
  public:
-  // From the options, or from the environment variables TURMERICSHIFT_ENTRIES (space-separated
-  // "IP:port") and TURMERICSHIFT_TOKEN_FILE where an option is empty. `now`: the command's begin;
-  // it ends `--timeout` later, or 30 s and `extra` later.
-  // Throws Error(kInvalidInput) when neither says.
+  // Takes entries and token from the options, or from the environment variables
+  // TURMERICSHIFT_ENTRIES (space-separated "IP:port") and TURMERICSHIFT_TOKEN_FILE where an option
+  // is empty. The command starts at `now` and must end within `--timeout`, which defaults to 30 s
+  // plus `extra`. Throws Error(kInvalidInput) if neither an option nor its variable is set.
   ApiClient(const CommandOptions& options, Time now, Duration extra = Duration::zero());
-  // The entries and the token of another environment, named outright.
-  ApiClient(const std::string& entries, const std::string& token_file, Time until);
+  // Calls the entries of another environment, with addresses and token file given directly.
+  // `entries` is a space-separated list of "IP:port".
+  ApiClient(const std::string& entries, const std::string& token_file, Time deadline);
 
-  // The answer's JSON. Throws the Error that an entry answered with, kUnavailable with outcome
-  // not_run when no entry could be reached, kDeadlineExceeded when none has answered in time.
+  // Returns the answer's JSON. Throws the Error that an entry answered with, kUnavailable with
+  // outcome not_run if no entry could be reached, and kDeadlineExceeded if no entry answered in
+  // time.
   nlohmann::json Read(const std::string& path);
-  // As Read, for a change that takes effect once, however often it is sent.
+  // As Read, for an idempotent change: it takes effect once, however often it is sent.
   nlohmann::json Change(const std::string& method, const std::string& path,
                         const std::string& body = "");
-  // As Read, with the whole answer and limits of the caller's own. The URL and the token are added
-  // to `call`.
+  // As Read, but returns the complete HTTP reply and uses the given limits. Adds the URL and the
+  // token to `call`.
   HttpReply Perform(HttpCall call, const std::string& path, CallKind kind, CallLimits limits);
 
-  // The command is over then.
-  Time until() const { return until_; }
-  // Silence after which more entries are asked.
-  void SetPatience(Duration patience) { patience_ = patience; }
+  // Time at which the command must end.
+  Time deadline() const { return deadline_; }
+  // Time without an answer after which the call is sent to further entries as well.
+  void SetHedgeDelay(Duration hedge_delay) { hedge_delay_ = hedge_delay; }
 
  private:
-  struct Answers;
+  struct ReplyQueue;
 
   nlohmann::json CallJson(const std::string& method, const std::string& path,
                           const std::string& body, CallKind kind);
-  void Ask(const std::shared_ptr<Answers>& answers, size_t entry, const HttpCall& call,
-           const std::string& path, Duration left) const;
-  // Tells the user who is asked and silent.
-  void TellSilence(const CallPlan& plan, const std::string& what) const;
+  void SendTo(const std::shared_ptr<ReplyQueue>& replies, size_t entry, const HttpCall& call,
+              const std::string& path, Duration timeout) const;
+  // Prints on standard error which entries have not answered yet.
+  void ReportUnanswered(const CallPlan& plan, const std::string& request) const;
 
   std::vector<std::string> entries_;
   std::string token_;
-  Time until_;
-  Duration patience_ = CallLimits().patience;
-  // The entry that answered last; the next call begins there.
-  size_t first_ = 0;
+  Time deadline_;
+  Duration hedge_delay_ = CallLimits().hedge_delay;
+  // Index of the entry that answered last; the next call is sent to it first.
+  size_t preferred_entry_ = 0;
 };
 
-// `text` as one segment of a URL's path or query.
+// Percent-encodes `text` for use as one segment of a URL's path or query.
 std::string UrlEscape(const std::string& text);
 
 }  // namespace turmericshift
--- a/main/commands/api_client_test.cc
+++ b/main/commands/api_client_test.cc
@@ -18,7 +18,7 @@
 
 using Json = nlohmann::json;
 
-// A file that holds the token.
+// A temporary file that holds a token.
 class TokenFile {
  public:
   TokenFile() : path_(testing::TempDir() + "token-" + std::to_string(getpid())) {
@@ -35,7 +35,7 @@
   const std::string path_;
 };
 
-// Takes connections and answers nothing, as a process that hangs.
+// Accepts connections but never answers, like a hanging process.
 class SilentEntry {
  public:
   SilentEntry() : fd_(ListenSocket("127.0.0.1", 0)) {}
@@ -48,12 +48,12 @@
   const int fd_;
 };
 
-// Answers calls for configuration as an entry does, and counts them. A version is in force once it
-// has been asked for `looks` times.
+// Answers configuration calls as an entry does and counts them. Reports a new version as in force
+// from the given number of polls on; 0: immediately.
 class ServingEntry {
  public:
-  explicit ServingEntry(int looks = 0)
-      : looks_(looks),
+  explicit ServingEntry(int polls = 0)
+      : polls_(polls),
         server_({}, [this](const HttpRequest& request) { return Handle(request); }) {}
   std::string address() const { return "127.0.0.1:" + std::to_string(server_.port()); }
   int calls() const { return calls_.load(); }
@@ -62,10 +62,10 @@
  private:
   HttpResponse Handle(const HttpRequest& request) {
     ++calls_;
-    if (request.path == "/v1/config/in-force") return JsonResponse(Report(--looks_ <= 0).dump());
+    if (request.path == "/v1/config/in-force") return JsonResponse(Report(--polls_ <= 0).dump());
     if (request.method == "GET") return JsonResponse(R"({"version":6})");
     last_change_ = request.argument("change");
-    return JsonResponse(Json({{"version", 7}, {"in_force", Report(looks_ <= 0)}}).dump(), 201);
+    return JsonResponse(Json({{"version", 7}, {"in_force", Report(polls_ <= 0)}}).dump(), 201);
   }
 
   static Json Report(bool in_force) {
@@ -73,7 +73,7 @@
     return {{"zones", {{"a", {{"behind", behind}, {"silent", {"entry-2"}}}}}}};
   }
 
-  std::atomic<int> looks_;
+  std::atomic<int> polls_;
   std::atomic<int> calls_{0};
   std::string last_change_;
   const HttpServer server_;
@@ -83,23 +83,24 @@
  protected:
   ApiClient ClientOf(const std::string& entries, Duration timeout = std::chrono::minutes(5)) const {
     ApiClient client(entries, token_.path(), DefaultClock().Now() + timeout);
-    client.SetPatience(std::chrono::milliseconds(20));
+    client.SetHedgeDelay(std::chrono::milliseconds(20));
     return client;
   }
 
-  // The words of a command at these entries.
-  Words With(Words words, const std::string& entries) const {
-    for (const char* word : {"--entries", entries.c_str(), "--token-file", token_.path().c_str()}) {
-      words.emplace_back(word);
+  // Appends the options for the entries and the token file to a command's arguments.
+  Args With(Args args, const std::string& entries) const {
+    for (const char* argument :
+         {"--entries", entries.c_str(), "--token-file", token_.path().c_str()}) {
+      args.emplace_back(argument);
     }
-    return words;
+    return args;
   }
 
   const TokenFile token_;
 };
 
-// A frozen entry that was named first made every command wait for 90 s and fail.
-TEST_F(ApiClientTest, ReadsGetPastSilentEntries) {
+// A hanging entry at the head of the list once made every command wait for 90 s and fail.
+TEST_F(ApiClientTest, ReadsSucceedDespiteSilentEntries) {
   const SilentEntry one;
   const SilentEntry two;
   const ServingEntry three;
@@ -107,7 +108,7 @@
   EXPECT_EQ(client.Read("/v1/config").value("version", 0), 6);
 }
 
-TEST_F(ApiClientTest, ChangesGetPastSilentEntries) {
+TEST_F(ApiClientTest, ChangesSucceedDespiteSilentEntries) {
   const SilentEntry one;
   const ServingEntry two;
   ApiClient client = ClientOf(one.address() + " " + two.address());
@@ -115,29 +116,29 @@
   EXPECT_EQ(two.last_change(), "x");
 }
 
-// Each call of a command would wait for the same silent entry again.
-TEST_F(ApiClientTest, TheNextCallBeginsWithTheEntryThatAnswered) {
+// Otherwise each call of a command would wait again for the same silent entry.
+TEST_F(ApiClientTest, NextCallStartsWithTheEntryThatAnswered) {
   const SilentEntry one;
   const ServingEntry two;
   ApiClient client = ClientOf(one.address() + " " + two.address(), std::chrono::hours(2));
   client.Read("/v1/config");
-  client.SetPatience(std::chrono::hours(1));
+  client.SetHedgeDelay(std::chrono::hours(1));
   client.Read("/v1/config");
   EXPECT_EQ(two.calls(), 2);
 }
 
-// A request without a key may run twice if another entry is asked as well.
-TEST_F(ApiClientTest, WhatMayRunOnceOnlyIsNeverSentTwice) {
+// A request without an idempotency key could run twice if it was sent to another entry as well.
+TEST_F(ApiClientTest, AtMostOnceCallIsNeverSentTwice) {
   const SilentEntry one;
   const ServingEntry two;
   ApiClient client = ClientOf(one.address() + " " + two.address());
   CallLimits limits;
-  limits.patience = std::chrono::milliseconds(1);
-  limits.total = std::chrono::milliseconds(200);
+  limits.hedge_delay = std::chrono::milliseconds(1);
+  limits.timeout = std::chrono::milliseconds(200);
   HttpCall call;
   call.method = "POST";
   try {
-    client.Perform(call, "/v1/services/s/x", CallKind::kOnce, limits);
+    client.Perform(call, "/v1/services/s/x", CallKind::kAtMostOnce, limits);
     ADD_FAILURE() << "an entry answered";
   } catch (const Error& error) {
     EXPECT_EQ(error.outcome(), Outcome::kUnknown);
@@ -145,11 +146,11 @@
   EXPECT_EQ(two.calls(), 0);
 }
 
-TEST_F(ApiClientTest, TheCommandEndsWhenItsTimeIsUp) {
+TEST_F(ApiClientTest, CommandEndsAtItsTimeout) {
   const SilentEntry one;
-  const Words words = With({"out", "a", "--timeout", "100ms", "--change", "mine"}, one.address());
+  const Args args = With({"out", "a", "--timeout", "100ms", "--change", "mine"}, one.address());
   try {
-    RunZone(words);
+    RunZone(args);
     ADD_FAILURE() << "an entry answered";
   } catch (const Error& error) {
     EXPECT_EQ(ExitCodeFor(error), ExitCode::kTimedOut);
@@ -158,9 +159,9 @@
   }
 }
 
-// The wait was part of the call that made the change: an entry that was lost in it took the answer
-// with it.
-TEST_F(ApiClientTest, TheWaitAsksAnyEntry) {
+// The wait for the version used to be part of the call that made the change, so the answer was lost
+// when that entry failed during the wait.
+TEST_F(ApiClientTest, WaitContinuesWithAnotherEntry) {
   auto one = std::make_unique<ServingEntry>(1000);
   const ServingEntry two(2);
   const std::string entries = one->address() + " " + two.address();
@@ -171,43 +172,45 @@
   EXPECT_EQ(two.calls(), 1);
 }
 
-TEST_F(ApiClientTest, AZoneChangeIsToldBeforeTheWaitForItIsOver) {
+TEST_F(ApiClientTest, ZoneChangeIsPrintedBeforeTheWaitEnds) {
   const ServingEntry entry(3);
   testing::internal::CaptureStdout();
   const ExitCode code = RunZone(With({"out", "a", "--wait", "300s"}, entry.address()));
-  const std::string told = testing::internal::GetCapturedStdout();
+  const std::string output = testing::internal::GetCapturedStdout();
   EXPECT_EQ(code, ExitCode::kDone);
-  EXPECT_EQ(told.rfind("availability zone a is out as of version 7\n", 0), 0U) << told;
-  EXPECT_NE(told.find("silent: entry-2"), std::string::npos) << told;
+  EXPECT_EQ(output.rfind("availability zone a is out as of version 7\n", 0), 0U) << output;
+  EXPECT_NE(output.find("silent: entry-2"), std::string::npos) << output;
   EXPECT_EQ(entry.calls(), 4);
 }
 
-TEST_F(ApiClientTest, AWaitThatEndsWithSomebodyBehindHasFailed) {
+TEST_F(ApiClientTest, WaitFailsIfAProcessIsStillBehind) {
   const ServingEntry entry(1000000);
   testing::internal::CaptureStdout();
-  const Words wait = {"out", "a", "--wait", "300ms"};
+  const Args wait = {"out", "a", "--wait", "300ms"};
   EXPECT_EQ(RunZone(With(wait, entry.address())), ExitCode::kFailed);
-  const Words cut = {"out", "a", "--wait", "10s", "--timeout", "300ms"};
+  const Args cut = {"out", "a", "--wait", "10s", "--timeout", "300ms"};
   EXPECT_EQ(RunZone(With(cut, entry.address())), ExitCode::kTimedOut);
   testing::internal::GetCapturedStdout();
 }
 
-// What scripts read must be one document, whatever is told of silent entries.
-TEST_F(ApiClientTest, JsonOutputStaysClean) {
+// Scripts read standard output as one JSON document, so messages about silent entries must not
+// appear there.
+TEST_F(ApiClientTest, StandardOutputIsOneJsonDocument) {
   const SilentEntry one;
   const ServingEntry two(3);
   testing::internal::CaptureStdout();
   const std::string entries = one.address() + " " + two.address();
   EXPECT_EQ(RunZone(With({"out", "a", "--wait", "300s", "--json"}, entries)), ExitCode::kDone);
-  const Json told = Json::parse(testing::internal::GetCapturedStdout(), nullptr, false);
-  ASSERT_FALSE(told.is_discarded());
-  EXPECT_EQ(told.value("version", 0), 7);
-  // As it was when the wait was over.
-  EXPECT_TRUE(told.at("in_force").at("zones").at("a").at("behind").empty());
+  const Json output = Json::parse(testing::internal::GetCapturedStdout(), nullptr, false);
+  ASSERT_FALSE(output.is_discarded());
+  EXPECT_EQ(output.value("version", 0), 7);
+  // The report is the newest one, from the end of the wait.
+  EXPECT_TRUE(output.at("in_force").at("zones").at("a").at("behind").empty());
 }
 
-// The change is made, and then no entry can be reached: "not run" would be untrue.
-TEST_F(ApiClientTest, AChangeStaysToldWhenNoEntryIsLeftInTheWait) {
+// The change was accepted before all entries became unreachable, so it must not be reported as "not
+// run".
+TEST_F(ApiClientTest, AcceptedChangeIsPrintedIfAllEntriesFailDuringTheWait) {
   auto entry = std::make_unique<ServingEntry>(1000000);
   const std::string address = entry->address();
   Thread end("end", [&entry] {
@@ -216,19 +219,20 @@
   });
   testing::internal::CaptureStdout();
   EXPECT_EQ(RunZone(With({"out", "a", "--wait", "10s"}, address)), ExitCode::kFailed);
-  const std::string told = testing::internal::GetCapturedStdout();
-  EXPECT_EQ(told.rfind("availability zone a is out as of version 7\n", 0), 0U) << told;
+  const std::string output = testing::internal::GetCapturedStdout();
+  EXPECT_EQ(output.rfind("availability zone a is out as of version 7\n", 0), 0U) << output;
   end.Join();
 }
 
-// The rollback procedure publishes an old document at the version that is present.
-TEST_F(ApiClientTest, PublishGetsPastASilentEntry) {
+// The rollback procedure publishes an old document on top of the current version and must work
+// while an entry hangs.
+TEST_F(ApiClientTest, PublishSucceedsDespiteASilentEntry) {
   const SilentEntry one;
   const ServingEntry two;
   testing::internal::CaptureStdout();
   const std::string entries = one.address() + " " + two.address();
-  const Words words = {"publish", "examples/potkocsi/environment.ini"};
-  EXPECT_EQ(RunConfig(With(words, entries)), ExitCode::kDone);
+  const Args args = {"publish", "examples/potkocsi/environment.ini"};
+  EXPECT_EQ(RunConfig(With(args, entries)), ExitCode::kDone);
   EXPECT_EQ(testing::internal::GetCapturedStdout().rfind("version 7", 0), 0U);
   EXPECT_FALSE(two.last_change().empty());
 }
--- a/main/commands/bench_command.cc
+++ b/main/commands/bench_command.cc
@@ -100,14 +100,14 @@
   return json;
 }
 
-ExitCode RunBench(const Words& words) {
-  CommandOptions options("bench", "runs the benchmarks", "[SUITE…]",
+ExitCode RunBench(const Args& args) {
+  CommandOptions options("bench", "run the benchmarks", "[SUITE…]",
                          "turmericshift bench placement --json figures.json");
   options.Flag("list", "list the suites")
       .Value("json", "write the figures to this file")
-      .Value("seed", "of the generated work", "1")
-      .Value("repeats", "runs of each machine figure", "5");
-  if (!options.Parse(words, 0, kMaxSuites)) return ExitCode::kDone;
+      .Value("seed", "seed of the generated workloads", "1")
+      .Value("repeats", "runs of each machine-dependent measurement", "5");
+  if (!options.Parse(args, 0, kMaxSuites)) return ExitCode::kDone;
   if (options.flag("list")) {
     PrintSuites();
     return ExitCode::kDone;
--- a/main/commands/bench_command.h
+++ b/main/commands/bench_command.h
@@ -14,15 +14,16 @@
 struct BenchResult {
   std::string suite;
   std::vector<BenchFigure> figures;
-  // What went wrong; empty if the suite ran to its end.
+  // Error message of the failed suite; empty if the suite completed.
   std::string failure;
 };
 
-// `bench [SUITE…] [--json FILE] [--seed N] [--repeats N] [--list]`; all suites without a name.
-// Returns kFailed when a suite failed; the others still run.
-ExitCode RunBench(const Words& words);
+// `bench [SUITE…] [--json FILE] [--seed N] [--repeats N] [--list]`; runs all suites if none is
+// named. Returns kFailed if a suite failed; the remaining suites still run.
+ExitCode RunBench(const Args& args);
 
-// Columns: figure, value, baseline, ratio, aim, range.
+// Formats the results as a text table with the columns figure, value, baseline, ratio, aim and
+// range.
 std::string BenchTable(const std::vector<BenchResult>& results);
 
 nlohmann::json BenchJson(const std::vector<BenchResult>& results);
--- a/main/commands/bench_command_test.cc
+++ b/main/commands/bench_command_test.cc
@@ -35,7 +35,7 @@
   registry.Register("test_broken", [] { return std::make_unique<BrokenSuite>(); });
 }
 
-TEST(BenchTest, TableAndJsonCarryEachColumn) {
+TEST(BenchTest, TableAndJsonContainAllColumns) {
   const std::vector<BenchResult> results = {{"suite", FixedSuite().Run({}), ""}};
   const std::string table = BenchTable(results);
   EXPECT_NE(table.find("suite.mean_wait"), std::string::npos);
@@ -47,15 +47,15 @@
   EXPECT_EQ(json[0]["figures"][1]["kind"], "machine");
 }
 
-// One suite breaks, as it will when a machine is short of something. The others must still give
-// their figures, and whoever reads the exit code must learn that one is missing.
-TEST(BenchTest, AFailedSuiteIsReportedAndTheRestStillRuns) {
+// A suite can fail on a computer that lacks a resource. The other suites must still report their
+// figures, and the exit code must show the failure.
+TEST(BenchTest, FailedSuiteIsReportedAndOtherSuitesRun) {
   RegisterSuites();
   EXPECT_EQ(RunBench({"test_fixed"}), ExitCode::kDone);
   EXPECT_EQ(RunBench({"test_broken", "test_fixed"}), ExitCode::kFailed);
 }
 
-TEST(BenchTest, UnknownSuitesAndOptionsAreRefused) {
+TEST(BenchTest, UnknownSuitesAndOptionsAreRejected) {
   EXPECT_THROW(RunBench({"no_such_suite"}), Error);
   EXPECT_THROW(RunBench({"--repeats", "0"}), Error);
   EXPECT_THROW(RunBench({"--colour"}), Error);
--- a/main/commands/burn_command.cc
+++ b/main/commands/burn_command.cc
@@ -16,19 +16,21 @@
 
 }  // namespace
 
-ExitCode RunReport(const Words& words) {
-  if (words.empty() || words[0] != "burn") {
-    throw Error(ErrorKind::kInvalidInput, "use: turmericshift report burn FILE… --document DOC");
+ExitCode RunReport(const Args& args) {
+  if (args.empty() || args[0] != "burn") {
+    throw Error(ErrorKind::kInvalidInput, "usage: turmericshift report burn FILE… --document DOC");
   }
-  CommandOptions options("report burn", "shows how fast service-level budgets burn", "FILE…",
+  CommandOptions options("report burn", "show the burn rates of the service-level error budgets",
+                         "FILE…",
                          "turmericshift report burn --document environment.ini entry-*.log");
-  options.Value("document", "the environment document, for the objectives")
-      .Value("html", "write the report as a page with plots to this file")
-      .Value("on-time-factor", "a plan is on time within this many declared run times", "2")
+  options.Value("document", "environment document that defines the objectives")
+      .Value("html", "write the report as an HTML page with plots to this file")
+      .Value("on-time-factor",
+             "a plan is on time if it ends within this multiple of its declared run time", "2")
       .Flag("json", "print the report as JSON");
-  if (!options.Parse(Words(words.begin() + 1, words.end()), 1, kMaxFiles)) return ExitCode::kDone;
+  if (!options.Parse(Args(args.begin() + 1, args.end()), 1, kMaxFiles)) return ExitCode::kDone;
   const std::string document = options.value("document");
-  if (document.empty()) throw Error(ErrorKind::kInvalidInput, "name the --document");
+  if (document.empty()) throw Error(ErrorKind::kInvalidInput, "--document is required");
   BurnOptions burn;
   burn.on_time_factor = ParseNumber(options.value("on-time-factor"), 1, kMaxOnTimeFactor);
   const Environment environment = ParseEnvironment(document, ReadFileText(document));
--- a/main/commands/call_plan.h
+++ b/main/commands/call_plan.h
@@ -1,5 +1,5 @@
-// Decides which entries one call of a command is sent to, and when. Keeps no clock and no
-// connection; see ApiClient.
+// Decides which entries a call is sent to, and when: hedged requests with failover. Has no clock
+// and no connections of its own; see ApiClient.
 #pragma once
 
 #include <optional>
@@ -12,64 +12,66 @@
 namespace turmericshift {
 
 enum class CallKind {
-  // Changes nothing.
+  // Has no side effect.
   kRead,
-  // A change that takes effect once, however many entries are asked for it.
-  kRepeatable,
-  // Goes to another entry only if the one before has surely not done it.
-  kOnce,
+  // A change that takes effect once, however many entries receive the call.
+  kIdempotent,
+  // May be sent to another entry only if all entries before are known not to have run it.
+  kAtMostOnce,
 };
 
 struct CallLimits {
-  // After this much silence more entries are asked as well.
-  Duration patience = std::chrono::seconds(1);
-  // After this much silence the user is told who is asked.
-  Duration notice = std::chrono::seconds(2);
-  // After this the call ends.
-  Duration total = std::chrono::seconds(30);
+  // Time without an answer after which the call is sent to further entries as well.
+  Duration hedge_delay = std::chrono::seconds(1);
+  // Time without an answer after which the user is told which entries have not answered.
+  Duration notice_delay = std::chrono::seconds(2);
+  // Time after which the call fails.
+  Duration timeout = std::chrono::seconds(30);
 };
 
 class CallPlan {
  public:
-  // `first`: the entry to begin with, an index below `entries`.
-  CallPlan(size_t entries, size_t first, CallKind kind, const CallLimits& limits, Time begun);
+  // `entries` is the number of entries; `first` is the index of the entry to start with.
+  CallPlan(size_t entries, size_t first, CallKind kind, const CallLimits& limits, Time start);
 
-  // The entries to ask now, each once. Silent entries are joined by one more, then by two, by four
-  // and so on, so that many of them cost seconds.
-  std::vector<size_t> TakeDue(Time now);
-  // An entry that was asked has failed or refused.
-  void Failed(size_t entry, const Error& error);
-  // True once, when the silence has lasted for the notice.
-  bool TakeNotice(Time now);
-  // Nothing more can come of it; see failure().
-  bool over(Time now) const;
-  // Why the call failed. Its outcome speaks for all entries that were asked.
+  // Returns the entries to send the call to now; each entry is returned once. While no entry
+  // answers, each further wave doubles in size (1, 2, 4, …), so that even many silent entries delay
+  // the call by only a few seconds.
+  std::vector<size_t> TakeDueEntries(Time now);
+  // Records that an entry failed or refused the call.
+  void HandleFailure(size_t entry, const Error& error);
+  // Returns true once, when no entry has answered for CallLimits::notice_delay.
+  bool TakeSilenceNotice(Time now);
+  // Whether the call has failed for good; failure() returns why.
+  bool finished(Time now) const;
+  // Returns why the call failed. The outcome takes all entries into account that received the call.
   Error failure(Time now) const;
-  // The entries that were asked and have not answered.
-  std::vector<size_t> silent() const;
-  // When the next thing is due unless an answer comes before.
-  Time next_look() const;
+  // Entries that received the call and have not answered.
+  std::vector<size_t> unanswered() const;
+  // Time of the next action (wave, notice or timeout) if no answer arrives before.
+  Time next_wakeup() const;
 
  private:
-  enum class State { kUnasked, kAsked, kNotRun, kMaybeRun };
+  enum class State { kNotSent, kInFlight, kNotRun, kMaybeRun };
 
-  // No other entry would say anything else, or may be asked.
-  bool IsFinal(const Error& error) const;
+  // Whether the error ends the call: another entry would answer the same, or the call may not be
+  // sent again.
+  bool IsFinalError(const Error& error) const;
   bool maybe_run() const;
   size_t CountOf(State state) const;
 
   const CallKind kind_;
   const CallLimits limits_;
-  const Time begun_;
-  // In the order in which they are asked.
+  const Time start_;
+  // Entries in the order in which the call is sent to them; the first `sent_` have received it.
   std::vector<size_t> order_;
   std::vector<State> states_;
-  size_t asked_ = 0;
+  size_t sent_ = 0;
   size_t wave_ = 1;
   Time next_wave_;
-  bool noticed_ = false;
-  std::optional<Error> final_;
-  std::optional<Error> last_;
+  bool notice_given_ = false;
+  std::optional<Error> final_error_;
+  std::optional<Error> last_error_;
 };
 
 }  // namespace turmericshift
--- a/main/commands/config_change.cc
+++ b/main/commands/config_change.cc
@@ -11,11 +11,11 @@
 namespace {
 
 constexpr size_t kIdBytes = 16;
-constexpr Duration kLookPause = std::chrono::milliseconds(100);
+constexpr Duration kPollInterval = std::chrono::milliseconds(100);
 
 using Json = nlohmann::json;
 
-std::string IdOf(const CommandOptions& options) {
+std::string ChangeIdFrom(const CommandOptions& options) {
   const std::string given = options.value("change");
   return given.empty() ? RandomHex(kIdBytes) : given;
 }
@@ -38,16 +38,16 @@
 }  // namespace
 
 void ConfigChange::AddOptions(CommandOptions* options, const std::string& default_wait) {
-  options->Value("wait", "wait until it is in force everywhere, at most so long", default_wait)
-      .Value("change", "id of the change; sent again under its id it takes effect once");
+  options->Value("wait", "longest wait until the new version is in force everywhere", default_wait)
+      .Value("change", "id of the change; a change sent again under its id takes effect once");
 }
 
-Duration ConfigChange::WaitOf(const CommandOptions& options) {
+Duration ConfigChange::WaitOption(const CommandOptions& options) {
   return ParseDuration(options.value("wait"));
 }
 
 ConfigChange::ConfigChange(const CommandOptions& options, ApiClient* client)
-    : options_(options), client_(client), id_(IdOf(options)) {}
+    : options_(options), client_(client), id_(ChangeIdFrom(options)) {}
 
 Json ConfigChange::Post(const std::string& path, const std::string& query,
                         const std::string& body) {
@@ -60,48 +60,49 @@
     return answer;
   } catch (const Error& error) {
     if (error.outcome() != Outcome::kUnknown) throw;
-    throw Error(error.kind(), error.outcome(),
-                std::string(error.what()) +
-                    "\n  it may have been done, or be done later; send it again with --change " +
-                    id_);
+    throw Error(
+        error.kind(), error.outcome(),
+        std::string(error.what()) +
+            "\n  the change may already be done or be done later; repeat it with --change " + id_);
   }
 }
 
 ExitCode ConfigChange::Finish(const Json& accepted, const std::string& headline, Time now) {
-  const Duration wait = WaitOf(options_);
+  const Duration wait = WaitOption(options_);
   const bool json = options_.flag("json");
   if (!json || wait > Duration::zero()) {
     std::fprintf(json ? stderr : stdout, "%s\n", headline.c_str());
     std::fflush(stdout);
   }
-  const Json in_force = AwaitInForce(accepted, std::min(now + wait, client_->until()));
+  const Json in_force = AwaitInForce(accepted, std::min(now + wait, client_->deadline()));
   if (json) {
-    Json whole = accepted;
-    whole["in_force"] = in_force;
-    std::printf("%s\n", whole.dump(2).c_str());
+    Json output = accepted;
+    output["in_force"] = in_force;
+    std::printf("%s\n", output.dump(2).c_str());
   } else {
     PrintInForce(in_force);
   }
-  if (wait == Duration::zero() || InForceWhereHeard(in_force)) return ExitCode::kDone;
-  return now + wait > client_->until() ? ExitCode::kTimedOut : ExitCode::kFailed;
+  if (wait == Duration::zero() || InForceAtReportingProcesses(in_force)) return ExitCode::kDone;
+  return now + wait > client_->deadline() ? ExitCode::kTimedOut : ExitCode::kFailed;
 }
 
-Json ConfigChange::AwaitInForce(const Json& accepted, Time limit) {
+Json ConfigChange::AwaitInForce(const Json& accepted, Time deadline) {
   const std::string version = std::to_string(accepted.value("version", int64_t{0}));
   Json in_force = accepted.value("in_force", Json::object());
   try {
-    while (!InForceWhereHeard(in_force) && DefaultClock().Now() + kLookPause < limit) {
-      std::this_thread::sleep_for(kLookPause);
+    while (!InForceAtReportingProcesses(in_force) &&
+           DefaultClock().Now() + kPollInterval < deadline) {
+      std::this_thread::sleep_for(kPollInterval);
       in_force = client_->Read("/v1/config/in-force?version=" + version);
     }
   } catch (const Error& error) {
-    std::fprintf(stderr, "version %s was accepted; who has it in force can't be told: %s\n",
+    std::fprintf(stderr, "version %s was accepted, but where it is in force is not known: %s\n",
                  version.c_str(), error.what());
   }
   return in_force;
 }
 
-bool InForceWhereHeard(const Json& in_force) {
+bool InForceAtReportingProcesses(const Json& in_force) {
   const Json zones = in_force.value("zones", Json::object());
   return !zones.empty() && std::all_of(zones.begin(), zones.end(), [](const Json& zone) {
     return zone.value("behind", Json::array()).empty();
--- a/main/commands/config_change.h
+++ b/main/commands/config_change.h
@@ -1,5 +1,5 @@
-// What the commands that change the configuration share: the change's id, and the wait until the
-// version they made is in force.
+// Shared by the commands that change the configuration: the id that makes a change idempotent, and
+// the wait until the new version is in force.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -13,33 +13,35 @@
  public:
   // Adds the options `wait` and `change`.
   static void AddOptions(CommandOptions* options, const std::string& default_wait);
-  // `--wait`.
-  static Duration WaitOf(const CommandOptions& options);
+  // Returns the value of `--wait`.
+  static Duration WaitOption(const CommandOptions& options);
 
-  // `client` and `options` must outlive it.
+  // `client` and `options` must outlive the object.
   ConfigChange(const CommandOptions& options, ApiClient* client);
 
-  // Posts the change; `query` begins with '?'. An entry that has the change already answers for it.
-  // Throws Error; one with an unknown outcome names the change's id.
+  // Posts the change; `query` begins with '?'. If the change was already accepted under its id, the
+  // entry answers with that version. Throws Error; the message names the change's id if the outcome
+  // is unknown.
   nlohmann::json Post(const std::string& path, const std::string& query, const std::string& body);
-  // Tells that the change was accepted, in the words of `headline`, waits until the version is in
-  // force, at most as long as `--wait` says, and tells who has it. What was accepted is told before
-  // the wait, on standard error where standard output is to be JSON.
-  // kFailed when somebody who was heard of late is behind, kTimedOut when the command's time is up
-  // before `--wait` is over.
+  // Prints `headline`, waits until the version is in force, for at most `--wait`, and prints which
+  // processes have it in force. The headline is printed before the wait, on standard error if
+  // standard output is JSON. Returns kFailed if a process that reported recently does not have the
+  // version after the wait, and kTimedOut if the command's deadline ended the wait.
   ExitCode Finish(const nlohmann::json& accepted, const std::string& headline, Time now);
 
  private:
-  // The newest report of who has the version in force, once all have it or the time is up.
-  nlohmann::json AwaitInForce(const nlohmann::json& accepted, Time limit);
+  // Returns the newest report on which processes have the version in force, once all of them have
+  // it or the deadline has passed.
+  nlohmann::json AwaitInForce(const nlohmann::json& accepted, Time deadline);
 
   const CommandOptions& options_;
   ApiClient* const client_;
   const std::string id_;
 };
 
-// Whether every process that was heard of late has the version, by an entry's `in_force`. Entries
-// of which no agent has heard can act through none, and read the log before they serve again.
-bool InForceWhereHeard(const nlohmann::json& in_force);
+// Whether every process that reported recently has the version in force, according to an entry's
+// report `in_force`. Silent entries are not waited for: an entry that reaches no agent can't act
+// through one, and it reads the log before it serves again.
+bool InForceAtReportingProcesses(const nlohmann::json& in_force);
 
 }  // namespace turmericshift
--- a/main/commands/config_command.cc
+++ b/main/commands/config_command.cc
@@ -19,10 +19,10 @@
          version.value("digest", "") + "  by " + version.value("author", "");
 }
 
-ExitCode Check(const Words& words) {
+ExitCode Check(const Args& args) {
   CommandOptions options("config check", "check environment documents; needs no entry", "FILE…",
                          "turmericshift config check examples/potkocsi/environment.ini");
-  if (!options.Parse(words, 1, 1000)) return ExitCode::kDone;
+  if (!options.Parse(args, 1, 1000)) return ExitCode::kDone;
   for (const std::string& path : options.operands()) {
     const std::string text = ReadFileText(path);
     const Environment environment = ParseEnvironment(path, text);
@@ -38,8 +38,8 @@
   return ExitCode::kDone;
 }
 
-// The version that the present one has; 0 before the first.
-int64_t PresentVersion(ApiClient* client) {
+// Number of the current version; 0 if no document has been published.
+int64_t CurrentVersion(ApiClient* client) {
   try {
     return client->Read(kConfigPath).value("version", int64_t{0});
   } catch (const Error& error) {
@@ -48,10 +48,10 @@
   }
 }
 
-// The query of a publication, from the options that `publish` and `promote` share.
+// Builds the query string of a publication from the options that `publish` and `promote` share.
 std::string PublishQuery(const CommandOptions& options, ApiClient* client) {
   const std::string parent = options.value("parent").empty()
-                                 ? std::to_string(PresentVersion(client))
+                                 ? std::to_string(CurrentVersion(client))
                                  : options.value("parent");
   std::string query =
       "?parent=" + UrlEscape(parent) + "&author=" + UrlEscape(options.value("author"));
@@ -61,60 +61,62 @@
   return query;
 }
 
-ExitCode Send(const CommandOptions& options, ApiClient* client, const std::string& query,
-              const std::string& text) {
+ExitCode PostAndFinish(const CommandOptions& options, ApiClient* client, const std::string& query,
+                       const std::string& text) {
   ConfigChange change(options, client);
   const nlohmann::json answer = change.Post(kConfigPath, query, text);
   return change.Finish(answer, VersionLine(answer), DefaultClock().Now());
 }
 
-ExitCode Publish(const Words& words) {
+ExitCode Publish(const Args& args) {
   CommandOptions options("config publish", "publish a document as the next version", "FILE",
                          "turmericshift config publish --author ilona environment.ini");
   AddApiOptions(&options);
-  options.Value("author", "who publishes", "operator")
-      .Value("parent", "version that the document was made from; default: the present one");
+  options.Value("author", "name of the author", "operator")
+      .Value("parent", "version that the document was made from; default: the current one");
   options.Value("zone-states", "replace: the document may change zones' states; keep: it may not");
   ConfigChange::AddOptions(&options, "0s");
-  if (!options.Parse(words, 1, 1)) return ExitCode::kDone;
+  if (!options.Parse(args, 1, 1)) return ExitCode::kDone;
   const std::string text = ReadFileText(options.operands()[0]);
   ParseEnvironment(options.operands()[0], text);
-  ApiClient client(options, DefaultClock().Now(), ConfigChange::WaitOf(options));
-  return Send(options, &client, PublishQuery(options, &client), text);
+  ApiClient client(options, DefaultClock().Now(), ConfigChange::WaitOption(options));
+  return PostAndFinish(options, &client, PublishQuery(options, &client), text);
 }
 
-ExitCode Promote(const Words& words) {
-  CommandOptions options("config promote",
-                         "publish in one environment what another has in force, byte for byte", "",
-                         "turmericshift config promote --from-entries 10.1.0.5:8081 "
-                         "--from-token-file trial.token --entries 10.2.0.5:8081 "
-                         "--token-file production.token --author ilona");
+ExitCode Promote(const Args& args) {
+  CommandOptions options(
+      "config promote", "publish the document that another environment has in force, byte for byte",
+      "",
+      "turmericshift config promote --from-entries 10.1.0.5:8081 "
+      "--from-token-file trial.token --entries 10.2.0.5:8081 "
+      "--token-file production.token --author ilona");
   AddApiOptions(&options);
-  options.Value("author", "who promotes", "operator")
-      .Value("parent", "version that it follows; default: the present one")
+  options.Value("author", "name of the author", "operator")
+      .Value("parent", "version that the new one follows; default: the current one")
       .Value("from-entries", "entries of the environment to promote from")
       .Value("from-token-file", "file that holds that environment's operator token");
   options.Value("zone-states", "replace: the document may change zones' states; keep: it may not",
                 "keep");
   ConfigChange::AddOptions(&options, "0s");
-  if (!options.Parse(words, 0, 0)) return ExitCode::kDone;
-  ApiClient client(options, DefaultClock().Now(), ConfigChange::WaitOf(options));
-  ApiClient trial(options.value("from-entries"), options.value("from-token-file"), client.until());
-  const nlohmann::json shown = trial.Read(kConfigPath);
-  const std::string version = std::to_string(shown.value("version", int64_t{0}));
+  if (!options.Parse(args, 0, 0)) return ExitCode::kDone;
+  ApiClient client(options, DefaultClock().Now(), ConfigChange::WaitOption(options));
+  ApiClient source(options.value("from-entries"), options.value("from-token-file"),
+                   client.deadline());
+  const nlohmann::json source_config = source.Read(kConfigPath);
+  const std::string version = std::to_string(source_config.value("version", int64_t{0}));
   const nlohmann::json statement =
-      trial.Read(std::string(kConfigPath) + "/statement?version=" + version);
+      source.Read(std::string(kConfigPath) + "/statement?version=" + version);
   const std::string query = PublishQuery(options, &client) + "&trial_version=" + version +
                             "&trial_proof=" + UrlEscape(statement.value("proof", ""));
-  return Send(options, &client, query, shown.value("text", ""));
+  return PostAndFinish(options, &client, query, source_config.value("text", ""));
 }
 
-ExitCode Show(const Words& words) {
+ExitCode Show(const Args& args) {
   CommandOptions options("config show", "print the document in force", "",
                          "turmericshift config show > environment.ini");
   AddApiOptions(&options);
   options.Value("version", "an earlier version; default: the one in force");
-  if (!options.Parse(words, 0, 0)) return ExitCode::kDone;
+  if (!options.Parse(args, 0, 0)) return ExitCode::kDone;
   const std::string version = options.value("version");
   const std::string path = version.empty() ? "" : "/versions/" + UrlEscape(version);
   const nlohmann::json answer = ApiClient(options, DefaultClock().Now()).Read(kConfigPath + path);
@@ -126,11 +128,11 @@
   return ExitCode::kDone;
 }
 
-ExitCode History(const Words& words) {
+ExitCode History(const Args& args) {
   CommandOptions options("config history", "list the versions, oldest first", "",
                          "turmericshift config history --json");
   AddApiOptions(&options);
-  if (!options.Parse(words, 0, 0)) return ExitCode::kDone;
+  if (!options.Parse(args, 0, 0)) return ExitCode::kDone;
   const nlohmann::json history =
       ApiClient(options, DefaultClock().Now()).Read(std::string(kConfigPath) + "/history");
   if (options.flag("json")) {
@@ -143,13 +145,14 @@
 
 }  // namespace
 
-ExitCode RunConfig(const Words& words) {
-  static const std::vector<Command> commands = {{"check", "check documents", &Check},
-                                                {"publish", "publish a document", &Publish},
-                                                {"promote", "publish what a trial had", &Promote},
-                                                {"show", "print the document in force", &Show},
-                                                {"history", "list the versions", &History}};
-  return Dispatch("turmericshift config", commands, words);
+ExitCode RunConfig(const Args& args) {
+  static const std::vector<Command> commands = {
+      {"check", "check documents", &Check},
+      {"publish", "publish a document", &Publish},
+      {"promote", "publish another environment's document", &Promote},
+      {"show", "print the document in force", &Show},
+      {"history", "list the versions", &History}};
+  return Dispatch("turmericshift config", commands, args);
 }
 
 }  // namespace turmericshift
--- a/main/commands/demo_command.cc
+++ b/main/commands/demo_command.cc
@@ -1,4 +1,5 @@
-// The demo: one deployment's document, gang jobs, requests, and a zone out and in, in this process.
+// turmericshift demo: runs a deployment's document, gang jobs, a request, and taking a zone out and
+// in again, all in this process.
 #include <cstdio>
 #include <nlohmann/json.hpp>
 #include <thread>
@@ -14,8 +15,8 @@
 namespace {
 
 constexpr size_t kTokenBytes = 16;
-constexpr Duration kStepLimit = std::chrono::seconds(30);
-constexpr Duration kPollPause = std::chrono::milliseconds(50);
+constexpr Duration kStepTimeout = std::chrono::seconds(30);
+constexpr Duration kPollInterval = std::chrono::milliseconds(50);
 
 struct Client {
   std::string url;
@@ -36,13 +37,14 @@
   }
 };
 
-// Waits until `holds` returns true. Throws Error(kDeadlineExceeded) that names `what`.
+// Polls until `condition` returns true. Throws Error(kDeadlineExceeded) with the message `what`
+// after kStepTimeout.
 template <typename Condition>
-void Await(const std::string& what, Condition holds) {
-  const Time limit = DefaultClock().Now() + kStepLimit;
-  while (!holds()) {
-    if (DefaultClock().Now() > limit) throw Error(ErrorKind::kDeadlineExceeded, what);
-    std::this_thread::sleep_for(kPollPause);
+void Await(const std::string& what, Condition condition) {
+  const Time deadline = DefaultClock().Now() + kStepTimeout;
+  while (!condition()) {
+    if (DefaultClock().Now() > deadline) throw Error(ErrorKind::kDeadlineExceeded, what);
+    std::this_thread::sleep_for(kPollInterval);
   }
 }
 
@@ -66,11 +68,11 @@
 
 }  // namespace
 
-ExitCode RunDemo(const Words& words) {
-  CommandOptions command("demo", "run jobs and requests of a deployment in this process",
+ExitCode RunDemo(const Args& args) {
+  CommandOptions command("demo", "run sample jobs and requests of a deployment in this process",
                          "[DOCUMENT]", "turmericshift demo examples/potkocsi/environment.ini");
-  if (!command.Parse(words, 0, 1)) return ExitCode::kDone;
-  // The demo's own output is for people; what went on is in the log on standard error.
+  if (!command.Parse(args, 0, 1)) return ExitCode::kDone;
+  // Standard output shows the demo's steps; the log goes to standard error.
   InitLogging("turmericshift", {"demo", "demo", ""});
   const DevDocument document =
       ReadDevDocument(command.operands().empty() ? kDefaultDevDocument : command.operands()[0]);
@@ -95,10 +97,10 @@
     return true;
   };
   const Time published = DefaultClock().Now();
-  Await("the document did not come into force", [&] { return in_force(1); });
+  Await("the document was not in force at all agents in time", [&] { return in_force(1); });
   std::printf("  document version 1 in force at every agent after %.2f s\n",
               Seconds(DefaultClock().Now() - published));
-  Await("the entry did not get ready", [&] { return cluster.entries()[1].server->ready(); });
+  Await("the entry was not ready in time", [&] { return cluster.entries()[1].server->ready(); });
 
   SubmitAndAwait(caller, workspace, "weekly-boxes", 2, 4);
   SubmitAndAwait(caller, workspace, "recipe-batch", 2, 8);
@@ -112,11 +114,11 @@
 
   const std::string zone = cluster.entries()[0].zone;
   operators.Call("POST", "/v1/zones/" + zone + "/out?author=demo");
-  Await("the zone did not go out", [&] { return in_force(2); });
+  Await("taking the zone out was not in force at all agents in time", [&] { return in_force(2); });
   std::printf("  availability zone %s is out\n", zone.c_str());
   SubmitAndAwait(caller, workspace, "while-out", 1, 8);
   operators.Call("POST", "/v1/zones/" + zone + "/in?author=demo");
-  Await("the zone did not come in", [&] { return in_force(3); });
+  Await("taking the zone in was not in force at all agents in time", [&] { return in_force(3); });
   std::printf("  availability zone %s is in again\n", zone.c_str());
   SubmitAndAwait(caller, workspace, "after-return", 1, 8);
   std::printf("all done\n");
--- a/main/commands/dev_command.cc
+++ b/main/commands/dev_command.cc
@@ -1,4 +1,4 @@
-// turmericshift dev: a whole system in this process until SIGTERM.
+// turmericshift dev: runs a complete system in this process until SIGTERM.
 #include <cstdio>
 
 #include "core/http_client.h"
@@ -33,10 +33,10 @@
 
 }  // namespace
 
-ExitCode RunDev(const Words& words) {
+ExitCode RunDev(const Args& args) {
   CommandOptions options("dev", "run log, entries, agents, workers and targets in this process",
                          "[DOCUMENT]", "turmericshift dev examples/potkocsi/environment.ini");
-  if (!options.Parse(words, 0, 1)) return ExitCode::kDone;
+  if (!options.Parse(args, 0, 1)) return ExitCode::kDone;
   ShutdownSignal signal;
   InitLogging("turmericshift", {"dev", "dev", ""});
   const DevDocument document =
--- a/main/commands/explain_command.cc
+++ b/main/commands/explain_command.cc
@@ -1,4 +1,4 @@
-// turmericshift explain: what became of a job, from the log lines of its processes.
+// turmericshift explain: explains the outcome of a job from the log lines of the processes.
 #include <cstdio>
 #include <fstream>
 #include <iostream>
@@ -43,13 +43,13 @@
 
 }  // namespace
 
-ExitCode RunExplain(const Words& words) {
-  CommandOptions options("explain", "tell what became of a job, from log lines", "JOB|all [LOG...]",
-                         "turmericshift explain 5c0e7a21d94b36f8 entry-*.log");
-  options.Flag("json", "print the story as JSON");
-  if (!options.Parse(words, 1, 1000)) return ExitCode::kDone;
+ExitCode RunExplain(const Args& args) {
+  CommandOptions options("explain", "explain the outcome of a job from log lines",
+                         "JOB|all [LOG...]", "turmericshift explain 5c0e7a21d94b36f8 entry-*.log");
+  options.Flag("json", "print the result as JSON");
+  if (!options.Parse(args, 1, 1000)) return ExitCode::kDone;
   JobStories stories;
-  const Words& operands = options.operands();
+  const Args& operands = options.operands();
   if (operands.size() == 1) stories.Read(std::cin);
   for (size_t i = 1; i < operands.size(); ++i) {
     std::ifstream file(operands[i]);
--- a/main/commands/history_command.cc
+++ b/main/commands/history_command.cc
@@ -23,7 +23,7 @@
           {"evidence", evidence}};
 }
 
-// The option's duration, or `otherwise` if it was not given.
+// Returns the option's duration, or `otherwise` if the option is not given.
 Duration DurationOr(const CommandOptions& options, const char* name, Duration otherwise) {
   const std::string text = options.value(name);
   return text.empty() ? otherwise : ParseDuration(text);
@@ -31,15 +31,18 @@
 
 }  // namespace
 
-ExitCode RunCheckHistory(const Words& words) {
-  CommandOptions options("check-history", "checks the daemons' logs against the promises", "FILE…",
-                         "turmericshift check-history entry.log agent-*.log");
+ExitCode RunCheckHistory(const Args& args) {
+  CommandOptions options("check-history",
+                         "check the daemons' logs for violations of the system's guarantees",
+                         "FILE…", "turmericshift check-history entry.log agent-*.log");
   options.Flag("json", "print the results as JSON")
-      .Value("zone-out", "longest time to a start after a zone was taken out (3s)")
-      .Value("partial-gang", "longest time that part of a gang may run (10s)")
-      .Value("reclaim", "longest wait for guaranteed room (30s)")
-      .Value("job-silence", "an open job is forgotten after this long without a word (24h)");
-  if (!options.Parse(words, 1, kMaxFiles)) return ExitCode::kDone;
+      .Value("zone-out",
+             "longest time after a zone was taken out in which it may still start work (3s)")
+      .Value("partial-gang", "longest time that an incomplete gang may run (10s)")
+      .Value("reclaim", "longest wait of a job for guaranteed room (30s)")
+      .Value("job-silence",
+             "time without a log event after which an open job counts as forgotten (24h)");
+  if (!options.Parse(args, 1, kMaxFiles)) return ExitCode::kDone;
   HistoryBounds bounds;
   bounds.zone_out = DurationOr(options, "zone-out", bounds.zone_out);
   bounds.partial_gang = DurationOr(options, "partial-gang", bounds.partial_gang);
--- a/main/commands/job_command.cc
+++ b/main/commands/job_command.cc
@@ -30,42 +30,42 @@
   for (const nlohmann::json& job : answer) PrintJob(job);
 }
 
-ExitCode Submit(const Words& words) {
-  CommandOptions options("job submit", "submit a job file (JSON); safe to repeat", "FILE",
+ExitCode Submit(const Args& args) {
+  CommandOptions options("job submit", "submit a job file (JSON); idempotent", "FILE",
                          "turmericshift job submit --entries 10.0.1.5:8080 weekly-boxes.json");
   AddApiOptions(&options);
-  if (!options.Parse(words, 1, 1)) return ExitCode::kDone;
+  if (!options.Parse(args, 1, 1)) return ExitCode::kDone;
   const std::string text = ReadFileText(options.operands()[0], kMaxJobFileBytes);
-  // Checked here too, so that a mistake is found without an entry.
+  // Validated before sending, so that errors are found without an entry.
   ParseJobSpec(text);
   Print(options, ApiClient(options, DefaultClock().Now()).Change("POST", kJobsPath, text));
   return ExitCode::kDone;
 }
 
-ExitCode Show(const Words& words) {
+ExitCode Show(const Args& args) {
   CommandOptions options("job show", "show a job and why it waits", "KEY",
                          "turmericshift job show weekly-boxes");
   AddApiOptions(&options);
-  if (!options.Parse(words, 1, 1)) return ExitCode::kDone;
+  if (!options.Parse(args, 1, 1)) return ExitCode::kDone;
   const std::string path = std::string(kJobsPath) + "/" + UrlEscape(options.operands()[0]);
   Print(options, ApiClient(options, DefaultClock().Now()).Read(path));
   return ExitCode::kDone;
 }
 
-ExitCode List(const Words& words) {
+ExitCode List(const Args& args) {
   CommandOptions options("job list", "list the workspace's jobs in order of arrival", "",
                          "turmericshift job list --json");
   AddApiOptions(&options);
-  if (!options.Parse(words, 0, 0)) return ExitCode::kDone;
+  if (!options.Parse(args, 0, 0)) return ExitCode::kDone;
   Print(options, ApiClient(options, DefaultClock().Now()).Read(kJobsPath));
   return ExitCode::kDone;
 }
 
-ExitCode Cancel(const Words& words) {
-  CommandOptions options("job cancel", "cancel jobs; safe to repeat", "KEY…",
+ExitCode Cancel(const Args& args) {
+  CommandOptions options("job cancel", "cancel jobs; idempotent", "KEY…",
                          "turmericshift job cancel weekly-boxes recipe-batch");
   AddApiOptions(&options);
-  if (!options.Parse(words, 1, 10000)) return ExitCode::kDone;
+  if (!options.Parse(args, 1, 10000)) return ExitCode::kDone;
   ApiClient client(options, DefaultClock().Now());
   for (const std::string& key : options.operands()) {
     Print(options, client.Change("DELETE", std::string(kJobsPath) + "/" + UrlEscape(key)));
@@ -75,12 +75,12 @@
 
 }  // namespace
 
-ExitCode RunJob(const Words& words) {
+ExitCode RunJob(const Args& args) {
   static const std::vector<Command> commands = {{"submit", "submit a job file", &Submit},
                                                 {"show", "show one job", &Show},
                                                 {"list", "list jobs", &List},
                                                 {"cancel", "cancel jobs", &Cancel}};
-  return Dispatch("turmericshift job", commands, words);
+  return Dispatch("turmericshift job", commands, args);
 }
 
 }  // namespace turmericshift
--- a/main/commands/operator_commands.cc
+++ b/main/commands/operator_commands.cc
@@ -13,15 +13,15 @@
 constexpr const char* kVersion = "0.1.0";
 constexpr size_t kTokenBytes = 24;
 
-ExitCode SetZone(const std::string& state, const Words& words) {
+ExitCode SetZone(const std::string& state, const Args& args) {
   CommandOptions options("zone " + state, "take an availability zone " + state, "ZONE",
                          "turmericshift zone " + state + " --author ilona buda-a");
   AddApiOptions(&options);
-  options.Value("author", "who asks for it", "operator");
+  options.Value("author", "name of the operator", "operator");
   ConfigChange::AddOptions(&options, "5s");
-  if (!options.Parse(words, 1, 1)) return ExitCode::kDone;
+  if (!options.Parse(args, 1, 1)) return ExitCode::kDone;
   const std::string& zone = options.operands()[0];
-  ApiClient client(options, DefaultClock().Now(), ConfigChange::WaitOf(options));
+  ApiClient client(options, DefaultClock().Now(), ConfigChange::WaitOption(options));
   ConfigChange change(options, &client);
   const nlohmann::json answer = change.Post("/v1/zones/" + UrlEscape(zone) + "/" + state,
                                             "?author=" + UrlEscape(options.value("author")), "");
@@ -30,13 +30,13 @@
   return change.Finish(answer, headline, DefaultClock().Now());
 }
 
-ExitCode ZoneOut(const Words& words) { return SetZone("out", words); }
-ExitCode ZoneIn(const Words& words) { return SetZone("in", words); }
+ExitCode ZoneOut(const Args& args) { return SetZone("out", args); }
+ExitCode ZoneIn(const Args& args) { return SetZone("in", args); }
 
-ExitCode ZoneShow(const Words& words) {
+ExitCode ZoneShow(const Args& args) {
   CommandOptions options("zone show", "list the availability zones", "", "turmericshift zone show");
   AddApiOptions(&options);
-  if (!options.Parse(words, 0, 0)) return ExitCode::kDone;
+  if (!options.Parse(args, 0, 0)) return ExitCode::kDone;
   const nlohmann::json config = ApiClient(options, DefaultClock().Now()).Read("/v1/config");
   const Environment environment = ParseEnvironment("document in force", config.value("text", ""));
   nlohmann::json zones = nlohmann::json::object();
@@ -53,17 +53,18 @@
 
 }  // namespace
 
-ExitCode RunZone(const Words& words) {
+ExitCode RunZone(const Args& args) {
   static const std::vector<Command> commands = {{"out", "take a zone out", &ZoneOut},
                                                 {"in", "bring a zone back", &ZoneIn},
                                                 {"show", "list the zones", &ZoneShow}};
-  return Dispatch("turmericshift zone", commands, words);
+  return Dispatch("turmericshift zone", commands, args);
 }
 
-ExitCode RunStatus(const Words& words) {
-  CommandOptions options("status", "show what an entry knows", "", "turmericshift status --json");
+ExitCode RunStatus(const Args& args) {
+  CommandOptions options("status", "show an entry's state and its agents", "",
+                         "turmericshift status --json");
   AddApiOptions(&options);
-  if (!options.Parse(words, 0, 0)) return ExitCode::kDone;
+  if (!options.Parse(args, 0, 0)) return ExitCode::kDone;
   const nlohmann::json status = ApiClient(options, DefaultClock().Now()).Read("/v1/status");
   if (options.flag("json")) {
     std::printf("%s\n", status.dump(2).c_str());
@@ -83,11 +84,12 @@
   return ExitCode::kDone;
 }
 
-ExitCode RunToken(const Words& words) {
-  CommandOptions options("token", "make a token for a file, and its hash for the document", "",
-                         "turmericshift token");
+ExitCode RunToken(const Args& args) {
+  CommandOptions options(
+      "token", "generate a token for a token file, and its hash for the environment document", "",
+      "turmericshift token");
   options.Flag("json", "print JSON").Value("of", "print the hash of the token in this file");
-  if (!options.Parse(words, 0, 0)) return ExitCode::kDone;
+  if (!options.Parse(args, 0, 0)) return ExitCode::kDone;
   if (!options.value("of").empty()) {
     const std::vector<std::string> lines = ReadFileLines(options.value("of"));
     if (lines.empty()) throw Error(ErrorKind::kInvalidInput, "the file holds no token");
@@ -104,9 +106,9 @@
   return ExitCode::kDone;
 }
 
-ExitCode RunVersion(const Words& words) {
+ExitCode RunVersion(const Args& args) {
   CommandOptions options("version", "print the version", "", "turmericshift version");
-  if (!options.Parse(words, 0, 0)) return ExitCode::kDone;
+  if (!options.Parse(args, 0, 0)) return ExitCode::kDone;
   std::printf("turmericshift %s\n", kVersion);
   return ExitCode::kDone;
 }
--- a/main/commands/options.cc
+++ b/main/commands/options.cc
@@ -32,16 +32,16 @@
   return *this;
 }
 
-bool CommandOptions::Parse(const Words& words, size_t least, size_t most) {
+bool CommandOptions::Parse(const Args& args, size_t min_operands, size_t max_operands) {
   std::vector<const char*> argv = {"turmericshift"};
-  for (const std::string& word : words) argv.push_back(word.c_str());
+  for (const std::string& argument : args) argv.push_back(argument.c_str());
   try {
     result_ = options_.parse(static_cast<int>(argv.size()), argv.data());
   } catch (const cxxopts::exceptions::exception& error) {
     throw Error(ErrorKind::kInvalidInput, std::string(error.what()) + "\nusage: " + usage_);
   }
   if (result_.count("help") != 0) {
-    // The option that gathers operands is not one to name.
+    // Leaves out the internal option that collects the operands.
     std::istringstream lines(options_.help());
     std::string line;
     while (std::getline(lines, line)) {
@@ -53,7 +53,7 @@
   if (result_.count("operands") != 0) {
     operands_ = result_["operands"].as<std::vector<std::string>>();
   }
-  if (operands_.size() < least || operands_.size() > most) {
+  if (operands_.size() < min_operands || operands_.size() > max_operands) {
     throw Error(ErrorKind::kInvalidInput, "usage: " + usage_ + "\nexample: " + example_);
   }
   return true;
@@ -68,8 +68,8 @@
 std::string ReadFileText(const std::string& path, size_t max_bytes) {
   std::ifstream file(path, std::ios::binary);
   if (!file) throw Error(ErrorKind::kInvalidInput, "can't read " + path);
-  // In small pieces: one piece of max_bytes stays in the process's heap for good, 16 MB in each
-  // agent.
+  // Reads in small chunks. A single buffer of max_bytes would stay in the process's heap for its
+  // lifetime: 16 MB in each agent.
   std::string text;
   std::array<char, 4096> piece{};
   while (file.read(piece.data(), piece.size()) || file.gcount() > 0) {
--- a/main/commands/options.h
+++ b/main/commands/options.h
@@ -1,4 +1,5 @@
-// Options of one subcommand, by cxxopts, with the project's errors and an example in each help.
+// Command-line options of one subcommand. Wraps cxxopts, reports errors as Error and adds an
+// example to each help text.
 #pragma once
 
 #include <cxxopts.hpp>
@@ -7,11 +8,12 @@
 
 namespace turmericshift {
 
-using Words = std::vector<std::string>;
+using Args = std::vector<std::string>;
 
 class CommandOptions {
  public:
-  // `name` is "job submit"; `operands` is shown in the usage line; `example` is a whole command.
+  // `name` is the subcommand, such as "job submit"; `operands` is shown in the usage line;
+  // `example` is a complete command line.
   CommandOptions(const std::string& name, const std::string& summary, const std::string& operands,
                  const std::string& example);
 
@@ -19,10 +21,10 @@
   CommandOptions& Value(const std::string& name, const std::string& help,
                         const std::string& default_value = "");
 
-  // Reads the words. Throws Error(kInvalidInput) for an unknown or incomplete option, and when
-  // the number of operands is outside [least, most].
-  // Returns false after having printed the help text that the words asked for.
-  bool Parse(const Words& words, size_t least, size_t most);
+  // Parses the arguments. Returns false if they asked for the help text, which is then printed.
+  // Throws Error(kInvalidInput) for an unknown or incomplete option, and if the number of operands
+  // is outside [min_operands, max_operands].
+  bool Parse(const Args& args, size_t min_operands, size_t max_operands);
 
   bool flag(const std::string& name) const;
   std::string value(const std::string& name) const;
@@ -36,10 +38,11 @@
   std::vector<std::string> operands_;
 };
 
-// The text of a file. Throws Error(kInvalidInput) when it can't be read or is over `max_bytes`.
+// Returns the content of a file. Throws Error(kInvalidInput) if it can't be read and
+// Error(kTooLarge) if it is larger than `max_bytes`.
 std::string ReadFileText(const std::string& path, size_t max_bytes = size_t{16} << 20);
 
-// The lines of a file that are not empty. Throws as ReadFileText.
+// Returns the non-empty lines of a file. Throws the same errors as ReadFileText.
 std::vector<std::string> ReadFileLines(const std::string& path);
 
 }  // namespace turmericshift
--- a/main/commands/pool_commands.cc
+++ b/main/commands/pool_commands.cc
@@ -1,5 +1,5 @@
-// turmericshift pool entry, pool agent: processes of a pool on a platform that an adapter speaks
-// to.
+// turmericshift pool entry, pool agent: processes of a pool on a platform reached through an
+// adapter.
 #include "core/logging.h"
 #include "core/secret.h"
 #include "core/shutdown.h"
@@ -15,25 +15,25 @@
 namespace {
 
 constexpr size_t kIncarnationBytes = 8;
-// A caller's connection costs a thread; clients of one entry are a few dozen.
-constexpr int kMostConnections = 600;
+// Each caller connection takes a thread; an entry has a few dozen clients.
+constexpr int kMaxConnections = 600;
 constexpr size_t kConnectionStackBytes = size_t{128} * 1024;
-// Of the time that a stop may take, what is left for ending the process.
-constexpr Duration kStopReserve = std::chrono::milliseconds(700);
+// Part of the stop limit that is reserved for ending the process.
+constexpr Duration kExitReserve = std::chrono::milliseconds(700);
 
 HttpServerOptions HttpAt(const ListenSettings& listen) {
   HttpServerOptions options;
   options.address = listen.address;
   options.port = listen.port;
-  options.max_connections = kMostConnections;
+  options.max_connections = kMaxConnections;
   options.stack_bytes = kConnectionStackBytes;
   return options;
 }
 
-ExitCode RunPoolEntry(const Words& words) {
+ExitCode RunPoolEntry(const Args& args) {
   CommandOptions options("pool entry", "serve as an entry of a pool until SIGTERM", "SETTINGS",
                          "turmericshift pool entry entry.ini");
-  if (!options.Parse(words, 1, 1)) return ExitCode::kDone;
+  if (!options.Parse(args, 1, 1)) return ExitCode::kDone;
   const std::string& path = options.operands()[0];
   const PoolEntrySettings settings = ParsePoolEntrySettings(path, ReadFileText(path));
   ShutdownSignal signal;
@@ -41,7 +41,7 @@
   LogToStandardOutput();
   MetricsRegistry metrics;
   const auto log = KeyedLogRegistry::Instance().Create(settings.adapter, settings.store_address);
-  const auto door = pool::CallerEndpointRegistry::Instance().Create(settings.adapter);
+  const auto endpoint = pool::CallerEndpointRegistry::Instance().Create(settings.adapter);
   RpcPlannerConnector connector;
   pool::PoolEntryOptions entry_options;
   entry_options.node = settings.name;
@@ -58,35 +58,36 @@
   }
   pool::PoolEntry entry(entry_options, log.get(),
                         pool::OperatorDecoderRegistry::Instance().Create(settings.adapter),
-                        door.get(), &connector, &metrics);
+                        endpoint.get(), &connector, &metrics);
   std::unique_ptr<pool::AdviceService> advice;
-  std::optional<pool::AdviceFetcher> asker;
+  std::optional<pool::AdviceFetcher> advice_fetcher;
   if (!settings.advice_address.empty()) {
     advice =
         pool::AdviceServiceRegistry::Instance().Create(settings.adapter, settings.advice_address);
-    asker.emplace(advice.get(), entry.planner());
+    advice_fetcher.emplace(advice.get(), entry.planner());
   }
   PoolListenerOptions listener_options;
   listener_options.address = settings.sessions.address;
   listener_options.port = settings.sessions.port;
   const PoolListener listener(listener_options, entry.gate());
-  const std::string listens_at = settings.sessions.address + ":" + std::to_string(listener.port());
-  entry.Join(settings.sessions_reached_at.empty() ? listens_at : settings.sessions_reached_at);
+  const std::string listen_address =
+      settings.sessions.address + ":" + std::to_string(listener.port());
+  entry.Join(settings.sessions_reached_at.empty() ? listen_address : settings.sessions_reached_at);
   LogEvent(LogLevel::kInfo, "started",
            {{"callers", entry.caller_port()},
             {"readiness", entry.readiness_port()},
             {"sessions", listener.port()}});
   signal.Wait();
   signal.CutOnNext();
-  const bool drained = entry.Leave(settings.stop_limit - kStopReserve);
+  const bool drained = entry.Leave(settings.stop_limit - kExitReserve);
   LogEvent(LogLevel::kInfo, "stopped", {{"drained", drained}});
   EndProcess(static_cast<int>(drained ? ExitCode::kDone : ExitCode::kFailed));
 }
 
-ExitCode RunPoolAgent(const Words& words) {
-  CommandOptions options("pool agent", "serve beside a worker of a pool until SIGTERM", "SETTINGS",
-                         "turmericshift pool agent agent.ini");
-  if (!options.Parse(words, 1, 1)) return ExitCode::kDone;
+ExitCode RunPoolAgent(const Args& args) {
+  CommandOptions options("pool agent", "serve as the agent of a pool's worker until SIGTERM",
+                         "SETTINGS", "turmericshift pool agent agent.ini");
+  if (!options.Parse(args, 1, 1)) return ExitCode::kDone;
   const std::string& path = options.operands()[0];
   const PoolAgentSettings settings = ParsePoolAgentSettings(path, ReadFileText(path));
   ShutdownSignal signal;
@@ -96,7 +97,7 @@
   const auto log = KeyedLogRegistry::Instance().Create(settings.adapter, settings.store_address);
   const auto worker =
       pool::PoolWorkerRegistry::Instance().Create(settings.adapter, settings.worker_address);
-  const auto door = pool::WorkerEndpointRegistry::Instance().Create(settings.adapter);
+  const auto endpoint = pool::WorkerEndpointRegistry::Instance().Create(settings.adapter);
   RpcPlannerConnector connector;
   pool::PoolAgentOptions agent_options;
   agent_options.node = settings.name;
@@ -105,7 +106,7 @@
   pool::PoolAgent agent(agent_options, log.get(), worker.get(), &connector, &metrics);
   HttpServer announcements(HttpAt(settings.announcements), [&](const HttpRequest& request) {
     if (request.path == "/metrics") return HttpResponse{200, metrics.Expose(), {}};
-    return door->Handle(request, &agent);
+    return endpoint->Handle(request, &agent);
   });
   LogEvent(LogLevel::kInfo, "started", {{"announcements", announcements.port()}});
   signal.Wait();
@@ -117,11 +118,11 @@
 
 }  // namespace
 
-ExitCode RunPool(const Words& words) {
+ExitCode RunPool(const Args& args) {
   static const std::vector<Command> commands = {
-      {"entry", "answer callers, plan the pool while holding the duty", &RunPoolEntry},
-      {"agent", "stand beside one worker", &RunPoolAgent}};
-  return Dispatch("turmericshift pool", commands, words);
+      {"entry", "answer callers, and plan the pool while it is the active planner", &RunPoolEntry},
+      {"agent", "run the agent of one worker", &RunPoolAgent}};
+  return Dispatch("turmericshift pool", commands, args);
 }
 
 }  // namespace turmericshift
--- a/main/commands/process_commands.cc
+++ b/main/commands/process_commands.cc
@@ -1,4 +1,4 @@
-// turmericshift entry, agent, stand-in: one process each.
+// turmericshift entry, agent, stand-in: each command runs one process of the system.
 #include <cstdio>
 
 #include "core/logging.h"
@@ -27,11 +27,11 @@
   return keys;
 }
 
-// The first line of the file; "" for an empty path.
+// Returns the first line of the file, or "" for an empty path.
 std::string ReadSecret(const std::string& path) {
   if (path.empty()) return "";
   const std::vector<std::string> lines = ReadFileLines(path);
-  if (lines.empty()) throw Error(ErrorKind::kInvalidInput, path + " holds nothing");
+  if (lines.empty()) throw Error(ErrorKind::kInvalidInput, path + " holds no key or token");
   return lines.front();
 }
 
@@ -77,8 +77,8 @@
   return options;
 }
 
-// Waits for the signal and leaves gracefully; a second signal cuts. Once the server has left, the
-// process ends whatever its threads wait for.
+// Waits for the stop signal and shuts the server down gracefully; a second signal ends the process
+// immediately. After the shutdown the process ends without joining threads that still wait.
 template <typename Server>
 [[noreturn]] void ServeUntilSignal(ShutdownSignal* signal, Server* server, Duration stop_limit) {
   signal->Wait();
@@ -94,11 +94,11 @@
   return http;
 }
 
-ExitCode StandInLog(const Words& words) {
-  CommandOptions options("stand-in log", "serve a log from memory", "",
+ExitCode StandInLog(const Args& args) {
+  CommandOptions options("stand-in log", "serve an in-memory log", "",
                          "turmericshift stand-in log --port 9000");
   options.Value("port", "port on 127.0.0.1; 0 lets the system choose", "0");
-  if (!options.Parse(words, 0, 0)) return ExitCode::kDone;
+  if (!options.Parse(args, 0, 0)) return ExitCode::kDone;
   ShutdownSignal signal;
   InitLogging("turmericshift", {"stand-in", "log", ""});
   MemoryLog log;
@@ -108,12 +108,12 @@
   return ExitCode::kDone;
 }
 
-ExitCode StandInTarget(const Words& words) {
-  CommandOptions options("stand-in target", "serve a target that answers what it received", "",
+ExitCode StandInTarget(const Args& args) {
+  CommandOptions options("stand-in target", "serve a target that echoes each request", "",
                          "turmericshift stand-in target --port 9100");
   options.Value("port", "port on 127.0.0.1; 0 lets the system choose", "0")
       .Value("delay", "how long each request takes", "0s");
-  if (!options.Parse(words, 0, 0)) return ExitCode::kDone;
+  if (!options.Parse(args, 0, 0)) return ExitCode::kDone;
   ShutdownSignal signal;
   InitLogging("turmericshift", {"stand-in", "target", ""});
   FakeTarget target(StandInHttp(options));
@@ -125,10 +125,10 @@
 
 }  // namespace
 
-ExitCode RunEntry(const Words& words) {
+ExitCode RunEntry(const Args& args) {
   CommandOptions options("entry", "serve as an entry until SIGTERM", "SETTINGS",
                          "turmericshift entry examples/settings/entry.ini");
-  if (!options.Parse(words, 1, 1)) return ExitCode::kDone;
+  if (!options.Parse(args, 1, 1)) return ExitCode::kDone;
   const std::string& path = options.operands()[0];
   const EntrySettings settings = ParseEntrySettings(path, ReadFileText(path));
   ShutdownSignal signal;
@@ -154,10 +154,10 @@
   ServeUntilSignal(&signal, &server, settings.stop_limit);
 }
 
-ExitCode RunAgent(const Words& words) {
-  CommandOptions options("agent", "serve beside a target or worker until SIGTERM", "SETTINGS",
-                         "turmericshift agent examples/settings/agent.ini");
-  if (!options.Parse(words, 1, 1)) return ExitCode::kDone;
+ExitCode RunAgent(const Args& args) {
+  CommandOptions options("agent", "serve as the agent of a target or worker until SIGTERM",
+                         "SETTINGS", "turmericshift agent examples/settings/agent.ini");
+  if (!options.Parse(args, 1, 1)) return ExitCode::kDone;
   const std::string& path = options.operands()[0];
   const AgentSettings settings = ParseAgentSettings(path, ReadFileText(path));
   ShutdownSignal signal;
@@ -191,11 +191,11 @@
   ServeUntilSignal(&signal, &server, settings.stop_limit);
 }
 
-ExitCode RunStandIn(const Words& words) {
+ExitCode RunStandIn(const Args& args) {
   static const std::vector<Command> commands = {
       {"log", "the platform's log, in memory", &StandInLog},
-      {"target", "a target that answers what it received", &StandInTarget}};
-  return Dispatch("turmericshift stand-in", commands, words);
+      {"target", "a target that echoes each request", &StandInTarget}};
+  return Dispatch("turmericshift stand-in", commands, args);
 }
 
 }  // namespace turmericshift
--- a/main/commands/replay_command.cc
+++ b/main/commands/replay_command.cc
@@ -13,7 +13,7 @@
 
 constexpr size_t kMaxFiles = 10000;
 
-// What one trace came to.
+// Result of replaying one trace.
 struct ReplayReport {
   Trace trace;
   ReplayResult result;
@@ -72,17 +72,18 @@
 
 }  // namespace
 
-ExitCode RunReplay(const Words& words) {
-  CommandOptions options("replay", "runs traces against the decision code", "FILE…",
-                         "turmericshift replay --policy first_fit tests/traces/potkocsi-day.jsonl");
-  options.Flag("json", "print the outcome as JSON")
+ExitCode RunReplay(const Args& args) {
+  CommandOptions options(
+      "replay", "replay traces through the decision code and check their expectations", "FILE…",
+      "turmericshift replay --policy first_fit tests/traces/potkocsi-day.jsonl");
+  options.Flag("json", "print the results as JSON")
       .Value("policy", "placement policy", EntryOptions().placement_policy)
       .Value("record", "write the history of the one trace to this file, as log lines");
-  if (!options.Parse(words, 1, kMaxFiles)) return ExitCode::kDone;
+  if (!options.Parse(args, 1, kMaxFiles)) return ExitCode::kDone;
   const std::string record = options.value("record");
   const std::vector<std::string>& files = options.operands();
   if (!record.empty() && files.size() != 1) {
-    throw Error(ErrorKind::kInvalidInput, "--record takes one trace");
+    throw Error(ErrorKind::kInvalidInput, "--record takes exactly one trace");
   }
   bool all_hold = true;
   nlohmann::json json = nlohmann::json::array();
--- a/main/commands/request_command.cc
+++ b/main/commands/request_command.cc
@@ -10,23 +10,23 @@
 namespace turmericshift {
 namespace {
 
-// For the entry's own answer that the deadline has passed.
+// Added to the deadline, so that an entry's own answer that the deadline has passed still arrives.
 constexpr Duration kAnswerReserve = std::chrono::seconds(1);
 
 }  // namespace
 
-ExitCode RunRequest(const Words& words) {
+ExitCode RunRequest(const Args& args) {
   CommandOptions options("request", "send one request to a service and print the answer",
                          "SERVICE PATH",
                          "turmericshift request --key order-1 --body-file order.json "
                          "pouch-box-planner /confirm");
   AddApiOptions(&options);
-  options.Value("key", "idempotency key, for what may not be repeated")
+  options.Value("key", "idempotency key, for requests that must not run twice")
       .Value("body-file", "file that holds the body")
-      .Value("deadline", "how long the answer may take", "30s");
-  if (!options.Parse(words, 2, 2)) return ExitCode::kDone;
+      .Value("deadline", "time limit for the answer", "30s");
+  if (!options.Parse(args, 2, 2)) return ExitCode::kDone;
   const std::string& path = options.operands()[1];
-  if (path.rfind('/', 0) != 0) throw Error(ErrorKind::kInvalidInput, "PATH begins with /");
+  if (path.rfind('/', 0) != 0) throw Error(ErrorKind::kInvalidInput, "PATH must begin with /");
   HttpCall call;
   call.method = "POST";
   call.headers.push_back({"Deadline", options.value("deadline")});
@@ -35,13 +35,15 @@
   }
   if (!options.value("body-file").empty()) call.body = ReadFileText(options.value("body-file"));
   const Duration deadline = ParseDuration(options.value("deadline"));
-  const CallKind kind = options.value("key").empty() ? CallKind::kOnce : CallKind::kRepeatable;
+  const CallKind kind =
+      options.value("key").empty() ? CallKind::kAtMostOnce : CallKind::kIdempotent;
   CallLimits limits;
-  limits.total = deadline + kAnswerReserve;
-  // A long answer is no silence; the second entry would only follow the first.
-  limits.patience = deadline / 2;
-  ApiClient client(options, DefaultClock().Now(), limits.total);
-  limits.total = std::min(limits.total, client.until() - DefaultClock().Now());
+  limits.timeout = deadline + kAnswerReserve;
+  // Waits for half of the deadline, since a request may legitimately take long and a second entry
+  // would only wait for the result of the first.
+  limits.hedge_delay = deadline / 2;
+  ApiClient client(options, DefaultClock().Now(), limits.timeout);
+  limits.timeout = std::min(limits.timeout, client.deadline() - DefaultClock().Now());
   const std::string service = "/v1/services/" + UrlEscape(options.operands()[0]);
   const HttpReply reply = client.Perform(call, service + path, kind, limits);
   std::fwrite(reply.body.data(), 1, reply.body.size(), stdout);
--- a/main/main.cc
+++ b/main/main.cc
@@ -13,11 +13,11 @@
 
 ExitCode Run(int argc, char** argv) {
   try {
-    // Roles that serve replace the identity with their own.
+    // Daemons call InitLogging again with their own role, name and zone.
     InitLogging("turmericshift", {"command", "", ""});
     RegisterModules();
-    const Words words(argv + 1, argv + argc);
-    return Dispatch("turmericshift", Commands(), words);
+    const Args args(argv + 1, argv + argc);
+    return Dispatch("turmericshift", Commands(), args);
   } catch (const Error& error) {
     const ErrorAnswer& answer = AnswerFor(error.kind());
     std::fprintf(stderr, "turmericshift: %s\n  (%s, %s; next: %s)\n", error.what(), answer.name,
@@ -33,11 +33,13 @@
 }  // namespace turmericshift
 
 int main(int argc, char** argv) {
-  // Before anything else: the platform may tell a daemon of changed settings while it starts.
+  // Must come first: the platform may send SIGHUP for changed settings while a daemon is still
+  // starting, and the default action would end the process.
   if (argc > 1 && turmericshift::IsDaemon(argv[1])) turmericshift::IgnoreHangUpAndPipe();
   turmericshift::InstallCrashReport();
   const turmericshift::ExitCode code = turmericshift::Run(argc, argv);
   std::fflush(nullptr);
-  // Threads that still wait for a silent entry must not meet the end of what they use.
+  // Ends without running static destructors, since detached threads may still wait for an entry
+  // that does not answer and would use destroyed objects.
   turmericshift::EndProcess(static_cast<int>(code));
 }
