--- a/main/agent_operator_api.cc
+++ b/main/agent_operator_api.cc
@@ -9,7 +9,7 @@
   if (request.path == "/healthz") return {200, "ok\n", {}};
   if (request.path == "/readyz") {
     const bool ready = agent_->guard().config_version() > 0;
-    return {ready ? 200 : 503, ready ? "ready\n" : "no document yet\n", {}};
+    return {ready ? 200 : 503, ready ? "ready\n" : "no environment document received yet\n", {}};
   }
   if (!ProofHolds("operator", "Bearer " + token_,
                   Prove("operator", request.header("Authorization")))) {
--- a/main/agent_operator_api.h
+++ b/main/agent_operator_api.h
@@ -1,4 +1,4 @@
-// What operators may ask an agent over HTTP: health, readiness, metrics.
+// The HTTP API that an agent serves to operators: health, readiness and metrics.
 #pragma once
 
 #include <string>
@@ -11,12 +11,14 @@
 
 class AgentOperatorApi {
  public:
-  // All pointers must outlive the API. `token` is asked for the metrics.
+  // All pointers must outlive the API. `token` is the operator token that /metrics requires;
+  // /healthz and /readyz require none.
   AgentOperatorApi(const AgentServer* agent, const MetricsRegistry* metrics,
                    const std::string& token)
       : agent_(agent), metrics_(metrics), token_(token) {}
 
-  // Throws Error.
+  // Throws Error(kUnauthenticated) without a valid operator token and Error(kNotFound) for an
+  // unknown path.
   HttpResponse Handle(const HttpRequest& request) const;
 
  private:
--- a/main/dev_cluster.cc
+++ b/main/dev_cluster.cc
@@ -7,15 +7,15 @@
 
 constexpr size_t kKeyBytes = 16;
 constexpr size_t kIncarnationBytes = 8;
-// Above the connections of every service, so that the limiter refuses at once and nothing queues
-// unseen.
+// Higher than the connection limit of every service, so that the agent's limiter refuses excess
+// requests immediately and no requests queue unnoticed before they reach it.
 constexpr int kMaxRequests = 160;
 constexpr const char* kLoopback = "127.0.0.1";
 
-// Hands calls on to a log that someone else owns.
-class BorrowedLog : public LogService {
+// Forwards all calls to a log that it does not own.
+class ForwardingLog : public LogService {
  public:
-  explicit BorrowedLog(LogService* log) : log_(log) {}
+  explicit ForwardingLog(LogService* log) : log_(log) {}
   Offset Append(const std::string& stream, const std::string& bytes, Duration timeout) override {
     return log_->Append(stream, bytes, timeout);
   }
@@ -55,16 +55,16 @@
 }
 
 DevCluster::~DevCluster() {
-  // Side by side, since each waits for what is in flight.
+  // The servers are stopped concurrently, since each waits for its requests in flight.
   {
-    std::vector<Thread> stops;
+    std::vector<Thread> stop_threads;
     for (DevAgent& agent : agents_) {
-      stops.emplace_back("stop-agent", [&agent] { agent.server.reset(); });
+      stop_threads.emplace_back("stop-agent", [&agent] { agent.server.reset(); });
     }
   }
-  std::vector<Thread> stops;
+  std::vector<Thread> stop_threads;
   for (size_t index = 0; index < entries_.size(); ++index) {
-    stops.emplace_back("stop-entry", [this, index] { StopEntry(index); });
+    stop_threads.emplace_back("stop-entry", [this, index] { StopEntry(index); });
   }
 }
 
@@ -80,7 +80,7 @@
   if (log_server_) {
     entry.log = LogServiceRegistry::Instance().Create("http", LoopbackUrl(log_server_->port()));
   } else {
-    entry.log = std::make_unique<BorrowedLog>(&log_);
+    entry.log = std::make_unique<ForwardingLog>(&log_);
   }
   EntryOptions options;
   options.process = entry.name;
--- a/main/dev_cluster.h
+++ b/main/dev_cluster.h
@@ -1,5 +1,5 @@
-// A whole system in one process on loopback: log, entries, agents, workers and targets. What a
-// newcomer runs first and what tests drive.
+// A complete system in one process on loopback: log, entries, agents, workers and targets. Used by
+// the commands `dev` and `demo` and by benchmarks.
 #pragma once
 
 #include <memory>
@@ -21,13 +21,14 @@
 inline constexpr const char* kDefaultDevDocument = "examples/potkocsi/environment.ini";
 
 struct DevOptions {
-  // Workers, racks and zones are taken from this document.
+  // Environment document that defines the availability zones, their workers and racks, and the
+  // services.
   std::string environment_text;
   std::string operator_token;
   std::string placement_policy = "cells";
   std::string routing_policy = "two_choices";
   bool eject_outliers = true;
-  // Over HTTP, or handed to the entries directly.
+  // Whether entries reach the log over HTTP; otherwise they call the log object directly.
   bool log_over_http = true;
 };
 
@@ -57,7 +58,8 @@
   DevCluster(const DevCluster&) = delete;
   DevCluster& operator=(const DevCluster&) = delete;
 
-  // Stops the entry at once, as if its machine had gone, or starts it anew.
+  // StopEntry ends the entry without a graceful shutdown, as if its VM had failed; StartEntry
+  // starts it again.
   void StopEntry(size_t index);
   void StartEntry(size_t index);
   void StopAgent(size_t index);
@@ -69,7 +71,7 @@
   MetricsRegistry& metrics() { return metrics_; }
   size_t entry_count() const { return entries_.size(); }
 
-  // "http://127.0.0.1:port" of an entry's caller or operator address.
+  // Base URL of an entry's caller or operator API, "http://127.0.0.1:port".
   std::string CallerUrl(size_t entry) const;
   std::string OperatorUrl(size_t entry) const;
 
--- a/main/dev_document.h
+++ b/main/dev_document.h
@@ -1,5 +1,6 @@
-// A deployment's document made ready for a run on loopback: tokens known to this run in place of
-// the ones that the deployment's own operators keep.
+// An environment document prepared for a run on loopback. The token hashes of its workspaces are
+// replaced by those of newly generated tokens, since the deployment's real tokens are not known
+// here.
 #pragma once
 
 #include <map>
@@ -9,11 +10,11 @@
 
 struct DevDocument {
   std::string text;
-  // Token by workspace.
+  // Token of each workspace, by the workspace's name.
   std::map<std::string, std::string> tokens;
 };
 
-// Throws Error(kInvalidInput) when the file can't be read or is no document.
+// Throws Error(kInvalidInput) if the file can't be read or is not a valid environment document.
 DevDocument ReadDevDocument(const std::string& path);
 
 }  // namespace turmericshift
--- a/main/register_modules.h
+++ b/main/register_modules.h
@@ -2,8 +2,9 @@
 
 namespace turmericshift {
 
-// Calls the register_types function of every module. The list is written by hand, since a linker
-// drops an object file that nobody names; a test checks that every plug-in is there.
+// Calls the register_types function of every module and registers the benchmark suites. The list is
+// explicit, since the linker drops object files of a static library that nothing references;
+// RegisterModulesTest checks that the plug-ins are registered.
 void RegisterModules();
 
 }  // namespace turmericshift
--- a/main/register_modules_test.cc
+++ b/main/register_modules_test.cc
@@ -20,9 +20,9 @@
   return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-// The linker drops an object file that nobody names, and the plug-in in it is then unknown only
-// when an operator's settings ask for it.
-TEST(RegisterModulesTest, EveryPluginIsThere) {
+// The linker drops object files that nothing references. A missing plug-in would be noticed only
+// when an operator's settings name it.
+TEST(RegisterModulesTest, RegistersAllPlugins) {
   RegisterModules();
   EXPECT_TRUE(Has<LogServiceRegistry>("http"));
   EXPECT_TRUE(Has<TargetServiceRegistry>("http"));
@@ -33,11 +33,11 @@
   EXPECT_TRUE(Has<BenchSuiteRegistry>("replay"));
 }
 
-TEST(RegisterModulesTest, UnknownPluginIsRefusedWithTheKnownOnes) {
+TEST(RegisterModulesTest, UnknownPluginErrorListsKnownPlugins) {
   RegisterModules();
   try {
     PlacementPolicyRegistry::Instance().Create("best");
-    FAIL() << "an unknown plug-in was made";
+    FAIL() << "an unknown plug-in was created";
   } catch (const Error& error) {
     EXPECT_EQ(error.kind(), ErrorKind::kInvalidInput);
     EXPECT_NE(std::string(error.what()).find("first_fit"), std::string::npos);
--- a/main/settings/process_settings.cc
+++ b/main/settings/process_settings.cc
@@ -11,13 +11,14 @@
 namespace {
 
 constexpr int kMaxPort = 65535;
-// A day: no time that a platform sets for a pool is longer.
-constexpr double kMostSeconds = 86400;
-// Below this a stop can't let the balancer notice and answer what is in flight.
-constexpr double kLeastStopSeconds = 3.5;
-// Below this runs would lapse between two words of a planner that is well.
-constexpr double kLeastLeaseMillis = 1500;
-constexpr double kLeastBoundMillis = 1;
+// One day. No time that a platform sets for a pool is longer.
+constexpr double kMaxSeconds = 86400;
+// A shorter stop leaves no time for the load balancer to notice and for requests in flight to be
+// answered.
+constexpr double kMinStopSeconds = 3.5;
+// With a shorter lease, runs would expire between two renewals by a healthy planner.
+constexpr double kMinLeaseMillis = 1500;
+constexpr double kMinBoundMillis = 1;
 constexpr double kMillisPerSecond = 1000;
 
 constexpr Presence kRequired = Presence::kRequired;
@@ -28,7 +29,7 @@
           IntegerKey("port", kOptional, 0, kMaxPort, &listen->port)};
 }
 
-// "ip:port" in one word.
+// Reads an endpoint given as "ip:port".
 IniKey EndpointKey(const std::string& name, ListenSettings* listen) {
   return {name, true, [listen](const std::string& text) {
             constexpr int kAnyPort = 0;
@@ -37,13 +38,14 @@
           }};
 }
 
-// Beyond this a task away from its data would as good as never end.
-constexpr double kMostProcessorShare = 1024;
-constexpr double kMostProcessorSpeed = 1024;
-constexpr double kMostLinkMbit = 1e6;
-constexpr double kMostStrayFactor = 1000;
+// With a larger factor, a task placed away from its data's rack would practically never end.
+constexpr double kMaxProcessorShare = 1024;
+constexpr double kMaxProcessorSpeed = 1024;
+constexpr double kMaxLinkMbit = 1e6;
+constexpr double kMaxStrayFactor = 1000;
 
-// A time that a platform gives as a bare number in `unit`, whole or not.
+// Reads a duration that a platform gives as a number without a unit, in units of `unit`; fractions
+// are allowed.
 IniKey PlatformTimeKey(const std::string& name, double low, double high, Duration unit,
                        Duration* time) {
   return {name, false, [=](const std::string& text) {
@@ -52,14 +54,14 @@
           }};
 }
 
-// A bound in whole milliseconds.
+// Reads a bound given in milliseconds.
 IniKey BoundKey(const std::string& name, Duration* bound) {
-  return PlatformTimeKey(name, kLeastBoundMillis, kMostSeconds * kMillisPerSecond,
+  return PlatformTimeKey(name, kMinBoundMillis, kMaxSeconds * kMillisPerSecond,
                          std::chrono::milliseconds(1), bound);
 }
 
 std::vector<IniKey> BoundKeys(pool::PoolBounds* bounds) {
-  return {PlatformTimeKey("longest_lease_ms", kLeastLeaseMillis, kMostSeconds * kMillisPerSecond,
+  return {PlatformTimeKey("longest_lease_ms", kMinLeaseMillis, kMaxSeconds * kMillisPerSecond,
                           std::chrono::milliseconds(1), &bounds->longest_lease),
           BoundKey("cancel_ms", &bounds->cancel),
           BoundKey("zone_out_ms", &bounds->zone_out),
@@ -69,25 +71,26 @@
           BoundKey("stop_ms", &bounds->stop),
           BoundKey("reclaim_ms", &bounds->reclaim),
           BoundKey("restore_ms", &bounds->restore),
-          PlatformTimeKey("status_kept_s", 0, kMostSeconds, std::chrono::seconds(1),
+          PlatformTimeKey("status_kept_s", 0, kMaxSeconds, std::chrono::seconds(1),
                           &bounds->status_kept),
           {"stray_factor", false, [bounds](const std::string& factor) {
-             bounds->stray_factor = ParseNumber(factor, 1, kMostStrayFactor);
+             bounds->stray_factor = ParseNumber(factor, 1, kMaxStrayFactor);
            }}};
 }
 
-IniKey VmKey(const std::string& name, double most, double* target) {
-  return {name, false,
-          [target, most](const std::string& text) { *target = ParseNumber(text, 0, most); }};
+IniKey VmKey(const std::string& name, double max_value, double* target) {
+  return {name, false, [target, max_value](const std::string& text) {
+            *target = ParseNumber(text, 0, max_value);
+          }};
 }
 
 std::vector<IniKey> VmKeys(pool::VmResources* vm) {
-  return {VmKey("processor_share", kMostProcessorShare, &vm->processor_share),
-          VmKey("processor_speed", kMostProcessorSpeed, &vm->processor_speed),
-          VmKey("link_mbit_s", kMostLinkMbit, &vm->link_mbit_s)};
+  return {VmKey("processor_share", kMaxProcessorShare, &vm->processor_share),
+          VmKey("processor_speed", kMaxProcessorSpeed, &vm->processor_speed),
+          VmKey("link_mbit_s", kMaxLinkMbit, &vm->link_mbit_s)};
 }
 
-// Names of mechanisms, apart by spaces.
+// Reads names of mechanisms, separated by spaces.
 IniKey MechanismsKey(const std::string& name, pool::MechanismsOff* off) {
   return {name, false, [name, off](const std::string& text) {
             std::vector<std::string> names;
@@ -96,14 +99,14 @@
           }};
 }
 
-// One section that a role's settings may have.
+// A section that the settings of a role may have.
 struct SectionRule {
   std::string kind;
   bool required = false;
   std::vector<IniKey> keys;
 };
 
-std::string KindsOf(const std::vector<SectionRule>& rules) {
+std::string SectionKinds(const std::vector<SectionRule>& rules) {
   std::string kinds;
   for (const SectionRule& rule : rules) kinds += (kinds.empty() ? "" : ", ") + rule.kind;
   return kinds;
@@ -131,7 +134,7 @@
     const bool known = std::any_of(rules.begin(), rules.end(), [&](const SectionRule& rule) {
       return rule.kind == section.kind && section.label.empty();
     });
-    if (!known) RefuseSection(section, KindsOf(rules), &file);
+    if (!known) RefuseSection(section, SectionKinds(rules), &file);
   }
   file.ThrowIfProblems();
 }
@@ -224,7 +227,7 @@
         {TextKey("name", kRequired, &settings.name),
          TextKey("availability_zone", kRequired, &settings.availability_zone),
          TextKey("adapter", kRequired, &settings.adapter),
-         PlatformTimeKey("stop_limit_s", kLeastStopSeconds, kMostSeconds, std::chrono::seconds(1),
+         PlatformTimeKey("stop_limit_s", kMinStopSeconds, kMaxSeconds, std::chrono::seconds(1),
                          &settings.stop_limit)}},
        {"listen",
         true,
--- a/main/settings/process_settings.h
+++ b/main/settings/process_settings.h
@@ -1,5 +1,5 @@
-// Settings of one process, in INI: typed, with units, every problem of a file reported in one go.
-// examples/settings/ holds one file for each role.
+// Typed settings of one process, read from an INI file. All problems of a file are reported in one
+// error. examples/settings/ holds an example for an entry and for an agent.
 #pragma once
 
 #include <string>
@@ -14,7 +14,8 @@
 
 namespace turmericshift {
 
-// An address to listen on. Port 0 lets the system choose; the log event `listening` tells which.
+// An address to listen on. With port 0 the operating system chooses the port, which the process
+// logs once it listens.
 struct ListenSettings {
   std::string address = "127.0.0.1";
   int port = 0;
@@ -26,19 +27,22 @@
   ListenSettings callers;
   ListenSettings operators;
   ListenSettings sessions;
-  // What agents are told to reach this entry at, when it differs from the session address.
+  // IP address that agents use to reach this entry; empty if it is the session address.
   std::string advertised_ip;
   std::string log_client = "http";
   std::string log_address;
-  // One key a line; the first is proved with, all are accepted.
+  // File with one shared key per line. The first key signs this process's own proofs; proofs made
+  // with any of the keys are accepted.
   std::string shared_keys_file;
-  // Lets operators in before the first document names some.
+  // File with a token that operators can use before the first environment document is in force.
   std::string operator_token_file;
-  // Name of the environment whose log this is, such as "trial"; empty: any.
+  // Name of the environment that the log belongs to, such as "trial"; empty accepts documents of
+  // any environment.
   std::string environment;
-  // Environment that must have had a document in force before it is published here.
+  // Name of the environment in which a document must have been in force before it may be published
+  // here; empty requires none.
   std::string trial;
-  // Key that signs and checks statements of what was in force.
+  // File with the key that signs and verifies statements that a document was in force.
   std::string promotion_key_file;
   std::string routing_policy;
   std::string placement_policy;
@@ -46,10 +50,10 @@
   int max_connections = 1024;
   int max_sessions = 800;
   Duration idle_timeout = std::chrono::seconds(60);
-  // How long a leaving entry goes on taking callers in, so that the balancer notices first: longer
-  // than its health checks need.
+  // How long an entry that shuts down still accepts callers after it reports that it is not ready.
+  // Must be longer than the load balancer's health checks need to notice.
   Duration balancer_notice = std::chrono::seconds(5);
-  // How long a graceful stop may wait for what is in flight.
+  // How long a graceful shutdown may wait for requests in flight.
   Duration stop_limit = std::chrono::seconds(60);
 };
 
@@ -59,11 +63,11 @@
   std::string rack;
   std::vector<std::string> entries;
   std::string shared_keys_file;
-  // The target beside the agent; empty if there is none.
+  // Service of the target that the agent serves; empty if the agent has no target.
   std::string service;
   std::string target_client = "http";
   std::string target_address;
-  // The worker beside the agent; an empty address if there is none.
+  // The worker that the agent serves; the address is empty if the agent has no worker.
   std::string worker_client = "http";
   std::string worker_address;
   TaskShape worker;
@@ -71,48 +75,50 @@
   int connections = 64;
   Duration heartbeat = std::chrono::seconds(1);
   Duration heartbeat_timeout = std::chrono::seconds(3);
-  // Where metrics and health are served; an empty address: nowhere.
+  // Address that metrics and health are served on; an empty address disables the operator API.
   ListenSettings operators = {"", 0};
   std::string operator_token_file;
   Duration stop_limit = std::chrono::seconds(60);
 };
 
-// An entry of a pool on a platform that an adapter speaks to.
+// Settings of an entry of a pool on a platform reached through an adapter.
 struct PoolEntrySettings {
   std::string name;
   std::string availability_zone;
-  // Plug-ins of the adapter.
+  // Name under which the adapter's plug-ins are registered.
   std::string adapter;
   ListenSettings callers;
   ListenSettings readiness;
-  // Agents and other entries open their sessions here.
+  // Address on which agents and other entries open sessions.
   ListenSettings sessions;
-  // Where they reach it, "ip:port", when an address translation lies between; empty: there itself.
+  // Address under which agents and other entries reach `sessions`, as "ip:port", if address
+  // translation lies between them; empty if it is the listen address.
   std::string sessions_reached_at;
   std::string store_address;
-  // Where the advice service is asked; empty: there is none.
+  // Address of the advice service; empty if there is none.
   std::string advice_address;
-  // What this VM has; decides who plans the pool.
+  // Resources of this VM; the election of the pool's planner compares them.
   pool::VmResources vm;
   pool::PoolBounds bounds;
-  // Left out of the policy.
+  // Mechanisms of the planning policy that are switched off.
   pool::MechanismsOff mechanisms_off;
-  // From the signal to stop until the process is killed.
+  // Time between the stop signal and the platform's kill of the process.
   Duration stop_limit = std::chrono::seconds(6);
 };
 
-// An agent of a pool on such a platform.
+// Settings of an agent of a pool on a platform reached through an adapter.
 struct PoolAgentSettings {
   std::string name;
   std::string availability_zone;
   std::string adapter;
-  // Where the worker announces itself.
+  // Address on which the agent receives the worker's announcements.
   ListenSettings announcements;
   std::string worker_address;
   std::string store_address;
 };
 
-// Throw Error(kInvalidInput) that lists every problem with file, line and key.
+// Parse the settings file of a role. Throw Error(kInvalidInput) that lists every problem with file,
+// line and key.
 EntrySettings ParseEntrySettings(const std::string& file_name, const std::string& text);
 AgentSettings ParseAgentSettings(const std::string& file_name, const std::string& text);
 PoolEntrySettings ParsePoolEntrySettings(const std::string& file_name, const std::string& text);
--- a/main/settings/process_settings_test.cc
+++ b/main/settings/process_settings_test.cc
@@ -18,7 +18,7 @@
   return "";
 }
 
-TEST(ProcessSettingsTest, ExamplesAreRead) {
+TEST(ProcessSettingsTest, ParsesExampleFiles) {
   const EntrySettings entry =
       ParseEntrySettings("entry.ini", ReadFileText("examples/settings/entry.ini"));
   EXPECT_EQ(entry.callers.port, 8080);
@@ -29,8 +29,8 @@
   EXPECT_EQ(agent.worker.memory_bytes, int64_t{128} << 30);
 }
 
-// An operator mistypes several keys at once and should not have to start the process once for each.
-TEST(ProcessSettingsTest, AllProblemsOfAFileAreReportedAtOnce) {
+// An operator who mistypes several keys must not have to restart the process once for each error.
+TEST(ProcessSettingsTest, ReportsAllProblemsOfAFileTogether) {
   std::string text = ReadFileText("examples/settings/entry.ini");
   text.replace(text.find("stop_limit = 60s"), 16, "stop_limit = 60");
   text.replace(text.find("port = 8080"), 11, "port = 80800");
@@ -45,7 +45,7 @@
   EXPECT_NE(problems.find("[extra]: unknown section"), std::string::npos);
 }
 
-TEST(ProcessSettingsTest, MissingSectionsAreNamed) {
+TEST(ProcessSettingsTest, ReportsMissingKeysAndSections) {
   const std::string problems = ProblemsOf("[process]\nname = a\n");
   EXPECT_NE(problems.find("[process] availability_zone: missing"), std::string::npos);
   EXPECT_NE(problems.find("[log]: section is missing"), std::string::npos);
@@ -56,7 +56,7 @@
     "[listen]\ncallers = 10.0.0.1:80\nreadiness = 10.0.0.1:81\nsessions = 10.0.0.1:7000\n"
     "[store]\naddress = 10.0.0.9:8524\n";
 
-TEST(PoolSettings, ReadAnEntry) {
+TEST(PoolSettings, ParsesEntrySettings) {
   const PoolEntrySettings settings = ParsePoolEntrySettings(
       "entry.ini", std::string(kPoolEntry) +
                        "[limits]\nlongest_lease_ms = 10000\nstray_factor = 2.5\n"
@@ -79,17 +79,17 @@
   EXPECT_EQ(settings.bounds.status_kept, std::chrono::seconds(120));
 }
 
-// A platform that sets no bound leaves its key out; the defaults hold and the process starts.
-TEST(PoolSettings, ReadAnEntryWithoutLimits) {
+// A platform that sets no bound leaves the key out; the process must then start with the defaults.
+TEST(PoolSettings, UsesDefaultBoundsWithoutLimits) {
   EXPECT_EQ(ParsePoolEntrySettings("entry.ini", std::string(kPoolEntry) + "[limits]\n")
                 .bounds.longest_lease,
             std::chrono::seconds(6));
   EXPECT_NO_THROW(ParsePoolEntrySettings("entry.ini", kPoolEntry));
 }
 
-// Behind an address translation, sessions are reached elsewhere than where the entry listens, and
-// the system may choose the port to listen on.
-TEST(PoolSettings, TellWhereSessionsAreReached) {
+// With address translation, sessions are reached at another address than the listen address, and
+// the operating system may choose the listen port.
+TEST(PoolSettings, ParsesTheAddressSessionsAreReachedAt) {
   const PoolEntrySettings settings = ParsePoolEntrySettings(
       "entry.ini",
       "[process]\nname = n\navailability_zone = a\nadapter = users\n[listen]\n"
@@ -99,14 +99,14 @@
   EXPECT_EQ(settings.sessions_reached_at, "10.0.0.9:7000");
 }
 
-TEST(PoolSettings, TellWhatThePolicyLeavesOut) {
+TEST(PoolSettings, ParsesDisabledMechanisms) {
   const PoolEntrySettings settings = ParsePoolEntrySettings(
       "entry.ini", std::string(kPoolEntry) + "[policy]\noff = last_call hold_room\n");
   const pool::MechanismsOff off = {pool::Mechanism::kLastCall, pool::Mechanism::kHoldRoom};
   EXPECT_EQ(settings.mechanisms_off, off);
 }
 
-TEST(PoolSettings, RefuseWhatIsWrong) {
+TEST(PoolSettings, RejectsInvalidSettings) {
   for (const char* more : {"[policy]\noff = luck\n", "[limits]\nlongest_lease_ms = 5\n",
                            "[limits]\nstatus_kept_s = soon\n", "[limits]\nstray_factor = 0\n",
                            "[odd]\nkey = 1\n", "[limits]\nodd = 1\n"}) {
@@ -116,7 +116,7 @@
   EXPECT_THROW(ParsePoolAgentSettings("agent.ini", "[process]\nname = a\n"), Error);
 }
 
-TEST(PoolSettings, ReadAnAgent) {
+TEST(PoolSettings, ParsesAgentSettings) {
   const PoolAgentSettings settings = ParsePoolAgentSettings(
       "agent.ini",
       "[process]\nname = n\navailability_zone = a\nadapter = users\n[listen]\n"
