--- a/examples/embed/embed.cc
+++ b/examples/embed/embed.cc
@@ -1,5 +1,5 @@
-// Uses the coordination parts on their own: two operators race to publish the first document, and
-// the log's order decides, the same way for both.
+// Embeds the replicated state without the rest of the system: two operators race to publish the
+// first document, the log's order decides, and both replicas agree on the winner.
 #include <cstdio>
 
 #include "core/digest.h"
@@ -30,7 +30,7 @@
 }  // namespace
 
 int main() {
-  ts::MemoryLog log;  // in production a client of the platform's log, a plug-in of a page
+  ts::MemoryLog log;  // in production: a client of the platform's log, from a plug-in
   ts::MetricsRegistry metrics;
   ts::ConfigFold first_fold;
   ts::ConfigFold second_fold;
