--- a/main/benches/capacity_bench.cc
+++ b/main/benches/capacity_bench.cc
@@ -129,7 +129,7 @@
       EntryBeat answer;
       answer.freshness.age = Duration::zero();
       const Time handling_start = DefaultClock().Now();
-      for (int index = 0; index < kHeartbeats; ++index) guard.Hear(answer, handling_start);
+      for (int i = 0; i < kHeartbeats; ++i) guard.Hear(answer, handling_start);
       handle_reply.push_back(MicrosecondsFor(handling_start, kHeartbeats));
     }
     figures->push_back(MachineFigure("agent_beat_encode", "us", encode));
