--- a/main/benches/pool_rounds_bench.cc
+++ b/main/benches/pool_rounds_bench.cc
@@ -134,14 +134,14 @@
 
   void Tick() {
     now_ += kTickInterval;
-    planner_->Confirm(now_);
+    planner_->ConfirmLeadership(now_);
     planner_->outbox().Take();
     planner_->outbox().MarkDurable();
     planner_->SetOperatorState(operators_, now_);
     std::poisson_distribution<int> arrivals(arrival_rate_ * Seconds(kTickInterval));
     for (int remaining = arrivals(random_); remaining > 0; --remaining) Submit();
     const Time begun = DefaultClock().Now();
-    planner_->NoteKept();
+    planner_->NoteDurable();
     planner_->Plan(wall_ms(), now_);
     rounds_.push_back(Seconds(DefaultClock().Now() - begun));
     for (BenchWorker& worker : workers_) TickWorker(&worker);
@@ -156,7 +156,7 @@
       EndRun(worker, run->first, pool::EndKind::kDone);
       run = worker->running.erase(run);
     }
-    const bool has_orders = planner_->HasNews(worker->node);
+    const bool has_orders = planner_->HasPendingOrders(worker->node);
     if (now_ < worker->next_poll && !worker->report_due && !has_orders) return;
     worker->report_due = false;
     worker->next_poll = now_ + kPollInterval;
@@ -195,7 +195,7 @@
   void ExchangeReport(BenchWorker* worker) {
     const AgentReport report = ReportOf(worker);
     const Time begun = DefaultClock().Now();
-    planner_->TakeReport(report, wall_ms(), now_);
+    planner_->ApplyReport(report, wall_ms(), now_);
     const pool::AgentOrders orders = planner_->Orders(worker->node, now_);
     report_seconds_ += Seconds(DefaultClock().Now() - begun);
     ++reports_;
--- a/main/settings/process_settings.h
+++ b/main/settings/process_settings.h
@@ -101,7 +101,7 @@
   pool::VmResources vm;
   pool::PoolBounds bounds;
   // Mechanisms of the planning policy that are switched off.
-  pool::MechanismsOff mechanisms_off;
+  pool::DisabledMechanisms mechanisms_off;
   // Time between the stop signal and the platform's kill of the process.
   Duration stop_limit = std::chrono::seconds(6);
 };
