--- a/main/benches/bench_control.cc
+++ b/main/benches/bench_control.cc
@@ -14,7 +14,7 @@
 #include "main/benches/config_propagation.h"
 #include "main/dev_cluster.h"
 #include "rpc/traffic.h"
-#include "servers/state/job_fold.h"
+#include "servers/state/replicated_jobs.h"
 
 namespace turmericshift {
 namespace {
@@ -176,14 +176,14 @@
 
 // Returns the epoch of the zone's planner according to the log; kNoSequence if there is none.
 Sequence PlannerEpochIn(DevCluster* cluster, const std::string& zone) {
-  JobFold fold;
+  ReplicatedJobs replicated_jobs;
   const LogBatch batch = cluster->log().Read("jobs", 0, {}, {});
   for (const LogEntry& entry : batch.entries) {
     for (const PlacedRecord& placed : DecodeRecords(entry.bytes)) {
-      fold.Apply(placed.record, SequenceOf(entry.offset, placed.place));
+      replicated_jobs.Apply(placed.record, SequenceOf(entry.offset, placed.place));
     }
   }
-  return fold.Planner(zone).epoch;
+  return replicated_jobs.Planner(zone).epoch;
 }
 
 // Measures the time from the abrupt stop of a zone's entry, which another VM replaces under the
@@ -227,18 +227,18 @@
     log.Append("jobs", EncodeRecords(records), {});
   }
   StreamOptions options;
-  options.snapshot_spread = Duration::zero();
+  options.snapshot_jitter = Duration::zero();
   if (with_snapshot) {
-    JobFold fold;
+    ReplicatedJobs replicated_jobs;
     MetricsRegistry metrics;
-    StreamClient writer(Stream::kJobs, &log, &fold, &metrics, options);
+    StreamClient writer(Stream::kJobs, &log, &replicated_jobs, &metrics, options);
     writer.WaitUntilFresh(kTimeout);
-    writer.KeepSnapshot(DefaultClock().Now(), DefaultClock().WallMillis());
+    writer.WriteSnapshotIfDue(DefaultClock().Now(), DefaultClock().WallMillis());
   }
-  JobFold fold;
+  ReplicatedJobs replicated_jobs;
   MetricsRegistry metrics;
   const Time begun = DefaultClock().Now();
-  StreamClient client(Stream::kJobs, &log, &fold, &metrics, options);
+  StreamClient client(Stream::kJobs, &log, &replicated_jobs, &metrics, options);
   Await("the view is not fresh", [&] { return client.view().ever_fresh; });
   const std::string name =
       std::to_string(jobs) + "_jobs" + (with_snapshot ? "_snapshot" : "_whole");
--- a/main/benches/capacity_bench.cc
+++ b/main/benches/capacity_bench.cc
@@ -12,7 +12,7 @@
 #include "servers/agent/start_guard.h"
 #include "servers/planner/guarantee_split.h"
 #include "servers/replay/synthetic_document.h"
-#include "servers/state/job_fold.h"
+#include "servers/state/replicated_jobs.h"
 
 namespace turmericshift {
 namespace {
@@ -129,7 +129,7 @@
       EntryBeat answer;
       answer.freshness.age = Duration::zero();
       const Time handling_start = DefaultClock().Now();
-      for (int i = 0; i < kHeartbeats; ++i) guard.Hear(answer, handling_start);
+      for (int i = 0; i < kHeartbeats; ++i) guard.HandleHeartbeatReply(answer, handling_start);
       handle_reply.push_back(MicrosecondsFor(handling_start, kHeartbeats));
     }
     figures->push_back(MachineFigure("agent_beat_encode", "us", encode));
@@ -145,19 +145,19 @@
       records.reserve(kJobs);
       for (int number = 0; number < kJobs; ++number) records.push_back(SubmittedRecord(number));
       const size_t before = BytesInUse();
-      JobFold fold;
+      ReplicatedJobs replicated_jobs;
       const Time begun = DefaultClock().Now();
-      for (int number = 0; number < kJobs; ++number) fold.Apply(records[number], number);
+      for (int number = 0; number < kJobs; ++number) replicated_jobs.Apply(records[number], number);
       apply.push_back(MicrosecondsFor(begun, kJobs));
       bytes.push_back(static_cast<double>(BytesInUse() - before) / kJobs);
       for (int number = kOpenJobs; number < kJobs; ++number) {
         const JobSpec& spec = std::get<JobSubmitted>(records[number]).spec;
         JobEnded ended;
         ended.job = JobId(spec.workspace, spec.key);
-        fold.Apply(ended, kJobs + number);
+        replicated_jobs.Apply(ended, kJobs + number);
       }
       const Time list_start = DefaultClock().Now();
-      for (int call = 0; call < kOpenJobsCalls; ++call) fold.OpenJobs("zone-0");
+      for (int call = 0; call < kOpenJobsCalls; ++call) replicated_jobs.OpenJobs("zone-0");
       list.push_back(MicrosecondsFor(list_start, kOpenJobsCalls));
     }
     figures->push_back(MachineFigure("job_fold_memory_a_job", "B", bytes));
--- a/main/benches/config_propagation.cc
+++ b/main/benches/config_propagation.cc
@@ -86,7 +86,7 @@
     const Time sent = DefaultClock().Now();
     AgentBeat message;
     message.config_version = heartbeat.agent->guard.config_version();
-    heartbeat.agent->guard.Hear(
+    heartbeat.agent->guard.HandleHeartbeatReply(
         heartbeat.agent->ports[heartbeat.port]->Heartbeat(message, kHeartbeatInterval), sent);
     if (heartbeat.agent->guard.config_version() >= version &&
         heartbeat.agent->in_force_nanos.load() == 0) {
