--- a/modules/stand_ins/direct_connector.cc
+++ b/modules/stand_ins/direct_connector.cc
@@ -7,15 +7,15 @@
 
 namespace turmericshift {
 
-struct DirectConnector::Way {
+struct DirectConnector::Link {
   std::shared_mutex mutex;
   EntryGate* gate = nullptr;
 };
 
 namespace {
 
-// The agent as an entry holds it. An entry keeps it longer than the session lasts, and the agent
-// may be gone by then; a call after that would reach a destroyed object.
+// The entry's handle of an agent. The entry may keep this handle after the session has ended and
+// the agent has been destroyed; calls then fail instead of reaching the destroyed agent.
 class DirectConnectorAgent : public AgentPort {
  public:
   explicit DirectConnectorAgent(AgentPort* agent) : agent_(agent) {}
@@ -72,59 +72,59 @@
 
 class DirectConnector::Port : public EntryPort {
  public:
-  Port(std::shared_ptr<Way> way, std::shared_ptr<EntryPort> port,
+  Port(std::shared_ptr<Link> link, std::shared_ptr<EntryPort> port,
        std::shared_ptr<DirectConnectorAgent> agent)
-      : way_(std::move(way)), port_(std::move(port)), agent_(std::move(agent)) {}
+      : link_(std::move(link)), port_(std::move(port)), agent_(std::move(agent)) {}
   ~Port() override { agent_->Cut(); }
 
   EntryBeat Heartbeat(const AgentBeat& beat, Duration timeout) override {
-    const std::shared_lock<std::shared_mutex> lock(way_->mutex);
-    if (way_->gate == nullptr) throw Error(ErrorKind::kConnectionLost, "the way was cut");
+    const std::shared_lock<std::shared_mutex> lock(link_->mutex);
+    if (link_->gate == nullptr) throw Error(ErrorKind::kConnectionLost, "the entry was detached");
     return port_->Heartbeat(beat, timeout);
   }
 
  private:
-  const std::shared_ptr<Way> way_;
+  const std::shared_ptr<Link> link_;
   const std::shared_ptr<EntryPort> port_;
   const std::shared_ptr<DirectConnectorAgent> agent_;
 };
 
 std::shared_ptr<EntryPort> DirectConnector::Connect(const std::string& address,
                                                     const AgentHello& hello, AgentPort* agent) {
-  std::shared_ptr<Way> way;
+  std::shared_ptr<Link> link;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    const auto found = ways_.find(address);
-    if (found != ways_.end()) way = found->second;
+    const auto found = links_.find(address);
+    if (found != links_.end()) link = found->second;
   }
-  if (!way) throw Error(ErrorKind::kUnavailable, "no entry at " + address);
-  const std::shared_lock<std::shared_mutex> lock(way->mutex);
-  if (way->gate == nullptr) throw Error(ErrorKind::kUnavailable, "no entry at " + address);
-  auto held = std::make_shared<DirectConnectorAgent>(agent);
-  return std::make_shared<Port>(way, way->gate->OpenAgent(hello, held), held);
+  if (!link) throw Error(ErrorKind::kUnavailable, "no entry at " + address);
+  const std::shared_lock<std::shared_mutex> lock(link->mutex);
+  if (link->gate == nullptr) throw Error(ErrorKind::kUnavailable, "no entry at " + address);
+  auto agent_handle = std::make_shared<DirectConnectorAgent>(agent);
+  return std::make_shared<Port>(link, link->gate->OpenAgent(hello, agent_handle), agent_handle);
 }
 
 void DirectConnector::Attach(const std::string& address, EntryGate* gate) {
-  // A way that stands is cut first. Replaced while sessions still went by it, it would be out of
-  // Detach's reach, and their next heartbeat would meet an entry that is gone.
+  // Detaches an existing link first. If a link were replaced while sessions still used it, Detach
+  // could no longer reach it, and their next heartbeat would call a destroyed entry.
   Detach(address);
   const std::lock_guard<std::mutex> lock(mutex_);
-  auto way = std::make_shared<Way>();
-  way->gate = gate;
-  ways_[address] = std::move(way);
+  auto link = std::make_shared<Link>();
+  link->gate = gate;
+  links_[address] = std::move(link);
 }
 
 void DirectConnector::Detach(const std::string& address) {
-  std::shared_ptr<Way> way;
+  std::shared_ptr<Link> link;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    const auto found = ways_.find(address);
-    if (found == ways_.end()) return;
-    way = found->second;
-    ways_.erase(found);
+    const auto found = links_.find(address);
+    if (found == links_.end()) return;
+    link = found->second;
+    links_.erase(found);
   }
-  const std::unique_lock<std::shared_mutex> lock(way->mutex);
-  way->gate = nullptr;
+  const std::unique_lock<std::shared_mutex> lock(link->mutex);
+  link->gate = nullptr;
 }
 
 }  // namespace turmericshift
--- a/modules/stand_ins/direct_connector.h
+++ b/modules/stand_ins/direct_connector.h
@@ -1,5 +1,5 @@
-// Sessions without sockets: hands an agent's heartbeats to an entry in the same process, and cuts
-// them when told to. For tests and benchmarks.
+// Sessions without sockets: passes an agent's heartbeats to an entry in the same process. Attach
+// and Detach connect and disconnect entries. For tests and benchmarks only.
 #pragma once
 
 #include <map>
@@ -16,17 +16,19 @@
   std::shared_ptr<EntryPort> Connect(const std::string& address, const AgentHello& hello,
                                      AgentPort* agent) override;
 
-  // `gate` must stay until Detach has returned; then no session uses it any more.
+  // Makes the entry behind `gate` reachable at `address`, in place of an earlier entry there.
+  // `gate` must outlive the matching Detach, after which no session uses the gate.
   void Attach(const std::string& address, EntryGate* gate);
+  // Ends the sessions to the entry at `address`, after waiting for heartbeats in progress.
   void Detach(const std::string& address);
 
  private:
   class Port;
-  // The way to one entry; heartbeats hold `mutex` shared, so that Detach waits for them.
-  struct Way;
+  // The connection to one entry. Heartbeats hold its mutex shared, so that Detach waits for them.
+  struct Link;
 
   std::mutex mutex_;
-  std::map<std::string, std::shared_ptr<Way>> ways_;
+  std::map<std::string, std::shared_ptr<Link>> links_;
 };
 
 }  // namespace turmericshift
--- a/modules/stand_ins/fake_pool_worker.cc
+++ b/modules/stand_ins/fake_pool_worker.cc
@@ -7,11 +7,11 @@
 namespace turmericshift::pool {
 namespace {
 
-// Between a checkpoint's owner and the work that has been done.
-constexpr char kProgressMark = '@';
-constexpr Duration kLookEvery = std::chrono::milliseconds(5);
-// A worker that has just been born does not begin at zero.
-constexpr WorkerMillis kFirstMillis = 1000;
+// Separates the owner of a checkpoint from the amount of work done.
+constexpr char kProgressSeparator = '@';
+constexpr Duration kPollInterval = std::chrono::milliseconds(5);
+// The clock of a new worker does not start at zero.
+constexpr WorkerMillis kInitialClockMillis = 1000;
 
 }  // namespace
 
@@ -20,18 +20,18 @@
   return found == gangs_.end() ? nullptr : &found->second;
 }
 
-std::optional<Time> GangTracker::WorksSince(const RunId& run) const {
+std::optional<Time> GangTracker::CompleteSince(const RunId& run) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   const Gang* gang = Find(run);
-  return gang == nullptr ? std::nullopt : gang->works_since;
+  return gang == nullptr ? std::nullopt : gang->complete_since;
 }
 
 void GangTracker::Join(const RunId& run, int size, Time now) {
   const std::lock_guard<std::mutex> lock(mutex_);
   Gang& gang = gangs_[KeyOf(run)];
   gang.present.insert(run.task.index);
-  const bool whole = static_cast<int>(gang.present.size()) == size;
-  if (whole && !gang.broken && !gang.works_since) gang.works_since = now;
+  const bool complete = static_cast<int>(gang.present.size()) == size;
+  if (complete && !gang.broken && !gang.complete_since) gang.complete_since = now;
 }
 
 void GangTracker::Leave(const RunId& run, EndKind kind) {
@@ -39,8 +39,8 @@
   Gang& gang = gangs_[KeyOf(run)];
   gang.present.erase(run.task.index);
   if (kind == EndKind::kDone) gang.done = true;
-  // A member that waited in vain for the others takes nobody with it that works.
-  if (kind != EndKind::kDone && gang.works_since && !gang.done) gang.broken = true;
+  // A member that waited in vain for an incomplete gang does not break the gang.
+  if (kind != EndKind::kDone && gang.complete_since && !gang.done) gang.broken = true;
 }
 
 bool GangTracker::Broken(const RunId& run) const {
@@ -56,115 +56,117 @@
 }
 
 WorkerMillis FakePoolWorker::Clock(Time now) const {
-  const std::chrono::duration<double, std::milli> lived = now - born_;
-  return kFirstMillis + static_cast<WorkerMillis>(lived.count() * options_.clock_rate);
+  const std::chrono::duration<double, std::milli> age = now - started_at_;
+  return kInitialClockMillis + static_cast<WorkerMillis>(age.count() * options_.clock_rate);
 }
 
-Duration FakePoolWorker::Worked(const RunId& run, const Live& live, Time now) const {
-  if (!live.gang) return now - live.begun;
-  const std::optional<Time> whole = board_->WorksSince(run);
-  return whole ? now - *whole : Duration::zero();
+Duration FakePoolWorker::WorkDone(const RunId& run, const ActiveRun& active, Time now) const {
+  if (!active.gang) return now - active.started;
+  const std::optional<Time> complete = gang_tracker_->CompleteSince(run);
+  return complete ? now - *complete : Duration::zero();
 }
 
-std::string FakePoolWorker::SaveProgress(const RunId& run, const Live& live, bool stopped,
+std::string FakePoolWorker::SaveProgress(const RunId& run, const ActiveRun& active, bool stopped,
                                          Time now) const {
-  if (!live.saves) return "";
-  const Duration worked = std::min(Worked(run, live, now), live.takes);
-  const Duration saved = stopped ? worked : worked / options_.save_every * options_.save_every;
-  const Duration done = live.done_before + saved;
+  if (!active.saves_checkpoints) return "";
+  const Duration work_done = std::min(WorkDone(run, active, now), active.work_left);
+  const Duration saved =
+      stopped ? work_done : work_done / options_.save_interval * options_.save_interval;
+  const Duration done = active.work_before + saved;
   if (done <= Duration::zero()) return "";
   TaskId owner = run.task;
-  if (live.gang) owner.index = 0;
-  const std::string checkpoint = TaskName(owner) + kProgressMark +
+  if (active.gang) owner.index = 0;
+  const std::string checkpoint = TaskName(owner) + kProgressSeparator +
                                  FormatDuration(duration_cast<std::chrono::milliseconds>(done));
-  if (watch_ != nullptr) watch_->OnCheckpointSaved(run.task, checkpoint);
+  if (hooks_ != nullptr) hooks_->OnCheckpointSaved(run.task, checkpoint);
   return checkpoint;
 }
 
 void FakePoolWorker::End(const RunId& run, EndKind kind, Time now) {
-  const Live live = live_.at(run);
-  const bool gang = live.gang;
+  const ActiveRun active = active_runs_.at(run);
+  const bool gang = active.gang;
   const std::string checkpoint =
-      kind == EndKind::kDone ? "" : SaveProgress(run, live, kind == EndKind::kStopped, now);
-  live_.erase(run);
-  newest_over_[run.task] = std::max(newest_over_[run.task], run.number);
-  const EndedTask end = {++ends_, run, kind, checkpoint};
+      kind == EndKind::kDone ? "" : SaveProgress(run, active, kind == EndKind::kStopped, now);
+  active_runs_.erase(run);
+  newest_ended_run_[run.task] = std::max(newest_ended_run_[run.task], run.number);
+  const EndedTask end = {++end_count_, run, kind, checkpoint};
   ended_[end.number] = end;
-  if (gang && board_ != nullptr) board_->Leave(run, kind);
-  if (watch_ != nullptr) watch_->OnEnded(end);
+  if (gang && gang_tracker_ != nullptr) gang_tracker_->Leave(run, kind);
+  if (hooks_ != nullptr) hooks_->OnEnded(end);
   changed_.notify_all();
 }
 
-std::optional<EndKind> FakePoolWorker::EndOf(const RunId& run, const Live& live, Time now) {
-  if (live.gang && board_->Done(run)) return EndKind::kDone;
-  if (live.gang && board_->Broken(run)) return EndKind::kBroken;
+std::optional<EndKind> FakePoolWorker::EndOf(const RunId& run, const ActiveRun& active, Time now) {
+  if (active.gang && gang_tracker_->Done(run)) return EndKind::kDone;
+  if (active.gang && gang_tracker_->Broken(run)) return EndKind::kBroken;
   if (Clock(now) >= lease_until_) return EndKind::kLapsed;
-  if (live.gang && !board_->WorksSince(run)) {
-    if (now - live.begun >= options_.gang_wait) return EndKind::kAlone;
+  if (active.gang && !gang_tracker_->CompleteSince(run)) {
+    if (now - active.started >= options_.gang_wait) return EndKind::kAlone;
     return std::nullopt;
   }
-  if (Worked(run, live, now) < live.takes) return std::nullopt;
-  const bool fails = watch_ != nullptr && watch_->ShouldFail(run);
+  if (WorkDone(run, active, now) < active.work_left) return std::nullopt;
+  const bool fails = hooks_ != nullptr && hooks_->ShouldFail(run);
   return fails ? EndKind::kFailed : EndKind::kDone;
 }
 
-void FakePoolWorker::Settle(Time now) {
-  const std::map<RunId, Live> live = live_;
-  for (const auto& [run, state] : live) {
+void FakePoolWorker::EndDueRuns(Time now) {
+  const std::map<RunId, ActiveRun> active = active_runs_;
+  for (const auto& [run, state] : active) {
     const std::optional<EndKind> kind = EndOf(run, state, now);
     if (kind) End(run, *kind, now);
   }
-  NoteLapse(now);
+  NotifyLeaseExpiry(now);
 }
 
-void FakePoolWorker::NoteLapse(Time now) {
-  const bool lapsed = Clock(now) >= lease_until_;
-  if (lapsed && !lapsed_ && watch_ != nullptr) watch_->OnLeaseExpired();
-  lapsed_ = lapsed;
+void FakePoolWorker::NotifyLeaseExpiry(Time now) {
+  const bool expired = Clock(now) >= lease_until_;
+  if (expired && !lease_expired_ && hooks_ != nullptr) hooks_->OnLeaseExpired();
+  lease_expired_ = expired;
 }
 
-void FakePoolWorker::Look(Time now) {
+void FakePoolWorker::Poll(Time now) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  Settle(now);
+  EndDueRuns(now);
 }
 
 void FakePoolWorker::Crash() {
   const std::lock_guard<std::mutex> lock(mutex_);
   crashed_ = true;
-  for (const auto& [run, state] : live_) {
-    if (state.gang) board_->Leave(run, EndKind::kBroken);
+  for (const auto& [run, state] : active_runs_) {
+    if (state.gang) gang_tracker_->Leave(run, EndKind::kBroken);
   }
-  live_.clear();
+  active_runs_.clear();
 }
 
 OrderAnswer FakePoolWorker::Start(const StartCall& call, Duration /*timeout*/) {
   const std::lock_guard<std::mutex> lock(mutex_);
   if (crashed_) return OrderAnswer::kUnwell;
   const Time now = LeaseClock().Now();
-  Settle(now);
+  EndDueRuns(now);
   if (call.fence < fence_) return OrderAnswer::kFenced;
   fence_ = call.fence;
-  if (live_.count(call.run) > 0) return OrderAnswer::kTaken;
-  const auto over = newest_over_.find(call.run.task);
-  const bool old = over != newest_over_.end() && call.run.number <= over->second;
-  if (!old && Clock(now) >= call.lease_until) return OrderAnswer::kLate;
+  if (active_runs_.count(call.run) > 0) return OrderAnswer::kTaken;
+  const auto newest_ended = newest_ended_run_.find(call.run.task);
+  const bool outdated =
+      newest_ended != newest_ended_run_.end() && call.run.number <= newest_ended->second;
+  if (!outdated && Clock(now) >= call.lease_until) return OrderAnswer::kLate;
   lease_until_ = std::max(lease_until_, call.lease_until);
-  if (old) return OrderAnswer::kOld;
-  const int size = watch_ == nullptr ? 0 : watch_->GangSize(call.run.task);
-  const bool gang = board_ != nullptr && size > 0;
-  Live live;
-  live.begun = now;
-  live.gang = gang;
-  live.saves = watch_ != nullptr && watch_->SavesCheckpoints(call.run.task);
-  const size_t mark = call.checkpoint.find(kProgressMark);
-  if (mark != std::string::npos) {
-    live.done_before = ParseDuration(call.checkpoint.substr(mark + 1));
+  if (outdated) return OrderAnswer::kOld;
+  const int size = hooks_ == nullptr ? 0 : hooks_->GangSize(call.run.task);
+  const bool gang = gang_tracker_ != nullptr && size > 0;
+  ActiveRun active;
+  active.started = now;
+  active.gang = gang;
+  active.saves_checkpoints = hooks_ != nullptr && hooks_->SavesCheckpoints(call.run.task);
+  const size_t separator = call.checkpoint.find(kProgressSeparator);
+  if (separator != std::string::npos) {
+    active.work_before = ParseDuration(call.checkpoint.substr(separator + 1));
   }
-  live.takes = ParseDuration(call.payload) - live.done_before;
-  live_[call.run] = live;
-  if (gang) board_->Join(call.run, size, now);
-  if (watch_ != nullptr) watch_->OnStarted(call);
-  begun_.push_back(call.run);
+  active.work_left = ParseDuration(call.payload) - active.work_before;
+  active_runs_[call.run] = active;
+  if (gang) gang_tracker_->Join(call.run, size, now);
+  if (hooks_ != nullptr) hooks_->OnStarted(call);
+  started_runs_.push_back(call.run);
   return OrderAnswer::kTaken;
 }
 
@@ -174,8 +176,8 @@
   if (crashed_) return OrderAnswer::kUnwell;
   if (fence < fence_) return OrderAnswer::kFenced;
   fence_ = fence;
-  newest_over_[run.task] = std::max(newest_over_[run.task], run.number);
-  if (live_.count(run) > 0) End(run, EndKind::kStopped, LeaseClock().Now());
+  newest_ended_run_[run.task] = std::max(newest_ended_run_[run.task], run.number);
+  if (active_runs_.count(run) > 0) End(run, EndKind::kStopped, LeaseClock().Now());
   return OrderAnswer::kTaken;
 }
 
@@ -185,16 +187,16 @@
   answer.answer = crashed_ ? OrderAnswer::kUnwell : OrderAnswer::kFenced;
   if (crashed_ || call.fence < fence_) return answer;
   fence_ = call.fence;
-  Settle(LeaseClock().Now());
+  EndDueRuns(LeaseClock().Now());
   if (call.lease_until) lease_until_ = std::max(lease_until_, *call.lease_until);
   ended_.erase(ended_.begin(), ended_.upper_bound(call.ends_kept));
-  if (watch_ != nullptr) watch_->OnEndsAcknowledged(call.ends_kept);
+  if (hooks_ != nullptr) hooks_->OnEndsAcknowledged(call.ends_kept);
   const Time until = LeaseClock().Now() + call.wait;
   while (ended_.empty() && LeaseClock().Now() < until) {
-    changed_.wait_for(lock, kLookEvery);
-    Settle(LeaseClock().Now());
+    changed_.wait_for(lock, kPollInterval);
+    EndDueRuns(LeaseClock().Now());
   }
-  // A life that has ended says nothing more; its empty list would look as if its runs were over.
+  // A crashed worker must not return its lists: an empty list would mean that its runs have ended.
   if (crashed_) {
     answer.answer = OrderAnswer::kUnwell;
     return answer;
@@ -203,16 +205,16 @@
   answer.lists.born_ms = options_.born_ms;
   const Time now = LeaseClock().Now();
   answer.lists.clock = Clock(now);
-  for (const auto& [run, live] : live_) {
-    answer.lists.running.push_back({run, SaveProgress(run, live, false, now)});
+  for (const auto& [run, active] : active_runs_) {
+    answer.lists.running.push_back({run, SaveProgress(run, active, false, now)});
   }
   for (const auto& row : ended_) answer.lists.ended.push_back(row.second);
   return answer;
 }
 
-std::vector<RunId> FakePoolWorker::begun() const {
+std::vector<RunId> FakePoolWorker::started_runs() const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return begun_;
+  return started_runs_;
 }
 
 }  // namespace turmericshift::pool
--- a/modules/stand_ins/fake_pool_worker.h
+++ b/modules/stand_ins/fake_pool_worker.h
@@ -1,5 +1,6 @@
-// A worker of a pool, in memory and in real time, with leases, fences, gangs and ends as an agent
-// meets them. The payload of a task is how long it takes, "250ms". For tests and trials only.
+// A fake pool worker, in memory and in real time, that implements leases, fencing, gangs and the
+// list of ended runs. The payload of a task is its run time, such as "250ms". For tests and trials
+// only.
 #pragma once
 
 #include <condition_variable>
@@ -15,22 +16,23 @@
 
 namespace turmericshift::pool {
 
-// Where the members of gangs stand, shared by the workers that may run them.
+// State of the gangs, shared by the workers that may run their members.
 class GangTracker {
  public:
-  // From when on the gang of `run` works; empty while members are missing.
-  std::optional<Time> WorksSince(const RunId& run) const;
+  // When the last member of the run's gang started; empty while members are missing.
+  std::optional<Time> CompleteSince(const RunId& run) const;
   void Join(const RunId& run, int size, Time now);
-  // A member is over. OnEnded otherwise than done, it takes the others with it.
+  // Removes a member that has ended. Unless the member ended with kDone, a complete gang breaks,
+  // which ends the other members too.
   void Leave(const RunId& run, EndKind kind);
   bool Broken(const RunId& run) const;
-  // One member has ended done, and so have all.
+  // Whether a member has ended with kDone. The other members are then done too.
   bool Done(const RunId& run) const;
 
  private:
   struct Gang {
     std::set<int> present;
-    std::optional<Time> works_since;
+    std::optional<Time> complete_since;
     bool broken = false;
     bool done = false;
   };
@@ -44,93 +46,94 @@
   std::map<Key, Gang> gangs_;
 };
 
-// Sees what a worker does and decides what its tasks do. Called with the worker's lock held.
+// Hooks that observe a worker and decide how its tasks behave. Called with the worker's lock held.
 class WorkerHooks {
  public:
   virtual ~WorkerHooks() = default;
   virtual void OnStarted(const StartCall& /*call*/) {}
   virtual void OnEnded(const EndedTask& /*end*/) {}
-  // Ends up to this number may be forgotten.
+  // The agent has acknowledged the ends up to `number`; the worker forgets them.
   virtual void OnEndsAcknowledged(int64_t /*number*/) {}
-  // The lease has run out, whether anything ran or not.
+  // The worker's lease has expired, whether or not tasks were running.
   virtual void OnLeaseExpired() {}
-  // Members of the task's gang; 0: it is no gang's.
+  // Number of members of the task's gang; 0 if the task is not part of a gang.
   virtual int GangSize(const TaskId& /*task*/) { return 0; }
-  // Whether the run ends failed instead of done.
+  // Whether the run ends with kFailed instead of kDone.
   virtual bool ShouldFail(const RunId& /*run*/) { return false; }
-  // Whether the task saves its progress.
+  // Whether the task saves checkpoints.
   virtual bool SavesCheckpoints(const TaskId& /*task*/) { return false; }
-  // A value from which the task, or its gang, may go on.
+  // The task, or its gang, may resume from `checkpoint`.
   virtual void OnCheckpointSaved(const TaskId& /*task*/, const std::string& /*checkpoint*/) {}
 };
 
 struct FakeWorkerOptions {
   int64_t born_ms = 0;
-  // Its steady clock runs at so many seconds a second.
+  // Speed of the worker's steady clock, in seconds per real second.
   double clock_rate = 1.0;
-  // Progress is saved each time that so much work has been done, and at a stop.
-  Duration save_every = std::chrono::milliseconds(200);
-  // A member of a gang waits so long for the others.
+  // Work between two checkpoints. A stop saves a checkpoint too.
+  Duration save_interval = std::chrono::milliseconds(200);
+  // How long a gang member waits for the other members before it ends with kAlone.
   Duration gang_wait = std::chrono::seconds(3);
 };
 
 class FakePoolWorker : public PoolWorker {
  public:
   explicit FakePoolWorker(int64_t born_ms) : FakePoolWorker({born_ms}, nullptr, nullptr) {}
-  // `board` and `watch` must outlive the worker; each may be null.
-  FakePoolWorker(const FakeWorkerOptions& options, GangTracker* board, WorkerHooks* watch)
-      : options_(options), board_(board), watch_(watch), born_(LeaseClock().Now()) {}
+  // `gangs` and `hooks` must outlive the worker; each may be null.
+  FakePoolWorker(const FakeWorkerOptions& options, GangTracker* gangs, WorkerHooks* hooks)
+      : options_(options), gang_tracker_(gangs), hooks_(hooks), started_at_(LeaseClock().Now()) {}
 
   OrderAnswer Start(const StartCall& call, Duration timeout) override;
   OrderAnswer Stop(const std::string& worker_id, const RunId& run, int64_t fence,
                    Duration timeout) override;
   HoldAnswer Hold(const HoldCall& call, Duration timeout) override;
 
-  // Ends what is over. Calls do so by themselves; a worker that nobody calls has to be looked at.
-  void Look(Time now);
-  // The worker is gone with all that it runs; it does nothing more.
+  // Ends the runs that are due to end. Start and Hold do this too; Poll serves a worker that
+  // receives no calls.
+  void Poll(Time now);
+  // Drops all runs. The worker then answers every call with kUnwell.
   void Crash();
-  // Every run that was begun, in order.
-  std::vector<RunId> begun() const;
+  // All runs that were started, in order.
+  std::vector<RunId> started_runs() const;
 
  private:
-  struct Live {
-    Time begun{};
-    // From the checkpoint that it began with on.
-    Duration takes{};
-    Duration done_before{};
+  struct ActiveRun {
+    Time started{};
+    // Run time that remains after the checkpoint that the run started from.
+    Duration work_left{};
+    Duration work_before{};
     bool gang = false;
-    bool saves = false;
+    bool saves_checkpoints = false;
   };
 
-  // Ends what is over at `now`.
-  void Settle(Time now);
-  void NoteLapse(Time now);
-  // How the run has ended by `now`; empty while it goes on.
-  std::optional<EndKind> EndOf(const RunId& run, const Live& live, Time now);
+  // Ends the runs that are due to end by `now`.
+  void EndDueRuns(Time now);
+  void NotifyLeaseExpiry(Time now);
+  // How the run has ended by `now`; empty while the run continues.
+  std::optional<EndKind> EndOf(const RunId& run, const ActiveRun& active, Time now);
   void End(const RunId& run, EndKind kind, Time now);
-  // The work that the run has done by `now`.
-  Duration Worked(const RunId& run, const Live& live, Time now) const;
-  // The checkpoint that the run has by `now`, of which the watch is told; `stopped`: of all that it
-  // has done. Empty when it saves nothing.
-  std::string SaveProgress(const RunId& run, const Live& live, bool stopped, Time now) const;
+  // Work that the run has done by `now`, without the work before its checkpoint.
+  Duration WorkDone(const RunId& run, const ActiveRun& active, Time now) const;
+  // Returns the run's checkpoint at `now` and reports it to the hooks. A stopped run saves all of
+  // its work, others save full intervals. Empty when nothing is saved.
+  std::string SaveProgress(const RunId& run, const ActiveRun& active, bool stopped, Time now) const;
   WorkerMillis Clock(Time now) const;
 
   const FakeWorkerOptions options_;
-  GangTracker* const board_;
-  WorkerHooks* const watch_;
-  const Time born_;
+  GangTracker* const gang_tracker_;
+  WorkerHooks* const hooks_;
+  const Time started_at_;
   mutable std::mutex mutex_;
   std::condition_variable changed_;
   bool crashed_ = false;
   int64_t fence_ = 0;
   WorkerMillis lease_until_ = 0;
-  bool lapsed_ = true;
-  int64_t ends_ = 0;
-  std::map<RunId, Live> live_;
+  bool lease_expired_ = true;
+  int64_t end_count_ = 0;
+  std::map<RunId, ActiveRun> active_runs_;
   std::map<int64_t, EndedTask> ended_;
-  std::map<TaskId, int64_t> newest_over_;
-  std::vector<RunId> begun_;
+  std::map<TaskId, int64_t> newest_ended_run_;
+  std::vector<RunId> started_runs_;
 };
 
 }  // namespace turmericshift::pool
--- a/modules/stand_ins/fake_target.h
+++ b/modules/stand_ins/fake_target.h
@@ -1,5 +1,5 @@
-// A stand-in for a target: an HTTP server that answers each request with what it received. For
-// tests and dev mode only.
+// A fake target: an HTTP server that answers each request with the body that it received. For tests
+// and dev mode only.
 #pragma once
 
 #include <atomic>
@@ -13,7 +13,7 @@
 namespace turmericshift {
 
 struct TargetFaults {
-  // Added to each request.
+  // Delay before each answer.
   Duration delay{};
   // Every request gets status 500.
   bool fails_everything = false;
@@ -26,12 +26,12 @@
   int port() const { return server_->port(); }
   void SetFaults(const TargetFaults& faults);
   int64_t served() const { return served_.load(); }
-  // How often a request with this idempotency key was run.
+  // How often a request with the idempotency key `key` was run.
   int RunsOf(const std::string& key) const;
 
  private:
   HttpResponse Handle(const HttpRequest& request);
-  // What `GET /runs` answers: how often each idempotency key was run.
+  // Answers `GET /runs` with the number of runs of each idempotency key.
   HttpResponse ShowRuns() const;
 
   mutable std::mutex mutex_;
--- a/modules/stand_ins/fake_worker.cc
+++ b/modules/stand_ins/fake_worker.cc
@@ -18,11 +18,11 @@
   }
 }
 
-bool Advances(TaskPhase phase) {
+bool IsRunning(TaskPhase phase) {
   return phase == TaskPhase::kRunning || phase == TaskPhase::kThrottled;
 }
 
-bool Live(TaskPhase phase) { return Advances(phase) || phase == TaskPhase::kHeld; }
+bool IsActive(TaskPhase phase) { return IsRunning(phase) || phase == TaskPhase::kHeld; }
 
 }  // namespace
 
@@ -30,8 +30,8 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   RequireReachable();
   const Time now = clock_->Now();
-  const auto [slot, fresh] = tasks_.try_emplace(start.id);
-  if (!fresh) return;
+  const auto [slot, inserted] = tasks_.try_emplace(start.id);
+  if (!inserted) return;
   Task& task = slot->second;
   task.start = start;
   task.phase = start.held ? TaskPhase::kHeld : TaskPhase::kRunning;
@@ -39,7 +39,7 @@
   task.since = now;
   task.lease_until = now + start.lease;
   task.checkpoint = start.checkpoint;
-  if (!start.checkpoint.empty()) task.done_before = RunTimeFrom(start.checkpoint);
+  if (!start.checkpoint.empty()) task.work_done = RunTimeFrom(start.checkpoint);
 }
 
 void FakeWorker::Release(const TaskId& id) {
@@ -61,7 +61,7 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   Task& task = RequireTask(id);
   Advance(&task, clock_->Now());
-  task.checkpoint = FormatDuration(task.done_before);
+  task.checkpoint = FormatDuration(task.work_done);
 }
 
 void FakeWorker::Throttle(const TaskId& id, double share) {
@@ -69,7 +69,7 @@
   Task& task = RequireTask(id);
   Advance(&task, clock_->Now());
   task.share = std::clamp(share, 0.0, 1.0);
-  if (Advances(task.phase)) task.phase = share < 1 ? TaskPhase::kThrottled : TaskPhase::kRunning;
+  if (IsRunning(task.phase)) task.phase = share < 1 ? TaskPhase::kThrottled : TaskPhase::kRunning;
 }
 
 void FakeWorker::Stop(const TaskId& id) {
@@ -77,7 +77,7 @@
   if (faults_.ignores_stop) return;
   Task& task = RequireTask(id);
   Advance(&task, clock_->Now());
-  if (Live(task.phase)) task.phase = TaskPhase::kStopped;
+  if (IsActive(task.phase)) task.phase = TaskPhase::kStopped;
 }
 
 std::vector<TaskReport> FakeWorker::Report() {
@@ -91,13 +91,13 @@
     report.phase = task.phase;
     report.accelerators = task.start.accelerators;
     report.shape = task.start.shape;
-    report.progress = std::min(1.0, Seconds(task.done_before) / Seconds(task.run_time));
+    report.progress = std::min(1.0, Seconds(task.work_done) / Seconds(task.run_time));
     report.checkpoint = task.checkpoint;
     report.epoch = task.start.epoch;
     report.workspace = task.start.workspace;
     report.guaranteed = task.start.guaranteed;
     report.checkpoints = task.start.checkpoints;
-    if (Live(task.phase)) report.lease_left = task.lease_until - clock_->Now();
+    if (IsActive(task.phase)) report.lease_left = task.lease_until - clock_->Now();
     reports.push_back(report);
   }
   return reports;
@@ -126,14 +126,14 @@
 }
 
 void FakeWorker::Advance(Task* task, Time now) const {
-  const bool lease_over = now >= task->lease_until;
-  const Time until = lease_over ? task->lease_until : now;
-  if (Advances(task->phase) && until > task->since) {
-    task->done_before += FromSeconds(Seconds(until - task->since) * task->share);
+  const bool lease_expired = now >= task->lease_until;
+  const Time until = lease_expired ? task->lease_until : now;
+  if (IsRunning(task->phase) && until > task->since) {
+    task->work_done += FromSeconds(Seconds(until - task->since) * task->share);
     task->since = until;
-    if (task->done_before >= task->run_time) task->phase = TaskPhase::kDone;
+    if (task->work_done >= task->run_time) task->phase = TaskPhase::kDone;
   }
-  if (lease_over && Live(task->phase)) task->phase = TaskPhase::kStopped;
+  if (lease_expired && IsActive(task->phase)) task->phase = TaskPhase::kStopped;
 }
 
 }  // namespace turmericshift
--- a/modules/stand_ins/fake_worker.h
+++ b/modules/stand_ins/fake_worker.h
@@ -1,5 +1,5 @@
-// A stand-in for the platform's worker: tasks are clocks that run for the time their payload names.
-// For tests and dev mode only.
+// A fake of the platform's worker. Its tasks are timers, which run for the time given in their
+// payload. For tests and dev mode only.
 #pragma once
 
 #include <map>
@@ -14,11 +14,12 @@
   bool fails_everything = false;
   // Calls throw Error(kUnavailable).
   bool unreachable = false;
-  // Stop is taken and nothing stops.
+  // Stop returns without an error but does not stop the task.
   bool ignores_stop = false;
 };
 
-// The payload of a task is its true run time ("400ms", "3s"); anything else runs for a second.
+// The payload of a task is its actual run time ("400ms", "3s"). A task with any other payload runs
+// for one second.
 class FakeWorker : public WorkerService {
  public:
   explicit FakeWorker(const Clock* clock = &DefaultClock()) : clock_(clock) {}
@@ -39,7 +40,7 @@
     TaskStart start;
     TaskPhase phase = TaskPhase::kHeld;
     Duration run_time{};
-    Duration done_before{};
+    Duration work_done{};
     Time since{};
     double share = 1;
     Time lease_until{};
@@ -48,7 +49,7 @@
 
   void RequireReachable() const;
   Task& RequireTask(const TaskId& id);
-  // Brings the task's phase and work up to the present.
+  // Updates the task's phase and progress to `now`, or to the end of its lease if that was earlier.
   void Advance(Task* task, Time now) const;
 
   const Clock* const clock_;
--- a/modules/stand_ins/faulty_log.cc
+++ b/modules/stand_ins/faulty_log.cc
@@ -7,11 +7,11 @@
 Offset FaultyLog::Append(const std::string& stream, const std::string& bytes, Duration timeout) {
   const LogFaults now = faults();
   if (now.appends_fail) {
-    throw Error(ErrorKind::kLogUnavailable, Outcome::kNotRun, "no way to the log");
+    throw Error(ErrorKind::kLogUnavailable, Outcome::kNotRun, "log is unreachable");
   }
   const Offset offset = log_->Append(stream, bytes, timeout);
   if (now.append_answers_lost) {
-    throw Error(ErrorKind::kLogUnavailable, Outcome::kUnknown, "the answer was lost");
+    throw Error(ErrorKind::kLogUnavailable, Outcome::kUnknown, "log answer was lost");
   }
   return offset;
 }
@@ -19,7 +19,7 @@
 LogBatch FaultyLog::Read(const std::string& stream, Offset from, Duration wait, Duration timeout) {
   RequireReads();
   LogBatch batch = log_->Read(stream, from, wait, timeout);
-  // Faults that began while the read waited lose its answer.
+  // Drops the answer if read faults were set while the read was waiting.
   RequireReads();
   return batch;
 }
@@ -40,7 +40,7 @@
 }
 
 void FaultyLog::RequireReads() const {
-  if (faults().reads_fail) throw Error(ErrorKind::kLogUnavailable, "no way to the log");
+  if (faults().reads_fail) throw Error(ErrorKind::kLogUnavailable, "log is unreachable");
 }
 
 }  // namespace turmericshift
--- a/modules/stand_ins/faulty_log.h
+++ b/modules/stand_ins/faulty_log.h
@@ -1,4 +1,5 @@
-// One process's way to a log that others share, with faults of its own. For tests and benchmarks.
+// One process's connection to a shared log, with faults that affect this process alone. For tests
+// and benchmarks only.
 #pragma once
 
 #include <mutex>
@@ -9,7 +10,7 @@
 
 class FaultyLog : public LogService {
  public:
-  // `log` must outlive this.
+  // `log` must outlive this object.
   explicit FaultyLog(LogService* log) : log_(log) {}
 
   Offset Append(const std::string& stream, const std::string& bytes, Duration timeout) override;
--- a/modules/stand_ins/log_server.cc
+++ b/modules/stand_ins/log_server.cc
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr const char* kPrefix = "/v1/streams/";
-constexpr int64_t kLongestWaitMs = 30000;
+constexpr int64_t kMaxWaitMs = 30000;
 constexpr Duration kNoTimeout{};
 
 }  // namespace
@@ -20,7 +20,7 @@
 }
 
 HttpResponse LogServer::Handle(const HttpRequest& request) {
-  if (request.path.rfind(kPrefix, 0) != 0) throw Error(ErrorKind::kNotFound, "no such path");
+  if (request.path.rfind(kPrefix, 0) != 0) throw Error(ErrorKind::kNotFound, "unknown path");
   const std::string rest = request.path.substr(std::string(kPrefix).size());
   const size_t slash = rest.find('/');
   const std::string stream = rest.substr(0, slash);
@@ -33,7 +33,7 @@
     return JsonResponse(nlohmann::json({{"offset", offset}}).dump());
   }
   const Offset from = ParseInteger(request.argument("from"), 0, INT64_MAX);
-  const int64_t wait_ms = ParseInteger(request.argument("wait_ms"), 0, kLongestWaitMs);
+  const int64_t wait_ms = ParseInteger(request.argument("wait_ms"), 0, kMaxWaitMs);
   const LogBatch batch = log_->Read(stream, from, std::chrono::milliseconds(wait_ms), kNoTimeout);
   nlohmann::json entries = nlohmann::json::array();
   for (const LogEntry& entry : batch.entries) {
--- a/modules/stand_ins/log_server.h
+++ b/modules/stand_ins/log_server.h
@@ -1,4 +1,4 @@
-// Serves a MemoryLog over HTTP, by the protocol of docs/PLATFORM.md. For tests and dev mode only.
+// Serves a MemoryLog over HTTP with the protocol of docs/PLATFORM.md. For tests and dev mode only.
 #pragma once
 
 #include <memory>
--- a/modules/stand_ins/manual_clock.h
+++ b/modules/stand_ins/manual_clock.h
@@ -1,4 +1,4 @@
-// A clock that tests move by hand.
+// A clock that only advances when a test calls Advance.
 #pragma once
 
 #include <atomic>
@@ -16,7 +16,7 @@
   void Advance(Duration step) { nanos_ += step.count(); }
 
  private:
-  // Not zero, since code may take the zero time for "never".
+  // Starts at 1 h rather than zero, because code may treat the zero time as "never".
   std::atomic<int64_t> nanos_{Duration(std::chrono::hours(1)).count()};
 };
 
--- a/modules/stand_ins/memory_keyed_log.cc
+++ b/modules/stand_ins/memory_keyed_log.cc
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr size_t kPageRecords = 500;
-// Answers to so many of a producer's newest appends are given again.
-constexpr size_t kAnswersKept = 5;
+// Number of answers cached per producer. A repeated append gets the cached answer.
+constexpr size_t kCachedAnswers = 5;
 
 }  // namespace
 
@@ -34,7 +34,7 @@
   std::unique_lock<std::mutex> lock(mutex_);
   changed_.wait_for(lock, wait, [&] { return topics_[topic].end() > from; });
   const Topic& state = topics_[topic];
-  if (from < state.first_kept) throw Error(ErrorKind::kTrimmed, "the history was dropped");
+  if (from < state.first_kept) throw Error(ErrorKind::kTrimmed, "offset precedes the history");
   KeyedBatch batch;
   batch.end = state.end();
   batch.first_kept = state.first_kept;
@@ -51,27 +51,27 @@
   Topic& state = topics_[topic];
   if (!guard.producer.empty()) {
     Producer& producer = state.producers[guard.producer];
-    if (guard.epoch < producer.epoch) throw Error(ErrorKind::kFenced, "a newer epoch was seen");
+    if (guard.epoch < producer.epoch) throw Error(ErrorKind::kFenced, "fenced by a newer epoch");
     if (guard.epoch == producer.epoch) {
-      const auto given = producer.answers.find(guard.sequence);
-      if (given != producer.answers.end()) return given->second;
+      const auto cached = producer.answers.find(guard.sequence);
+      if (cached != producer.answers.end()) return cached->second;
       if (guard.sequence != producer.sequence + 1) {
-        throw Error(ErrorKind::kConflict, "the sequence does not follow");
+        throw Error(ErrorKind::kConflict, "append sequence number is not the next one");
       }
     }
   }
-  if (guard.as_of && *guard.as_of != state.end()) {
-    throw Error(ErrorKind::kConflict, "the topic ends elsewhere");
+  if (guard.expected_end && *guard.expected_end != state.end()) {
+    throw Error(ErrorKind::kConflict, "the topic does not end at the expected offset");
   }
   const AppendResult answer = {state.end(), state.end() + static_cast<Offset>(records.size())};
   for (const KeyedRecord& record : records) {
-    KeyedRecord kept = record;
-    kept.offset = state.end();
-    state.history.push_back(kept);
-    if (kept.value.empty()) {
-      state.newest.erase(kept.key);
+    KeyedRecord stored = record;
+    stored.offset = state.end();
+    state.history.push_back(stored);
+    if (stored.value.empty()) {
+      state.newest.erase(stored.key);
     } else {
-      state.newest[kept.key] = kept;
+      state.newest[stored.key] = stored;
     }
   }
   if (!guard.producer.empty()) {
@@ -80,7 +80,7 @@
     producer.epoch = guard.epoch;
     producer.sequence = guard.sequence;
     producer.answers[guard.sequence] = answer;
-    if (producer.answers.size() > kAnswersKept) producer.answers.erase(producer.answers.begin());
+    if (producer.answers.size() > kCachedAnswers) producer.answers.erase(producer.answers.begin());
   }
   ++appends_;
   changed_.notify_all();
@@ -101,26 +101,26 @@
 
 KeyedPage FaultyKeyedLog::Newest(const std::string& topic, const std::string& after,
                                  Duration timeout) {
-  RequireWay();
+  RequireReachable();
   return log_->Newest(topic, after, timeout);
 }
 
 KeyedBatch FaultyKeyedLog::Read(const std::string& topic, Offset from, Duration wait,
                                 Duration timeout) {
-  RequireWay();
+  RequireReachable();
   KeyedBatch batch = log_->Read(topic, from, wait, timeout);
-  // A poll that was under way when the fault began is not answered either.
-  RequireWay();
+  // Drops the answer if the fault was set while the read was waiting.
+  RequireReachable();
   return batch;
 }
 
 AppendResult FaultyKeyedLog::Append(const std::string& topic,
                                     const std::vector<KeyedRecord>& records,
                                     const AppendGuard& guard, Duration timeout) {
-  RequireWay();
+  RequireReachable();
   const AppendResult answer = log_->Append(topic, records, guard, timeout);
   if (faults().append_answers_lost) {
-    throw Error(ErrorKind::kLogUnavailable, Outcome::kUnknown, "the answer was lost");
+    throw Error(ErrorKind::kLogUnavailable, Outcome::kUnknown, "store answer was lost");
   }
   return answer;
 }
@@ -135,9 +135,9 @@
   return faults_;
 }
 
-void FaultyKeyedLog::RequireWay() const {
+void FaultyKeyedLog::RequireReachable() const {
   if (faults().refused) {
-    throw Error(ErrorKind::kLogUnavailable, Outcome::kNotRun, "the store turns this VM away");
+    throw Error(ErrorKind::kLogUnavailable, Outcome::kNotRun, "store refuses calls from this VM");
   }
 }
 
--- a/modules/stand_ins/memory_keyed_log.h
+++ b/modules/stand_ins/memory_keyed_log.h
@@ -1,5 +1,5 @@
-// A stand-in for the platform's keyed topics, in memory, with the faults the platform has. For
-// tests and trials only.
+// An in-memory stand-in for the platform's keyed topics, with the faults that the platform can
+// have. For tests and trials only.
 #pragma once
 
 #include <condition_variable>
@@ -12,11 +12,11 @@
 
 namespace turmericshift {
 
-// Faults of the way between one process and the store, in force until changed.
+// Faults of the connection between one process and the store. They last until changed.
 struct KeyedLogFaults {
-  // Calls are turned away; nothing is done.
+  // Calls are refused and have no effect.
   bool refused = false;
-  // Appends take effect and their answers are lost.
+  // Appends take effect, but their answers are lost.
   bool append_answers_lost = false;
 };
 
@@ -27,7 +27,7 @@
   AppendResult Append(const std::string& topic, const std::vector<KeyedRecord>& records,
                       const AppendGuard& guard, Duration timeout) override;
 
-  // Drops the history; the newest record of each key stays.
+  // Drops the history, but keeps the newest record of each key.
   void DropHistory(const std::string& topic);
   int64_t appends() const;
 
@@ -35,7 +35,7 @@
   struct Producer {
     int64_t epoch = 0;
     int64_t sequence = 0;
-    // Answers to the newest appends, by sequence.
+    // Answers to the newest appends, by sequence number, for repeated appends.
     std::map<int64_t, AppendResult> answers;
   };
   struct Topic {
@@ -52,10 +52,10 @@
   std::map<std::string, Topic> topics_;
 };
 
-// One process's way to a store that others share.
+// One process's connection to a shared store, with faults that affect this process alone.
 class FaultyKeyedLog : public KeyedLog {
  public:
-  // `log` must outlive this.
+  // `log` must outlive this object.
   explicit FaultyKeyedLog(KeyedLog* log) : log_(log) {}
 
   KeyedPage Newest(const std::string& topic, const std::string& after, Duration timeout) override;
@@ -67,7 +67,7 @@
 
  private:
   KeyedLogFaults faults() const;
-  void RequireWay() const;
+  void RequireReachable() const;
 
   KeyedLog* const log_;
   mutable std::mutex mutex_;
--- a/modules/stand_ins/memory_log.cc
+++ b/modules/stand_ins/memory_log.cc
@@ -24,7 +24,7 @@
   ++appends_;
   changed_.notify_all();
   if (faults_.append_answers_lost) {
-    throw Error(ErrorKind::kLogUnavailable, Outcome::kUnknown, "the answer was lost");
+    throw Error(ErrorKind::kLogUnavailable, Outcome::kUnknown, "log answer was lost");
   }
   return state.head() - 1;
 }
@@ -37,7 +37,7 @@
   changed_.wait_for(lock, wait, ready);
   if (faults_.reads_fail) throw Error(ErrorKind::kLogUnavailable, "the log is down");
   StreamState& state = streams_[stream];
-  if (from < state.first_kept) throw Error(ErrorKind::kTrimmed, "the offset is no longer kept");
+  if (from < state.first_kept) throw Error(ErrorKind::kTrimmed, "offset is no longer retained");
   LogBatch batch;
   batch.first_kept = state.first_kept;
   batch.head = state.head();
--- a/modules/stand_ins/memory_log.h
+++ b/modules/stand_ins/memory_log.h
@@ -1,5 +1,5 @@
-// A stand-in for the platform's log, in memory, with the faults the platform has. For tests and
-// dev mode only.
+// An in-memory stand-in for the platform's log, with the faults that the platform can have. For
+// tests and dev mode only.
 #pragma once
 
 #include <condition_variable>
@@ -12,14 +12,14 @@
 
 namespace turmericshift {
 
-// Faults in force until changed.
+// Faults last until changed.
 struct LogFaults {
-  // Appends fail; nothing is appended.
+  // Appends fail and have no effect.
   bool appends_fail = false;
   bool reads_fail = false;
-  // The append takes effect and its answer is lost.
+  // Appends take effect, but their answers are lost.
   bool append_answers_lost = false;
-  // Added to each call.
+  // Delay before each call.
   Duration delay{};
 };
 
@@ -30,7 +30,7 @@
   Offset FirstKept(const std::string& stream, Duration timeout) override;
 
   void SetFaults(const LogFaults& faults);
-  // Drops all entries of the stream before `first_kept`.
+  // Drops all entries of the stream before offset `first_kept`.
   void Trim(const std::string& stream, Offset first_kept);
   int64_t appends() const;
 
--- a/modules/stand_ins/register_types.h
+++ b/modules/stand_ins/register_types.h
@@ -2,7 +2,7 @@
 
 namespace turmericshift {
 
-// Adds the stand-ins that a process can hold inside itself, for dev mode and trials.
+// Registers the in-process stand-ins, for dev mode and trials.
 void RegisterStandInTypes();
 
 }  // namespace turmericshift
--- a/modules/stand_ins/worker_server.cc
+++ b/modules/stand_ins/worker_server.cc
@@ -44,7 +44,7 @@
     } else if (step == "forget") {
       worker_->Forget(id);
     } else {
-      throw Error(ErrorKind::kInvalidInput, "no such step: " + request.path);
+      throw Error(ErrorKind::kInvalidInput, "unknown worker call: " + request.path);
     }
   } catch (const nlohmann::json::exception& error) {
     throw Error(ErrorKind::kInvalidInput, error.what());
--- a/modules/stand_ins/worker_server.h
+++ b/modules/stand_ins/worker_server.h
@@ -1,4 +1,4 @@
-// A stand-in for the platform's worker, served over HTTP. For tests and trials only.
+// Serves a WorkerService over HTTP in place of the platform's worker. For tests and trials only.
 #pragma once
 
 #include "core/http_server.h"
