--- a/servers/platform/keyed_log.h
+++ b/servers/platform/keyed_log.h
@@ -1,5 +1,5 @@
-// The platform's partitioned log as the pool scheduler uses it: topics of keyed records, of which
-// the newest of each key is kept for good, and a bounded history of all appends.
+// Interface to the platform's partitioned log, as the pool scheduler uses it. A topic keeps the
+// newest record of each key permanently, and a bounded history of all appends.
 #pragma once
 
 #include <cstdint>
@@ -13,19 +13,20 @@
 
 namespace turmericshift {
 
-// An empty value drops the key.
+// A record with an empty value deletes its key.
 struct KeyedRecord {
   std::string key;
   std::string value;
-  // Set on records that were read; ignored on append.
+  // Position in the topic. Set on records that were read; ignored on append.
   Offset offset = kNoOffset;
 };
 
 struct KeyedPage {
   std::vector<KeyedRecord> records;
-  // Go on with the last key of `records`.
+  // Whether more keys follow. Read the next page with the last key of `records`.
   bool more = false;
-  // Offset after the newest record when the page was made. Pages are no snapshot of each other.
+  // Offset after the newest record when the page was read. Successive pages are not one consistent
+  // snapshot.
   Offset end = 0;
 };
 
@@ -35,19 +36,22 @@
   std::vector<KeyedRecord> records;
 };
 
-// What must hold for an append to be carried out, whenever the platform gets to it.
+// Conditions that the platform checks when it carries out the append.
 struct AppendGuard {
-  // The topic must end here.
-  std::optional<Offset> as_of;
-  // One writer at a time: an append with a lower epoch than the highest one seen is refused, and
-  // within an epoch each number is taken once, in order.
+  // The topic must end at this offset; unset: no check.
+  std::optional<Offset> expected_end;
+  // Admits one writer at a time: an append below the producer's highest epoch is refused, and
+  // within an epoch each sequence number is accepted once, in order. An empty `producer` skips this
+  // check.
   std::string producer;
   int64_t epoch = 0;
   int64_t sequence = 0;
 };
 
 struct AppendResult {
+  // Offset of the first record appended.
   Offset first = 0;
+  // Offset after the last record appended.
   Offset end = 0;
 };
 
@@ -55,24 +59,25 @@
  public:
   virtual ~KeyedLog() = default;
 
-  // The newest records of all keys, in key order, after `after`.
+  // Returns the newest record of each key after the key `after`, in key order, up to the page size.
   // Throws Error(kLogUnavailable) on an outage.
   virtual KeyedPage Newest(const std::string& topic, const std::string& after,
                            Duration timeout) = 0;
 
-  // Records from `from` on, waiting up to `wait` for the first.
-  // Throws Error: kTrimmed when `from` is no longer kept, kLogUnavailable on an outage.
+  // Returns the records from offset `from` on, waiting up to `wait` for the first record.
+  // Throws Error: kTrimmed when `from` is no longer retained, kLogUnavailable on an outage.
   virtual KeyedBatch Read(const std::string& topic, Offset from, Duration wait,
                           Duration timeout) = 0;
 
-  // All records or none. Throws Error: kFenced below the highest epoch, kConflict when the topic
-  // ends elsewhere or the sequence does not follow, kLogUnavailable with outcome not_run when
-  // nothing was done, with outcome unknown when it may have been or may still be done.
+  // Appends all records or none. Throws Error: kFenced when the epoch is below the highest epoch
+  // seen; kConflict when the topic does not end at the expected offset or the sequence number is
+  // not the next one; kLogUnavailable on an outage, with outcome not_run when nothing was appended
+  // and outcome unknown when the records may have been appended or may still be.
   virtual AppendResult Append(const std::string& topic, const std::vector<KeyedRecord>& records,
                               const AppendGuard& guard, Duration timeout) = 0;
 };
 
-// Clients by name; the argument is the store's address ("10.0.0.1:8080").
+// Log clients by name. The factory's argument is the store's address ("10.0.0.1:8080").
 using KeyedLogRegistry = PluginRegistry<KeyedLog, const std::string&>;
 
 }  // namespace turmericshift
--- a/servers/platform/target_service.h
+++ b/servers/platform/target_service.h
@@ -1,4 +1,4 @@
-// The target beside an agent: the service that does the work of requests.
+// Interface to the target on an agent's VM: the service that performs requests.
 #pragma once
 
 #include "core/plugin_registry.h"
@@ -9,12 +9,12 @@
 class TargetService {
  public:
   virtual ~TargetService() = default;
-  // Performs the request and returns the whole answer; `load` is left to the caller to fill.
-  // Throws Error: outcome not_run only if the target surely did not receive the request.
+  // Performs the request and returns the complete answer, except `load`, which the caller fills in.
+  // Throws Error, with outcome not_run only if the target certainly did not receive the request.
   virtual ServiceAnswer Perform(const ServiceRequest& request) = 0;
 };
 
-// Clients of targets by name; the argument is the target's address.
+// Target clients by name. The factory's argument is the target's address.
 using TargetServiceRegistry = PluginRegistry<TargetService, const std::string&>;
 
 }  // namespace turmericshift
--- a/servers/platform/worker_service.h
+++ b/servers/platform/worker_service.h
@@ -1,5 +1,5 @@
-// The platform's worker beside an agent: it runs tasks under leases. docs/PLATFORM.md states the
-// protocol.
+// Interface to the platform's worker on an agent's VM, which runs tasks under leases.
+// docs/PLATFORM.md specifies the protocol.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 enum class TaskPhase { kHeld, kRunning, kThrottled, kStopping, kDone, kFailed, kStopped };
 const char* TaskPhaseName(TaskPhase phase);
 
-// What identifies one try of one task.
+// Identifies one attempt of one task.
 struct TaskId {
   std::string job;
   int64_t attempt = 0;
@@ -28,18 +28,19 @@
 struct TaskStart {
   TaskId id;
   TaskShape shape;
-  // Bit i is set when the task owns accelerator i of the worker.
+  // Bit i is set if the task owns accelerator i of the worker.
   uint32_t accelerators = 0;
-  // Held tasks are set up but make no progress until released.
+  // A held task is set up, but makes no progress until it is released.
   bool held = false;
-  // The worker stops the task by itself when the lease is not renewed for this long.
+  // The worker stops the task on its own if the lease is not renewed within this time.
   Duration lease = std::chrono::seconds(10);
-  // What to resume from; empty for a fresh start.
+  // Checkpoint to resume from; empty to start from the beginning.
   std::string checkpoint;
-  // Handed to the task as it is.
+  // Passed to the task unchanged.
   std::string payload;
-  // Kept by the worker and reported back, so that an agent that restarts knows what runs: the
-  // planner epoch that it was started under, whose work it is, and how it may be stopped.
+  // The worker stores the following members and reports them back, so that a restarted agent knows
+  // what runs.
+  // Epoch of the planner that started the task.
   int64_t epoch = -1;
   std::string workspace;
   bool guaranteed = false;
@@ -51,21 +52,21 @@
   TaskPhase phase = TaskPhase::kHeld;
   uint32_t accelerators = 0;
   TaskShape shape;
-  // Share of the work done, 0 to 1, as last reported; it lags.
+  // Share of the work done, 0 to 1, as last reported; lags the actual progress.
   double progress = 0;
   // Newest checkpoint; empty if none.
   std::string checkpoint;
-  // As they were given at the start.
+  // From here to `checkpoints`: the values given in TaskStart.
   int64_t epoch = -1;
   std::string workspace;
   bool guaranteed = false;
   bool checkpoints = false;
-  // Until the worker stops the task by itself; zero once it has ended.
+  // Time until the worker stops the task on its own; zero once the task has ended.
   Duration lease_left{};
 };
 
-// Every call may throw Error(kUnavailable), with outcome unknown if it may have taken effect. All
-// are idempotent by task id.
+// Every call may throw Error(kUnavailable), with outcome unknown if the call may have taken effect.
+// All calls are idempotent by task id.
 class WorkerService {
  public:
   virtual ~WorkerService() = default;
@@ -73,18 +74,18 @@
   // Lets a held task make progress.
   virtual void Release(const TaskId& id) = 0;
   virtual void Renew(const TaskId& id, Duration lease) = 0;
-  // Asks for a checkpoint; it appears in a later report.
+  // Requests a checkpoint, which appears in a later report.
   virtual void Checkpoint(const TaskId& id) = 0;
-  // `share` of full speed, 0 to 1.
+  // Limits the task to `share` of full speed, 0 to 1.
   virtual void Throttle(const TaskId& id, double share) = 0;
   virtual void Stop(const TaskId& id) = 0;
-  // All tasks that run, and those that ended and were not yet forgotten.
+  // Returns all running tasks, and the ended tasks for which Forget has not been called.
   virtual std::vector<TaskReport> Report() = 0;
   // Drops an ended task from the reports.
   virtual void Forget(const TaskId& id) = 0;
 };
 
-// Clients of workers by name; the argument is the worker's address.
+// Worker clients by name. The factory's argument is the worker's address.
 using WorkerServiceRegistry = PluginRegistry<WorkerService, const std::string&>;
 
 }  // namespace turmericshift
