--- a/modules/http_log/http_log_service.cc
+++ b/modules/http_log/http_log_service.cc
@@ -12,9 +12,9 @@
 constexpr int kOk = 200;
 constexpr size_t kMaxBatchBytes = size_t{64} << 20;
 
-// A log's answer may be lost after the append took effect, so only a connection that was never
-// made proves that nothing was appended.
-Error AsLogError(const Error& error) {
+// Converts a transport error and keeps its outcome. The answer may be lost after an append took
+// effect, so only a connection that was never made proves that nothing was appended.
+Error ToLogError(const Error& error) {
   return {ErrorKind::kLogUnavailable, error.outcome(), error.what()};
 }
 
@@ -22,19 +22,20 @@
   try {
     return PerformHttp(call);
   } catch (const Error& error) {
-    throw AsLogError(error);
+    throw ToLogError(error);
   }
 }
 
 nlohmann::json ParseReply(const HttpReply& reply) {
-  if (reply.status == kGone) throw Error(ErrorKind::kTrimmed, "the offset is no longer kept");
+  if (reply.status == kGone) throw Error(ErrorKind::kTrimmed, "offset is no longer retained");
   if (reply.status != kOk) {
     throw Error(ErrorKind::kLogUnavailable, Outcome::kUnknown,
-                "the log answered " + std::to_string(reply.status));
+                "log answered with HTTP status " + std::to_string(reply.status));
   }
   nlohmann::json json = nlohmann::json::parse(reply.body, nullptr, false);
   if (json.is_discarded()) {
-    throw Error(ErrorKind::kLogUnavailable, Outcome::kUnknown, "the log's answer is no JSON");
+    throw Error(ErrorKind::kLogUnavailable, Outcome::kUnknown,
+                "the log's answer is not valid JSON");
   }
   return json;
 }
--- a/modules/http_log/http_log_service.h
+++ b/modules/http_log/http_log_service.h
@@ -1,4 +1,4 @@
-// The platform's log over HTTP, by the protocol of docs/PLATFORM.md.
+// Client of the platform's log over HTTP, with the protocol of docs/PLATFORM.md.
 #pragma once
 
 #include <string>
--- a/modules/http_log/register_types.h
+++ b/modules/http_log/register_types.h
@@ -2,7 +2,7 @@
 
 namespace turmericshift {
 
-// Adds the HTTP log client to its registry.
+// Registers the HTTP log client.
 void RegisterHttpLogTypes();
 
 }  // namespace turmericshift
--- a/modules/http_target/http_target_service.h
+++ b/modules/http_target/http_target_service.h
@@ -1,4 +1,4 @@
-// A target over HTTP, by the protocol of docs/PLATFORM.md.
+// Client of a target over HTTP, with the protocol of docs/PLATFORM.md.
 #pragma once
 
 #include <string>
--- a/modules/http_target/register_types.h
+++ b/modules/http_target/register_types.h
@@ -2,7 +2,7 @@
 
 namespace turmericshift {
 
-// Adds the HTTP target client to its registry.
+// Registers the HTTP target client.
 void RegisterHttpTargetTypes();
 
 }  // namespace turmericshift
--- a/modules/http_worker/http_worker_service.cc
+++ b/modules/http_worker/http_worker_service.cc
@@ -7,7 +7,7 @@
 namespace turmericshift {
 namespace {
 
-// An agent's step must end before the planner's call to it does.
+// Shorter than the planner's timeout for a call to the agent, so that the agent can still answer.
 constexpr Duration kCallTimeout = std::chrono::milliseconds(1500);
 
 }  // namespace
@@ -37,11 +37,12 @@
 std::vector<TaskReport> HttpWorkerService::Report() {
   const nlohmann::json json = nlohmann::json::parse(Call("report", "{}"), nullptr, false);
   if (!json.is_array()) {
-    throw Error(ErrorKind::kUnavailable, Outcome::kUnknown, "the worker's report is unreadable");
+    throw Error(ErrorKind::kUnavailable, Outcome::kUnknown,
+                "the worker's report is not a JSON array");
   }
   std::vector<TaskReport> reports;
   try {
-    for (const nlohmann::json& each : json) reports.push_back(TaskReportFromJson(each));
+    for (const nlohmann::json& report : json) reports.push_back(TaskReportFromJson(report));
   } catch (const nlohmann::json::exception& error) {
     throw Error(ErrorKind::kUnavailable, Outcome::kUnknown, error.what());
   }
@@ -61,7 +62,7 @@
   if (reply.status == 404) throw Error(ErrorKind::kNotFound, "no such task");
   if (reply.status >= 300) {
     throw Error(ErrorKind::kUnavailable, Outcome::kUnknown,
-                step + ": the worker answered " + std::to_string(reply.status));
+                step + ": worker answered with HTTP status " + std::to_string(reply.status));
   }
   return std::move(reply.body);
 }
--- a/modules/http_worker/http_worker_service.h
+++ b/modules/http_worker/http_worker_service.h
@@ -1,4 +1,4 @@
-// A worker over HTTP, by the protocol of docs/PLATFORM.md.
+// Client of a worker over HTTP, with the protocol of docs/PLATFORM.md.
 #pragma once
 
 #include <string>
@@ -22,7 +22,8 @@
   void Forget(const TaskId& id) override;
 
  private:
-  // Returns the answer's body. Throws Error by the worker's problem document.
+  // Sends one call to the worker and returns the body of the answer. Throws Error: kNotFound for an
+  // unknown task, kUnavailable for any other failure status.
   std::string Call(const std::string& step, const std::string& body) const;
 
   const std::string address_;
--- a/modules/http_worker/http_worker_test.cc
+++ b/modules/http_worker/http_worker_test.cc
@@ -1,4 +1,4 @@
-// The worker protocol, client against stand-in.
+// Tests the worker protocol between HttpWorkerService and a fake worker served over HTTP.
 #include <gtest/gtest.h>
 
 #include "core/error.h"
@@ -23,7 +23,7 @@
   const TaskId id_{"boxes/weekly", 7, 1};
 };
 
-TEST_F(HttpWorkerTest, ATaskGoesThroughItsLife) {
+TEST_F(HttpWorkerTest, TaskRunsFromStartToForget) {
   TaskStart start;
   start.id = id_;
   start.shape = {2, int64_t{1} << 30, 1};
@@ -53,8 +53,9 @@
   EXPECT_TRUE(client_.Report().empty());
 }
 
-// The agent asks for a task that its worker lost; that must not read as a worker that is away.
-TEST_F(HttpWorkerTest, AnUnknownTaskIsToldApartFromAWorkerThatIsAway) {
+// Guards against taking a worker that has lost a task for an unreachable worker: the agent asks for
+// a task that the worker no longer knows.
+TEST_F(HttpWorkerTest, DistinguishesAnUnknownTaskFromAnUnreachableWorker) {
   const auto kind_of = [&] {
     try {
       client_.Release(id_);
--- a/modules/http_worker/register_types.h
+++ b/modules/http_worker/register_types.h
@@ -2,7 +2,7 @@
 
 namespace turmericshift {
 
-// Adds the HTTP worker client to its registry.
+// Registers the HTTP worker client.
 void RegisterHttpWorkerTypes();
 
 }  // namespace turmericshift
--- a/modules/http_worker/worker_json.cc
+++ b/modules/http_worker/worker_json.cc
@@ -14,7 +14,7 @@
   throw Error(ErrorKind::kInvalidInput, "unknown task phase '" + name + "'");
 }
 
-// What starts and reports have in common.
+// Writes the fields that TaskStart and TaskReport share.
 template <typename Task>
 void WriteCommon(const Task& task, nlohmann::json* json) {
   (*json)["shape"] = task.shape;
--- a/modules/http_worker/worker_json.h
+++ b/modules/http_worker/worker_json.h
@@ -1,4 +1,4 @@
-// The JSON of the worker protocol, for the client and the stand-in.
+// JSON encoding of the worker protocol, shared by the client and the fake worker.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -12,7 +12,7 @@
 nlohmann::json TaskStartJson(const TaskStart& start);
 TaskStart TaskStartFromJson(const nlohmann::json& json);
 nlohmann::json TaskReportJson(const TaskReport& report);
-// Throws Error(kInvalidInput) for a phase that is unknown.
+// Throws Error(kInvalidInput) for an unknown phase.
 TaskReport TaskReportFromJson(const nlohmann::json& json);
 
 }  // namespace turmericshift
