--- a/servers/platform/keyed_log.h
+++ b/servers/platform/keyed_log.h
@@ -31,7 +31,9 @@
 };
 
 struct KeyedBatch {
+  // Offset after the newest record of the topic.
   Offset end = 0;
+  // Oldest offset that the topic's history still retains.
   Offset first_kept = 0;
   std::vector<KeyedRecord> records;
 };
--- a/servers/platform/worker_service.h
+++ b/servers/platform/worker_service.h
@@ -38,9 +38,8 @@
   std::string checkpoint;
   // Passed to the task unchanged.
   std::string payload;
-  // The worker stores the following members and reports them back, so that a restarted agent knows
-  // what runs.
-  // Epoch of the planner that started the task.
+  // The worker stores this and the following members and reports them back, so that a restarted
+  // agent knows the planner epoch that started the task, its workspace and how it may be stopped.
   int64_t epoch = -1;
   std::string workspace;
   bool guaranteed = false;
