--- a/modules/stand_ins/fake_pool_worker.cc
+++ b/modules/stand_ins/fake_pool_worker.cc
@@ -98,10 +98,10 @@
 
 std::optional<EndKind> FakePoolWorker::EndOf(const RunId& run, const ActiveRun& active, Time now) {
   if (active.gang && gang_tracker_->Done(run)) return EndKind::kDone;
-  if (active.gang && gang_tracker_->Broken(run)) return EndKind::kBroken;
-  if (Clock(now) >= lease_until_) return EndKind::kLapsed;
+  if (active.gang && gang_tracker_->Broken(run)) return EndKind::kGangBroken;
+  if (Clock(now) >= lease_until_) return EndKind::kLeaseExpired;
   if (active.gang && !gang_tracker_->CompleteSince(run)) {
-    if (now - active.started >= options_.gang_wait) return EndKind::kAlone;
+    if (now - active.started >= options_.gang_wait) return EndKind::kPartialGang;
     return std::nullopt;
   }
   if (WorkDone(run, active, now) < active.work_left) return std::nullopt;
@@ -133,25 +133,25 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   crashed_ = true;
   for (const auto& [run, state] : active_runs_) {
-    if (state.gang) gang_tracker_->Leave(run, EndKind::kBroken);
+    if (state.gang) gang_tracker_->Leave(run, EndKind::kGangBroken);
   }
   active_runs_.clear();
 }
 
 OrderAnswer FakePoolWorker::Start(const StartCall& call, Duration /*timeout*/) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  if (crashed_) return OrderAnswer::kUnwell;
+  if (crashed_) return OrderAnswer::kUnhealthy;
   const Time now = LeaseClock().Now();
   EndDueRuns(now);
   if (call.fence < fence_) return OrderAnswer::kFenced;
   fence_ = call.fence;
-  if (active_runs_.count(call.run) > 0) return OrderAnswer::kTaken;
+  if (active_runs_.count(call.run) > 0) return OrderAnswer::kAccepted;
   const auto newest_ended = newest_ended_run_.find(call.run.task);
   const bool outdated =
       newest_ended != newest_ended_run_.end() && call.run.number <= newest_ended->second;
-  if (!outdated && Clock(now) >= call.lease_until) return OrderAnswer::kLate;
+  if (!outdated && Clock(now) >= call.lease_until) return OrderAnswer::kExpired;
   lease_until_ = std::max(lease_until_, call.lease_until);
-  if (outdated) return OrderAnswer::kOld;
+  if (outdated) return OrderAnswer::kStaleRun;
   const int size = hooks_ == nullptr ? 0 : hooks_->GangSize(call.run.task);
   const bool gang = gang_tracker_ != nullptr && size > 0;
   ActiveRun active;
@@ -167,30 +167,30 @@
   if (gang) gang_tracker_->Join(call.run, size, now);
   if (hooks_ != nullptr) hooks_->OnStarted(call);
   started_runs_.push_back(call.run);
-  return OrderAnswer::kTaken;
+  return OrderAnswer::kAccepted;
 }
 
 OrderAnswer FakePoolWorker::Stop(const std::string& /*worker_id*/, const RunId& run, int64_t fence,
                                  Duration /*timeout*/) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  if (crashed_) return OrderAnswer::kUnwell;
+  if (crashed_) return OrderAnswer::kUnhealthy;
   if (fence < fence_) return OrderAnswer::kFenced;
   fence_ = fence;
   newest_ended_run_[run.task] = std::max(newest_ended_run_[run.task], run.number);
   if (active_runs_.count(run) > 0) End(run, EndKind::kStopped, LeaseClock().Now());
-  return OrderAnswer::kTaken;
+  return OrderAnswer::kAccepted;
 }
 
 HoldAnswer FakePoolWorker::Hold(const HoldCall& call, Duration /*timeout*/) {
   std::unique_lock<std::mutex> lock(mutex_);
   HoldAnswer answer;
-  answer.answer = crashed_ ? OrderAnswer::kUnwell : OrderAnswer::kFenced;
+  answer.answer = crashed_ ? OrderAnswer::kUnhealthy : OrderAnswer::kFenced;
   if (crashed_ || call.fence < fence_) return answer;
   fence_ = call.fence;
   EndDueRuns(LeaseClock().Now());
   if (call.lease_until) lease_until_ = std::max(lease_until_, *call.lease_until);
-  ended_.erase(ended_.begin(), ended_.upper_bound(call.ends_kept));
-  if (hooks_ != nullptr) hooks_->OnEndsAcknowledged(call.ends_kept);
+  ended_.erase(ended_.begin(), ended_.upper_bound(call.acked_ends));
+  if (hooks_ != nullptr) hooks_->OnEndsAcknowledged(call.acked_ends);
   const Time until = LeaseClock().Now() + call.wait;
   while (ended_.empty() && LeaseClock().Now() < until) {
     changed_.wait_for(lock, kPollInterval);
@@ -198,11 +198,11 @@
   }
   // A crashed worker must not return its lists: an empty list would mean that its runs have ended.
   if (crashed_) {
-    answer.answer = OrderAnswer::kUnwell;
+    answer.answer = OrderAnswer::kUnhealthy;
     return answer;
   }
-  answer.answer = OrderAnswer::kTaken;
-  answer.lists.born_ms = options_.born_ms;
+  answer.answer = OrderAnswer::kAccepted;
+  answer.lists.start_time_ms = options_.start_time_ms;
   const Time now = LeaseClock().Now();
   answer.lists.clock = Clock(now);
   for (const auto& [run, active] : active_runs_) {
--- a/modules/stand_ins/fake_pool_worker.h
+++ b/modules/stand_ins/fake_pool_worker.h
@@ -67,18 +67,19 @@
 };
 
 struct FakeWorkerOptions {
-  int64_t born_ms = 0;
+  int64_t start_time_ms = 0;
   // Speed of the worker's steady clock, in seconds per real second.
   double clock_rate = 1.0;
   // Work between two checkpoints. A stop saves a checkpoint too.
   Duration save_interval = std::chrono::milliseconds(200);
-  // How long a gang member waits for the other members before it ends with kAlone.
+  // How long a gang member waits for the other members before it ends with kPartialGang.
   Duration gang_wait = std::chrono::seconds(3);
 };
 
 class FakePoolWorker : public PoolWorker {
  public:
-  explicit FakePoolWorker(int64_t born_ms) : FakePoolWorker({born_ms}, nullptr, nullptr) {}
+  explicit FakePoolWorker(int64_t start_time_ms)
+      : FakePoolWorker({start_time_ms}, nullptr, nullptr) {}
   // `gangs` and `hooks` must outlive the worker; each may be null.
   FakePoolWorker(const FakeWorkerOptions& options, GangTracker* gangs, WorkerHooks* hooks)
       : options_(options), gang_tracker_(gangs), hooks_(hooks), started_at_(LeaseClock().Now()) {}
@@ -91,7 +92,7 @@
   // Ends the runs that are due to end. Start and Hold do this too; Poll serves a worker that
   // receives no calls.
   void Poll(Time now);
-  // Drops all runs. The worker then answers every call with kUnwell.
+  // Drops all runs. The worker then answers every call with kUnhealthy.
   void Crash();
   // All runs that were started, in order.
   std::vector<RunId> started_runs() const;
--- a/servers/pool/advice_fetcher.cc
+++ b/servers/pool/advice_fetcher.cc
@@ -33,7 +33,7 @@
                 {"good", response.allowed.size()},
                 {"valid_s", Seconds(response.valid_for)},
                 {"seconds", Seconds(LeaseClock().Now() - asked_at)}});
-      planner_->TakeAdvice(*request, response, asked_at);
+      planner_->HandleAdvice(*request, response, asked_at);
     } catch (const Error& error) {
       LogEvent(LogLevel::kWarning, "advice_missing",
                {{"job", request->step.job}, {"error", error.what()}});
--- a/servers/pool/job_api.cc
+++ b/servers/pool/job_api.cc
@@ -4,7 +4,7 @@
 #include <thread>
 
 #include "core/logging.h"
-#include "servers/pool/local_port.h"
+#include "servers/pool/local_planner_client.h"
 
 namespace turmericshift::pool {
 namespace {
@@ -20,7 +20,7 @@
 }  // namespace
 
 JobApi::JobApi(const JobApiOptions& options, const WorkView* work, const OperatorView* operators,
-               PlannerGate* local, PlannerReach* router, MetricsRegistry* metrics)
+               PlannerGate* local, PlannerRouter* router, MetricsRegistry* metrics)
     : options_(options),
       work_(work),
       operators_(operators),
@@ -154,7 +154,7 @@
     LogEvent(LogLevel::kWarning, "job_refused", {{"job", id}, {"reason", error.what()}});
     return answer;
   }
-  answer = CallPlanner([&](PlannerPort* client, Duration limit) { client->Submit(spec, limit); },
+  answer = CallPlanner([&](PlannerClient* client, Duration limit) { client->Submit(spec, limit); },
                        [&] { return work_->StateOf(id).has_value(); }, JobAnswerKind::kAccepted,
                        now + call.timeout - options_.response_margin);
   const Time end = LeaseClock().Now();
@@ -175,7 +175,7 @@
             {"data_rack", spec.steps.front().data_rack},
             {"seconds", Seconds(end - now)},
             {"not_run", answer.kind == JobAnswerKind::kNotAccepted},
-            {"planner_epoch", work_->duty().planner.epoch},
+            {"planner_epoch", work_->leadership().planner.epoch},
             {"reason", answer.message}});
   return answer;
 }
@@ -187,7 +187,7 @@
     answer.kind = JobAnswerKind::kCancelled;
     return answer;
   }
-  answer = CallPlanner([&](PlannerPort* client, Duration limit) { client->Cancel(id, limit); },
+  answer = CallPlanner([&](PlannerClient* client, Duration limit) { client->Cancel(id, limit); },
                        [&] {
                          const std::optional<JobState> seen = work_->StateOf(id);
                          return seen && IsOver(*seen);
@@ -200,19 +200,19 @@
   return answer;
 }
 
-std::shared_ptr<PlannerPort> JobApi::ConnectToPlanner(Duration limit) {
+std::shared_ptr<PlannerClient> JobApi::ConnectToPlanner(Duration limit) {
   // This entry may have lost the store and have been told of a newer planner that it cannot read
   // about.
-  const PlannerRecord recorded = work_->duty().planner;
+  const PlannerRecord recorded = work_->leadership().planner;
   const PlannerRecord announced = local_->Successor();
   const PlannerRecord& planner = announced.epoch > recorded.epoch ? announced : recorded;
   if (planner.address.empty()) throw Error(ErrorKind::kUnavailable, Outcome::kNotRun, "no planner");
-  if (planner.node == options_.node) return std::make_shared<LocalPort>(local_);
+  if (planner.node == options_.node) return std::make_shared<LocalPlannerClient>(local_);
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     if (client_ && client_epoch_ == planner.epoch) return client_;
   }
-  std::shared_ptr<PlannerPort> client =
+  std::shared_ptr<PlannerClient> client =
       router_->Connect(planner, std::min(limit, kConnectTimeout), LeaseClock().Now());
   const std::lock_guard<std::mutex> lock(mutex_);
   client_ = client;
@@ -220,12 +220,12 @@
   return client;
 }
 
-void JobApi::DiscardClient(const std::shared_ptr<PlannerPort>& client) {
+void JobApi::DiscardClient(const std::shared_ptr<PlannerClient>& client) {
   const std::lock_guard<std::mutex> lock(mutex_);
   if (client_ == client) client_.reset();
 }
 
-JobAnswer JobApi::CallPlanner(const std::function<void(PlannerPort*, Duration)>& call,
+JobAnswer JobApi::CallPlanner(const std::function<void(PlannerClient*, Duration)>& call,
                               const std::function<bool()>& already_done, JobAnswerKind done,
                               Time until) {
   JobAnswer answer;
@@ -239,7 +239,7 @@
     const Time now = LeaseClock().Now();
     const Time end = std::min(until, answer_deadline_.load());
     if (end - now < kMinAttemptTime) break;
-    std::shared_ptr<PlannerPort> client;
+    std::shared_ptr<PlannerClient> client;
     try {
       client = ConnectToPlanner(end - now);
       call(client.get(), std::min(end - now, options_.attempt_timeout));
--- a/servers/pool/job_api.h
+++ b/servers/pool/job_api.h
@@ -16,7 +16,7 @@
 #include "core/metrics.h"
 #include "core/plugin_registry.h"
 #include "servers/pool/planner_gate.h"
-#include "servers/pool/planner_reach.h"
+#include "servers/pool/planner_router.h"
 #include "servers/pool/pool_view.h"
 #include "servers/pool/unresolved_calls.h"
 
@@ -84,7 +84,7 @@
  public:
   // `local`: this process's planner, used while it is the active one.
   JobApi(const JobApiOptions& options, const WorkView* work, const OperatorView* operators,
-         PlannerGate* local, PlannerReach* router, MetricsRegistry* metrics);
+         PlannerGate* local, PlannerRouter* router, MetricsRegistry* metrics);
 
   JobAnswer Handle(const JobCall& call, Time now);
   // Sets the time by which every call is answered, also if its caller would wait longer, because
@@ -103,17 +103,17 @@
   JobAnswer Cancel(const std::string& id, Duration timeout, Time now);
   // Repeats `call` at the active planner until it is answered or `until` is reached; `already_done`
   // tells whether the view shows that the call has taken effect.
-  JobAnswer CallPlanner(const std::function<void(PlannerPort*, Duration)>& call,
+  JobAnswer CallPlanner(const std::function<void(PlannerClient*, Duration)>& call,
                         const std::function<bool()>& already_done, JobAnswerKind done, Time until);
-  std::shared_ptr<PlannerPort> ConnectToPlanner(Duration limit);
-  void DiscardClient(const std::shared_ptr<PlannerPort>& client);
+  std::shared_ptr<PlannerClient> ConnectToPlanner(Duration limit);
+  void DiscardClient(const std::shared_ptr<PlannerClient>& client);
   JobAnswer NotAccepted(const std::string& message) const;
 
   const JobApiOptions options_;
   const WorkView* const work_;
   const OperatorView* const operators_;
   PlannerGate* const local_;
-  PlannerReach* const router_;
+  PlannerRouter* const router_;
   Counter& accepted_;
   Counter& refused_;
   Counter& unknown_;
@@ -121,7 +121,7 @@
   std::atomic<Time> answer_deadline_{Time::max()};
   UnresolvedCalls unresolved_;
   std::mutex mutex_;
-  std::shared_ptr<PlannerPort> client_;
+  std::shared_ptr<PlannerClient> client_;
   int64_t client_epoch_ = 0;
 };
 
--- a/servers/pool/job_api_test.cc
+++ b/servers/pool/job_api_test.cc
@@ -58,7 +58,7 @@
 };
 
 // Accepts every call.
-class AcceptingClient : public PlannerPort {
+class AcceptingClient : public PlannerClient {
  public:
   AgentOrders Exchange(const AgentReport& /*report*/, Duration /*timeout*/) override { return {}; }
   void Submit(const JobSpec& /*spec*/, Duration /*timeout*/) override {}
@@ -70,7 +70,7 @@
 // Connects to the planner at "there" only.
 class SinglePlannerConnector : public PlannerConnector {
  public:
-  std::shared_ptr<PlannerPort> Connect(const std::string& address, Duration /*limit*/) override {
+  std::shared_ptr<PlannerClient> Connect(const std::string& address, Duration /*limit*/) override {
     if (address != "there") throw Error(ErrorKind::kUnavailable, Outcome::kNotRun, "nobody there");
     return std::make_shared<AcceptingClient>();
   }
@@ -78,8 +78,8 @@
 
 class FailingConnector : public PlannerConnector {
  public:
-  std::shared_ptr<PlannerPort> Connect(const std::string& /*address*/,
-                                       Duration /*limit*/) override {
+  std::shared_ptr<PlannerClient> Connect(const std::string& /*address*/,
+                                         Duration /*limit*/) override {
     throw Error(ErrorKind::kUnavailable, Outcome::kNotRun, "nobody there");
   }
 };
@@ -96,7 +96,7 @@
     JobApiOptions options;
     options.node = "e1";
     api = std::make_unique<JobApi>(options, &work, &operators, gate.get(), &router, &metrics);
-    while (operators.state()->config.version == 0 || work.duty().planner.epoch == 0) {
+    while (operators.state()->config.version == 0 || work.leadership().planner.epoch == 0) {
       std::this_thread::yield();
     }
   }
@@ -117,7 +117,7 @@
   std::unique_ptr<PlannerGate> gate;
   std::unique_ptr<PlannerConnector> connector;
   MembersView members{&log, std::chrono::milliseconds(200)};
-  PlannerReach router{"e1", "a", &members, connector.get()};
+  PlannerRouter router{"e1", "a", &members, connector.get()};
   MetricsRegistry metrics;
   std::unique_ptr<JobApi> api;
 };
--- a/servers/pool/order_sender.cc
+++ b/servers/pool/order_sender.cc
@@ -12,7 +12,7 @@
     const OrderAnswer answer = send();
     if (answer == OrderAnswer::kUnanswered) continue;
     // Only a refusal of the first attempt proves that nothing was executed.
-    return attempt == 1 || answer == OrderAnswer::kTaken ? answer : OrderAnswer::kUnanswered;
+    return attempt == 1 || answer == OrderAnswer::kAccepted ? answer : OrderAnswer::kUnanswered;
   }
   return OrderAnswer::kUnanswered;
 }
--- a/servers/pool/order_sender_test.cc
+++ b/servers/pool/order_sender_test.cc
@@ -36,9 +36,9 @@
 
 // Without a retry an unanswered start would stop its gang although all other members run.
 TEST(OrderSender, RepeatsUnansweredStarts) {
-  EXPECT_EQ(StartWith({OrderAnswer::kTaken}), OrderAnswer::kTaken);
+  EXPECT_EQ(StartWith({OrderAnswer::kAccepted}), OrderAnswer::kAccepted);
   EXPECT_EQ(StartWith({OrderAnswer::kNoRoom}), OrderAnswer::kNoRoom);
-  EXPECT_EQ(StartWith({OrderAnswer::kUnanswered, OrderAnswer::kTaken}), OrderAnswer::kTaken);
+  EXPECT_EQ(StartWith({OrderAnswer::kUnanswered, OrderAnswer::kAccepted}), OrderAnswer::kAccepted);
   EXPECT_EQ(
       StartWith({OrderAnswer::kUnanswered, OrderAnswer::kUnanswered, OrderAnswer::kUnanswered}),
       OrderAnswer::kUnanswered);
@@ -48,15 +48,15 @@
 // start the task on another worker as well.
 TEST(OrderSender, RefusalOfALaterAttemptProvesNothing) {
   for (const OrderAnswer refusal :
-       {OrderAnswer::kNoRoom, OrderAnswer::kOld, OrderAnswer::kLate, OrderAnswer::kFenced,
-        OrderAnswer::kUnwell, OrderAnswer::kAway}) {
+       {OrderAnswer::kNoRoom, OrderAnswer::kStaleRun, OrderAnswer::kExpired, OrderAnswer::kFenced,
+        OrderAnswer::kUnhealthy, OrderAnswer::kNotListening}) {
     EXPECT_EQ(StartWith({OrderAnswer::kUnanswered, refusal}), OrderAnswer::kUnanswered);
   }
 }
 
 TEST(OrderSender, RepeatsUnansweredStops) {
-  ScriptedWorker worker({OrderAnswer::kUnanswered, OrderAnswer::kTaken});
-  EXPECT_EQ(OrderSender(&worker, std::chrono::seconds(1)).Stop("w", {}, 1), OrderAnswer::kTaken);
+  ScriptedWorker worker({OrderAnswer::kUnanswered, OrderAnswer::kAccepted});
+  EXPECT_EQ(OrderSender(&worker, std::chrono::seconds(1)).Stop("w", {}, 1), OrderAnswer::kAccepted);
 }
 
 }  // namespace
--- a/servers/pool/worker_state.h
+++ b/servers/pool/worker_state.h
@@ -77,7 +77,7 @@
   // Processed ends, each with the ticket of the record that makes it durable.
   std::deque<RecordedEnd> ends;
   int64_t ends_seen = 0;
-  int64_t ends_kept = 0;
+  int64_t acked_ends = 0;
   // Version of the newest orders for the agent, and the newest version that it has acknowledged.
   int64_t version = 0;
   int64_t version_seen = 0;
