--- a/servers/pool/planner_router_test.cc
+++ b/servers/pool/planner_router_test.cc
@@ -1,3 +1,5 @@
+#include "servers/pool/planner_router.h"
+
 #include <gtest/gtest.h>
 
 #include <set>
@@ -6,7 +8,6 @@
 #include "core/error.h"
 #include "modules/stand_ins/memory_keyed_log.h"
 #include "servers/pool/local_planner_client.h"
-#include "servers/pool/planner_router.h"
 
 namespace turmericshift::pool {
 namespace {
@@ -24,23 +25,23 @@
   return entries;
 }
 
-// Two zones can't reach each other: neither an entry beside the planner nor one beside the caller
-// is of any use.
-TEST(RelayCandidates, TriesEntriesOfThirdZonesFirst) {
+// When two zones can't reach each other, an entry in the planner's or the caller's zone can't
+// relay.
+TEST(RelayCandidates, PrefersEntriesOfThirdZones) {
   const std::vector<EntryRecord> relays = RelayCandidates(kPlanner, Entries(), "c", "agent-c");
   ASSERT_EQ(relays.size(), 6U);
   for (size_t first = 0; first < 3; ++first) EXPECT_EQ(relays[first].zone, "b");
 }
 
-TEST(RelayCandidates, LeavesOutThePlannerAndTheCallerItself) {
+TEST(RelayCandidates, ExcludesPlannerAndCaller) {
   for (const EntryRecord& relay : RelayCandidates(kPlanner, Entries(), "b", "b2")) {
     EXPECT_NE(relay.node, "a1");
     EXPECT_NE(relay.node, "b2");
   }
 }
 
-// A whole zone's agents would otherwise all come to one entry.
-TEST(RelayCandidates, SpreadsCallersOverTheEntries) {
+// Otherwise all agents of a zone would use the same relay.
+TEST(RelayCandidates, SpreadsCallersOverEntries) {
   std::set<std::string> first;
   for (int agent = 0; agent < 40; ++agent) {
     first.insert(
@@ -49,28 +50,28 @@
   EXPECT_EQ(first.size(), 3U);
 }
 
-class FarPlanner : public PlannerConnector {
+class UnreachablePlannerConnector : public PlannerConnector {
  public:
   std::shared_ptr<PlannerClient> Connect(const std::string& /*address*/,
                                          Duration /*limit*/) override {
-    ++straight;
+    ++direct_attempts;
     if (refuses) throw Error(ErrorKind::kUnavailable, Outcome::kNotRun, "nobody listens");
-    if (cut) throw Error(ErrorKind::kDeadlineExceeded, Outcome::kNotRun, "no path");
+    if (direct_path_cut) throw Error(ErrorKind::kDeadlineExceeded, Outcome::kNotRun, "no path");
     return std::make_shared<LocalPlannerClient>(nullptr);
   }
   std::shared_ptr<PlannerClient> ConnectThrough(const std::string& relay, int64_t epoch,
                                                 Duration /*limit*/) override {
     EXPECT_EQ(epoch, kPlanner.epoch);
-    through.push_back(relay);
+    relays_tried.push_back(relay);
     if (relays_cut) throw Error(ErrorKind::kUnavailable, Outcome::kNotRun, "no path either");
     return std::make_shared<LocalPlannerClient>(nullptr);
   }
 
-  bool cut = true;
+  bool direct_path_cut = true;
   bool refuses = false;
   bool relays_cut = false;
-  int straight = 0;
-  std::vector<std::string> through;
+  int direct_attempts = 0;
+  std::vector<std::string> relays_tried;
 };
 
 class PlannerRouterTest : public testing::Test {
@@ -85,59 +86,59 @@
 
   MemoryKeyedLog log_;
   MembersView members_{&log_, milliseconds(200)};
-  FarPlanner connector_;
+  UnreachablePlannerConnector connector_;
   PlannerRouter reach_{"agent", "c", &members_, &connector_};
 };
 
-TEST_F(PlannerRouterTest, GoesStraightWhereItCan) {
-  connector_.cut = false;
+TEST_F(PlannerRouterTest, ConnectsDirectlyIfPossible) {
+  connector_.direct_path_cut = false;
   reach_.Connect(kPlanner, milliseconds(700), kNow);
-  EXPECT_TRUE(connector_.through.empty());
+  EXPECT_TRUE(connector_.relays_tried.empty());
 }
 
-// Two zones were cut off from each other and a third reached both: the leases of a whole zone ran
-// out although there was a path.
-TEST_F(PlannerRouterTest, GoesThroughAThirdZoneWhereTheStraightWayIsCut) {
+// Two zones can't reach each other but a third zone reaches both. Without a relay the leases of a
+// whole zone expired although a path existed.
+TEST_F(PlannerRouterTest, RelaysThroughThirdZoneIfDirectPathTimesOut) {
   reach_.Connect(kPlanner, milliseconds(700), kNow);
-  ASSERT_EQ(connector_.through.size(), 1U);
-  EXPECT_EQ(connector_.through[0][0], 'b');
+  ASSERT_EQ(connector_.relays_tried.size(), 1U);
+  EXPECT_EQ(connector_.relays_tried[0][0], 'b');
 }
 
-// Each new connection would wait for the dead path first, and callers with it.
-TEST_F(PlannerRouterTest, TriesTheCutWayAgainOnlyAfterAWhile) {
+// Otherwise each new connection, and the callers behind it, would first wait for the broken path.
+TEST_F(PlannerRouterTest, RetriesDirectPathOnlyAfterInterval) {
   reach_.Connect(kPlanner, milliseconds(700), kNow);
   reach_.Connect(kPlanner, milliseconds(700), kNow + std::chrono::seconds(1));
-  EXPECT_EQ(connector_.straight, 1);
+  EXPECT_EQ(connector_.direct_attempts, 1);
   reach_.Connect(kPlanner, milliseconds(700), kNow + std::chrono::seconds(10));
-  EXPECT_EQ(connector_.straight, 2);
+  EXPECT_EQ(connector_.direct_attempts, 2);
 }
 
-// The planner's process was killed: 240 agents came to the other entries at once, and to the
-// planner through these once it was back.
-TEST_F(PlannerRouterTest, AsksNobodyWhereThePlannersVmRefuses) {
+// After the planner's process was killed, 240 agents connected to the other entries at once, and
+// through them to the planner when it was back.
+TEST_F(PlannerRouterTest, UsesNoRelayIfConnectionIsRefused) {
   connector_.refuses = true;
   EXPECT_THROW(reach_.Connect(kPlanner, milliseconds(700), kNow), Error);
-  EXPECT_TRUE(connector_.through.empty());
+  EXPECT_TRUE(connector_.relays_tried.empty());
   connector_.refuses = false;
-  connector_.cut = false;
+  connector_.direct_path_cut = false;
   reach_.Connect({kPlanner.epoch + 1, "a1", "a1:1"}, milliseconds(700), kNow);
-  EXPECT_TRUE(connector_.through.empty());
+  EXPECT_TRUE(connector_.relays_tried.empty());
 }
 
-// Looking for a way to a planner that is gone kept agents from its successor.
-TEST_F(PlannerRouterTest, LooksNoFurtherOnceThePlannerHasBeenFollowed) {
+// Searching for a path to a failed planner delayed the agents' switch to its successor.
+TEST_F(PlannerRouterTest, StopsTryingRelaysOnceSuccessorIsKnown) {
   const PlannerRecord successor = {kPlanner.epoch + 1, "b1", "b1:1"};
   log_.Append(kMembersTopic, {{kPlannerKey, EncodePlanner(successor), kNoOffset}}, {},
               std::chrono::seconds(1));
   while (members_.planner().epoch != successor.epoch) std::this_thread::yield();
   EXPECT_THROW(reach_.Connect(kPlanner, milliseconds(700), kNow), Error);
-  EXPECT_TRUE(connector_.through.empty());
+  EXPECT_TRUE(connector_.relays_tried.empty());
 }
 
-TEST_F(PlannerRouterTest, SaysSoWhenNobodyReachesThePlanner) {
+TEST_F(PlannerRouterTest, ThrowsIfNoRelayReachesPlanner) {
   connector_.relays_cut = true;
   EXPECT_THROW(reach_.Connect(kPlanner, milliseconds(700), kNow), Error);
-  EXPECT_EQ(connector_.through.size(), 2U);
+  EXPECT_EQ(connector_.relays_tried.size(), 2U);
 }
 
 }  // namespace
--- a/servers/pool/pool_view.cc
+++ b/servers/pool/pool_view.cc
@@ -8,20 +8,22 @@
 namespace turmericshift::pool {
 namespace {
 
-// All entries together make some 500 reads a second of a topic that changes all the time, however
-// many they are.
-constexpr Duration kGapPerReader = std::chrono::milliseconds(2);
-// A planner's sign of life comes by this later, and has to come before it is taken for gone.
-constexpr Duration kLongestGap = std::chrono::milliseconds(120);
-// When all processes start, each of the members' records would otherwise be read apart by all.
-constexpr Duration kGapPerMember = std::chrono::milliseconds(1);
-constexpr Duration kLongestMembersGap = std::chrono::milliseconds(300);
-
-Duration GapFor(size_t count, Duration each, Duration longest) {
+// Limits all entries together to about 500 reads per second of a topic that changes constantly,
+// regardless of their number.
+constexpr Duration kReadIntervalPerReader = std::chrono::milliseconds(2);
+// Delays the observation of a planner's heartbeat by at most this, so it must stay well below the
+// silence time-out.
+constexpr Duration kMaxReadInterval = std::chrono::milliseconds(120);
+// Without this interval, when all processes start, every process would read each member's record
+// separately.
+constexpr Duration kReadIntervalPerMember = std::chrono::milliseconds(1);
+constexpr Duration kMaxMembersReadInterval = std::chrono::milliseconds(300);
+
+Duration ReadIntervalFor(size_t count, Duration each, Duration longest) {
   return std::min(each * static_cast<int64_t>(count), longest);
 }
 
-void LogBadRecord(const char* topic, const KeyedRecord& record, const Error& error) {
+void LogSkippedRecord(const char* topic, const KeyedRecord& record, const Error& error) {
   LogEvent(
       LogLevel::kWarning, "record_skipped",
       {{"topic", topic}, {"key", record.key}, {"offset", record.offset}, {"error", error.what()}});
@@ -32,10 +34,13 @@
 WorkView::WorkView(KeyedLog* log) {
   FollowerOptions options;
   options.topic = kWorkTopic;
-  options.gap = [this] { return GapFor(readers_.load(), kGapPerReader, kLongestGap); };
+  options.read_gap = [this] {
+    return ReadIntervalFor(readers_.load(), kReadIntervalPerReader, kMaxReadInterval);
+  };
   follower_ = std::make_unique<TopicFollower>(
-      options, log, [this](const KeyedRecord& record) { TakeRecord(record); },
-      [this](Offset end, Time asked) { CaughtUp(end, asked); }, [this] { Restart(); });
+      options, log, [this](const KeyedRecord& record) { ApplyRecord(record); },
+      [this](Offset end, Time requested_at) { CaughtUp(end, requested_at); },
+      [this] { Restart(); });
 }
 
 void WorkView::Restart() {
@@ -43,40 +48,40 @@
   rebuilding_.emplace();
 }
 
-void WorkView::TakeRecord(const KeyedRecord& record) {
+void WorkView::ApplyRecord(const KeyedRecord& record) {
   const std::lock_guard<std::mutex> lock(mutex_);
   newest_record_at_ = LeaseClock().Now();
   try {
     (rebuilding_ ? *rebuilding_ : book_).Apply(record);
   } catch (const Error& error) {
-    LogBadRecord(kWorkTopic, record, error);
+    LogSkippedRecord(kWorkTopic, record, error);
   }
 }
 
-void WorkView::CaughtUp(Offset end, Time asked) {
+void WorkView::CaughtUp(Offset end, Time requested_at) {
   const std::lock_guard<std::mutex> lock(mutex_);
   if (rebuilding_) {
     book_ = std::move(*rebuilding_);
     rebuilding_.reset();
-    // An empty topic has no record that could tell when a planner was last heard.
+    // An empty topic has no record that tells when a planner was last active.
     newest_record_at_ = LeaseClock().Now();
   }
   end_ = end;
-  freshness_.asked = asked;
+  freshness_.requested_at = requested_at;
 }
 
 LeadershipView WorkView::leadership() const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return DutyLocked();
+  return LeadershipLocked();
 }
 
-LeadershipView WorkView::DutyLocked() const {
+LeadershipView WorkView::LeadershipLocked() const {
   return {book_.planner(), end_, freshness_, newest_record_at_};
 }
 
 JobTable WorkView::book(LeadershipView* leadership) const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  *leadership = DutyLocked();
+  *leadership = LeadershipLocked();
   return book_;
 }
 
@@ -102,27 +107,28 @@
   FollowerOptions options;
   options.topic = decoder_->topic();
   follower_ = std::make_unique<TopicFollower>(
-      options, log, [this](const KeyedRecord& record) { TakeRecord(record); },
-      [this](Offset end, Time asked) { CaughtUp(end, asked); },
+      options, log, [this](const KeyedRecord& record) { ApplyRecord(record); },
+      [this](Offset end, Time requested_at) { CaughtUp(end, requested_at); },
       [this] {
         const std::lock_guard<std::mutex> lock(mutex_);
-        // Zones may have come back meanwhile; the document is kept, since versions never go back.
+        // Zones may have been put back into service in the meantime. The document is kept, because
+        // versions never go back.
         next_.zones_out.clear();
         changed_ = true;
       });
 }
 
-void OperatorView::TakeRecord(const KeyedRecord& record) {
+void OperatorView::ApplyRecord(const KeyedRecord& record) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  const int64_t before = next_.config.version;
+  const int64_t previous_version = next_.config.version;
   try {
     OperatorState state = next_;
     decoder_->Apply(record, &state);
-    if (state.config.version < before) state.config = next_.config;
+    if (state.config.version < previous_version) state.config = next_.config;
     next_ = std::move(state);
     changed_ = true;
   } catch (const Error& error) {
-    LogBadRecord("operators", record, error);
+    LogSkippedRecord("operators", record, error);
     return;
   }
   LogEvent(LogLevel::kInfo, "operators_said",
@@ -132,11 +138,11 @@
             {"zones_out", next_.zones_out}});
 }
 
-void OperatorView::CaughtUp(Offset /*end*/, Time asked) {
+void OperatorView::CaughtUp(Offset /*end*/, Time requested_at) {
   const std::lock_guard<std::mutex> lock(mutex_);
   if (changed_) state_ = std::make_shared<const OperatorState>(next_);
   changed_ = false;
-  freshness_.asked = asked;
+  freshness_.requested_at = requested_at;
 }
 
 std::shared_ptr<const OperatorState> OperatorView::state() const {
@@ -152,13 +158,15 @@
 MembersView::MembersView(KeyedLog* log, Duration wait) {
   FollowerOptions options;
   options.topic = kMembersTopic;
-  options.wait = wait;
-  options.gap = [this] { return GapFor(size(), kGapPerMember, kLongestMembersGap); };
+  options.poll_wait = wait;
+  options.read_gap = [this] {
+    return ReadIntervalFor(size(), kReadIntervalPerMember, kMaxMembersReadInterval);
+  };
   follower_ = std::make_unique<TopicFollower>(
-      options, log, [this](const KeyedRecord& record) { TakeRecord(record); },
-      [this](Offset /*end*/, Time asked) {
+      options, log, [this](const KeyedRecord& record) { ApplyRecord(record); },
+      [this](Offset /*end*/, Time requested_at) {
         const std::lock_guard<std::mutex> lock(mutex_);
-        freshness_.asked = asked;
+        freshness_.requested_at = requested_at;
       },
       [this] {
         const std::lock_guard<std::mutex> lock(mutex_);
@@ -167,7 +175,7 @@
       });
 }
 
-void MembersView::TakeEntry(const KeyedRecord& record) {
+void MembersView::ApplyEntry(const KeyedRecord& record) {
   const std::string node = record.key.substr(std::string(kEntryPrefix).size());
   if (record.value.empty()) {
     entries_.erase(node);
@@ -176,11 +184,11 @@
   try {
     entries_[node] = DecodeEntry(record.value);
   } catch (const Error& error) {
-    LogBadRecord(kMembersTopic, record, error);
+    LogSkippedRecord(kMembersTopic, record, error);
   }
 }
 
-void MembersView::TakeRecord(const KeyedRecord& record) {
+void MembersView::ApplyRecord(const KeyedRecord& record) {
   const std::lock_guard<std::mutex> lock(mutex_);
   const std::string prefix = kAgentPrefix;
   if (record.key.rfind(prefix, 0) == 0) {
@@ -192,14 +200,14 @@
     }
     return;
   }
-  if (record.key.rfind(kEntryPrefix, 0) == 0) return TakeEntry(record);
+  if (record.key.rfind(kEntryPrefix, 0) == 0) return ApplyEntry(record);
   if (record.key != kPlannerKey || record.value.empty()) return;
   try {
     PlannerRecord planner = DecodePlanner(record.value);
     if (planner.epoch < planner_.epoch) return;
     planner_ = std::move(planner);
   } catch (const Error& error) {
-    LogBadRecord(kMembersTopic, record, error);
+    LogSkippedRecord(kMembersTopic, record, error);
     return;
   }
   LogEvent(LogLevel::kInfo, "planner_heard",
