--- a/servers/agent/start_guard.cc
+++ b/servers/agent/start_guard.cc
@@ -22,7 +22,7 @@
 StartGuard::StartGuard(const std::string& zone, const std::string& agent)
     : zone_(zone), agent_(agent) {}
 
-void StartGuard::Hear(const EntryBeat& beat, Time sent) {
+void StartGuard::HandleHeartbeatReply(const EntryBeat& beat, Time sent) {
   const std::lock_guard<std::mutex> lock(mutex_);
   if (!Belongs(beat)) {
     LogEvent(LogLevel::kError, "config_foreign",
@@ -108,7 +108,7 @@
   return zones.size() >= needed;
 }
 
-void StartGuard::RequireStart(Time now) const {
+void StartGuard::RequireStartAllowed(Time now) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   if (!environment_ || !ever_fresh_) throw Error(ErrorKind::kStale, "no document is known yet");
   const bool fresh = now - fresh_at_ <= environment_->bounds.zone_out;
--- a/servers/agent/start_guard.h
+++ b/servers/agent/start_guard.h
@@ -21,10 +21,10 @@
   // An entry's answer to a heartbeat that was sent at `sent`. Takes the document over if it is
   // newer; versions never fall. A document that can't be read, is damaged or belongs to another
   // environment is refused and logged.
-  void Hear(const EntryBeat& beat, Time sent);
+  void HandleHeartbeatReply(const EntryBeat& beat, Time sent);
 
   // Throws Error(kStale) or Error(kLeaving), outcome not_run, when nothing may start at `now`.
-  void RequireStart(Time now) const;
+  void RequireStartAllowed(Time now) const;
 
   const std::string& zone() const { return zone_; }
   int64_t config_version() const;
