--- a/servers/agent/agent_server.cc
+++ b/servers/agent/agent_server.cc
@@ -12,12 +12,12 @@
 namespace turmericshift {
 namespace {
 
-constexpr Duration kExpiryPeriod = std::chrono::milliseconds(200);
-// How often an idle session thread asks the plan for something to do.
-constexpr Duration kChoosePause = std::chrono::milliseconds(100);
-// What is known of other entries goes with every so many heartbeats, to spare bytes.
-constexpr int kBeatsPerHeard = 2;
-constexpr size_t kMaxCancelled = 1000;
+constexpr Duration kExpiryInterval = std::chrono::milliseconds(200);
+// Interval at which an idle session thread asks the plan for an address.
+constexpr Duration kIdlePollInterval = std::chrono::milliseconds(100);
+// The reports about other entries go with every second heartbeat, to save bandwidth.
+constexpr int kHeartbeatsPerEntryReport = 2;
+constexpr size_t kMaxCancelledRequests = 1000;
 
 }  // namespace
 
@@ -37,7 +37,8 @@
         std::make_unique<GangHost>(options.hello.worker, worker, &guard_, options.hello.process);
     expiry_ = Thread("agent-expiry", [this] { RunExpiry(); });
   }
-  // One more than sessions are kept: a better one is opened before the least one ends.
+  // One thread more than sessions, so that a better session is opened before the worst one is
+  // closed.
   for (int index = 0; index <= options.max_sessions; ++index) {
     sessions_.emplace_back("agent-beat", [this] { RunSessions(); });
   }
@@ -64,8 +65,10 @@
 ServiceAnswer AgentServer::Admit(const ServiceRequest& request) {
   const Time now = DefaultClock().Now();
   if (!request.incarnation.empty() && request.incarnation != options_.hello.incarnation) {
-    // A copy of this message may have reached the predecessor, which can't be asked any more.
-    throw Error(ErrorKind::kFenced, Outcome::kUnknown, "meant for an earlier start of this agent");
+    // A copy of this message may have reached the agent's previous process, which can't be asked
+    // any more.
+    throw Error(ErrorKind::kFenced, Outcome::kUnknown,
+                "the request was sent to an earlier incarnation of this agent");
   }
   ledger_.Begin(request, now);
   {
@@ -74,9 +77,10 @@
   }
   Attempt<ServiceAnswer> attempt =
       AttemptOf<ServiceAnswer>([&] { return Run(request, now + request.time_left); });
-  // Before the refusal is told, so that no late copy of the message makes it untrue.
-  if (attempt.error && attempt.error->outcome() == Outcome::kNotRun) ledger_.Refuse(request);
-  if (attempt.error && attempt.error->outcome() != Outcome::kNotRun) ledger_.Lose(request);
+  // Recorded before the refusal is returned, so that a delayed copy of the message can't run
+  // afterwards.
+  if (attempt.error && attempt.error->outcome() == Outcome::kNotRun) ledger_.MarkNotRun(request);
+  if (attempt.error && attempt.error->outcome() != Outcome::kNotRun) ledger_.MarkUnknown(request);
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     --serving_;
@@ -91,17 +95,18 @@
     throw Error(ErrorKind::kNotFound, "this agent does not serve '" + request.service + "'");
   }
   if (Digest(request.body) != request.body_digest) {
-    throw Error(ErrorKind::kInvalidInput, "the body was damaged on its way here");
+    throw Error(ErrorKind::kInvalidInput, "the request body does not match its digest");
   }
   const SlotLimiter::Slot slot =
       limiter_.Acquire(request.workspace, request.request_id, DefaultClock().Now(), deadline);
-  RequireWanted(request);
+  RequireNotCancelled(request);
   ServiceRequest to_target = request;
   to_target.time_left = deadline - DefaultClock().Now();
   if (to_target.time_left <= Duration::zero()) {
-    throw Error(ErrorKind::kDeadlineExceeded, Outcome::kNotRun, "its deadline passed in the queue");
+    throw Error(ErrorKind::kDeadlineExceeded, Outcome::kNotRun,
+                "the deadline passed while the request was queued");
   }
-  // History checks rest on these two lines: what ran here, and what it answered.
+  // History checks depend on these two log events: which request ran here, and its answer.
   nlohmann::json run = {{"request", CallerRequestId(request.request_id)},
                         {"workspace", request.workspace},
                         {"key_tag", KeyTag(request.workspace, request.idempotency_key)},
@@ -117,17 +122,18 @@
   return answer;
 }
 
-void AgentServer::RequireWanted(const ServiceRequest& request) {
+void AgentServer::RequireNotCancelled(const ServiceRequest& request) {
   const std::lock_guard<std::mutex> lock(mutex_);
   if (cancelled_.erase(request.request_id) == 0) return;
-  throw Error(ErrorKind::kCancelled, "the caller has gone");
+  throw Error(ErrorKind::kCancelled, "the caller has cancelled the request");
 }
 
 void AgentServer::Cancel(const std::string& request_id) {
   if (limiter_.CancelWaiting(request_id)) return;
   const std::lock_guard<std::mutex> lock(mutex_);
-  // Ids of requests that have ended already are never asked for again; they must not pile up.
-  if (cancelled_.size() >= kMaxCancelled) cancelled_.clear();
+  // Limits the memory for ids of requests that had ended before they were cancelled, as these are
+  // never looked up again.
+  if (cancelled_.size() >= kMaxCancelledRequests) cancelled_.clear();
   cancelled_.insert(request_id);
 }
 
@@ -165,25 +171,25 @@
 
 bool AgentServer::Leave(Duration limit) {
   leaving_.store(true);
-  // Those that wait here are told so at once: their entries take them to another target.
+  // Refuses waiting requests immediately, so that their entries can send them to another target.
   limiter_.Close();
   LogEvent(LogLevel::kInfo, "agent_leaving");
-  WakeBeats();
+  WakeHeartbeats();
   const Time give_up = DefaultClock().Now() + limit;
   std::unique_lock<std::mutex> lock(mutex_);
-  changed_.wait_until(lock, give_up, [this] { return AllTold(); });
+  changed_.wait_until(lock, give_up, [this] { return AllEntriesNotified(); });
   changed_.wait_until(lock, std::min(give_up, DefaultClock().Now() + options_.leave_grace_period),
                       [this] { return stopping_; });
   return changed_.wait_until(lock, give_up, [this] { return serving_ == 0; });
 }
 
-bool AgentServer::AllTold() const {
-  return std::includes(told_leaving_.begin(), told_leaving_.end(), connected_.begin(),
+bool AgentServer::AllEntriesNotified() const {
+  return std::includes(notified_of_leaving_.begin(), notified_of_leaving_.end(), connected_.begin(),
                        connected_.end());
 }
 
 GangHost& AgentServer::RequireWorker() {
-  if (!gangs_) throw Error(ErrorKind::kNotFound, "no worker stands beside this agent");
+  if (!gangs_) throw Error(ErrorKind::kNotFound, "this agent has no worker");
   return *gangs_;
 }
 
@@ -191,28 +197,28 @@
   do {
     const std::string address = plan_.Choose(DefaultClock().Now());
     if (!address.empty()) RunSession(address);
-  } while (!Pause(kChoosePause));
+  } while (!Pause(kIdlePollInterval));
 }
 
 void AgentServer::RunSession(const std::string& address) {
-  // A session that has gone silent may only be slow, so it stays until another one stands beside
-  // it; then the entry settles over the new one what was in flight on the old one.
+  // A silent session may only be slow, so it is kept until a new session is connected. The entry
+  // then resolves over the new session the calls that were in flight on the old one.
   std::shared_ptr<EntryPort> suspect;
   bool again = true;
   while (again) {
     std::shared_ptr<EntryPort> port;
     try {
       port = connector_->Connect(address, options_.hello, this);
-      plan_.Opened(address);
+      plan_.MarkOpened(address);
       LogEvent(LogLevel::kInfo, "entry_connected", {{"entry", address}});
       suspect.reset();
       KeepSession(address, port.get());
-      plan_.Released(address);
+      plan_.MarkReleased(address);
       again = false;
     } catch (const Error& error) {
       LogEvent(LogLevel::kWarning, "entry_lost", {{"entry", address}, {"error", error.what()}});
       again = error.kind() == ErrorKind::kDeadlineExceeded && port;
-      if (!again) plan_.Lost(address, DefaultClock().Now());
+      if (!again) plan_.MarkLost(address, DefaultClock().Now());
       suspect = std::move(port);
     }
     MarkClosed(address);
@@ -229,20 +235,20 @@
   do {
     changes = task_changes_.load();
     const Time sent = DefaultClock().Now();
-    AgentBeat own = MakeBeat();
+    AgentBeat own = MakeHeartbeat();
     own.members_digest = plan_.members_digest();
-    if (beats++ % kBeatsPerHeard == 0) own.heard = guard_.heard(sent);
+    if (beats++ % kHeartbeatsPerEntryReport == 0) own.heard = guard_.heard(sent);
     EntryBeat beat = port->Heartbeat(own, options_.heartbeat_timeout);
     guard_.HandleHeartbeatReply(beat, sent);
     ApplyLimits();
-    plan_.Learn(beat.members, beat.planner_address);
+    plan_.UpdateEntries(beat.members, beat.planner_address);
     beat.entries = plan_.addresses();
     if (gangs_) gangs_->HandleHeartbeatReply(address, beat, sent);
-    if (own.leaving) MarkTold(address);
-  } while (!PauseUntilChange(options_.heartbeat, changes) && plan_.StillWanted(address));
+    if (own.leaving) MarkNotified(address);
+  } while (!PauseUntilChange(options_.heartbeat, changes) && plan_.ShouldKeep(address));
 }
 
-AgentBeat AgentServer::MakeBeat() const {
+AgentBeat AgentServer::MakeHeartbeat() const {
   AgentBeat beat;
   beat.load = limiter_.load();
   beat.config_version = guard_.config_version();
@@ -255,13 +261,14 @@
 
 void AgentServer::RunExpiry() {
   do {
-    // An end that is told at once ends the job a heartbeat earlier.
+    // Triggers a heartbeat immediately, so that the planner learns one heartbeat earlier that a
+    // task has ended.
     if (gangs_->Expire(DefaultClock().Now())) ++task_changes_;
     changed_.notify_all();
-  } while (!Pause(kExpiryPeriod));
+  } while (!Pause(kExpiryInterval));
 }
 
-void AgentServer::WakeBeats() {
+void AgentServer::WakeHeartbeats() {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     task_changes_.fetch_add(1);
@@ -275,9 +282,9 @@
   changed_.notify_all();
 }
 
-void AgentServer::MarkTold(const std::string& address) {
+void AgentServer::MarkNotified(const std::string& address) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  told_leaving_.insert(address);
+  notified_of_leaving_.insert(address);
   changed_.notify_all();
 }
 
--- a/servers/agent/agent_server.h
+++ b/servers/agent/agent_server.h
@@ -1,5 +1,5 @@
-// The agent: the process beside one target or worker. Serves entries' calls and keeps a session
-// with each entry it knows.
+// The agent: the process beside one target or worker. Serves the calls of entries and keeps
+// sessions with several of them.
 #pragma once
 
 #include <atomic>
@@ -24,22 +24,22 @@
 
 struct AgentOptions {
   AgentHello hello;
-  // Entries to begin with, "IP:port"; others are learned from them.
+  // Initial entries, "IP:port". More are learned from these.
   std::vector<std::string> entries;
   int max_sessions = 3;
   int slots = 8;
   int connections = 64;
   Duration heartbeat = std::chrono::milliseconds(1000);
-  // A session whose heartbeat is not answered for this long is suspect.
+  // A session is suspect if a heartbeat is not answered within this time.
   Duration heartbeat_timeout = std::chrono::milliseconds(2000);
-  // After every entry has heard that this agent leaves, requests that they had sent just before
-  // may still arrive; they are refused for this long, so that none is met by a closed connection.
+  // Time during which requests are still refused after every entry knows that this agent is
+  // leaving. Requests sent just before then may still arrive and must not meet a closed connection.
   Duration leave_grace_period = std::chrono::milliseconds(300);
 };
 
 class AgentServer : public AgentPort {
  public:
-  // `target` and `worker` may be null when there is none. All must outlive the server.
+  // `target` and `worker` may be null if there is none. All pointers must outlive the server.
   AgentServer(const AgentOptions& options, EntryConnector* connector, TargetService* target,
               WorkerService* worker, MetricsRegistry* metrics);
   ~AgentServer() override;
@@ -56,41 +56,43 @@
   void Stop(const GangAction& action, Duration timeout) override;
   void Forget(const GangAction& action, Duration timeout) override;
 
-  // Announces that it leaves, takes no new work, and waits until what runs has ended, at most
-  // `limit`. Returns whether all ended.
+  // Announces that the agent leaves, refuses new work, and waits up to `limit` for running requests
+  // to end. Returns whether all ended.
   bool Leave(Duration limit);
 
   const StartGuard& guard() const { return guard_; }
   const std::string& zone() const { return options_.hello.zone; }
 
  private:
-  // One of the session threads: opens a session where the plan says, keeps it, and starts over.
+  // Runs one session thread: opens sessions to the addresses that the plan selects.
   void RunSessions();
   void RunSession(const std::string& address);
-  // Returns when the session is not wanted any more or the agent stops. Throws when it is lost.
+  // Sends heartbeats until the session is no longer wanted or the agent stops. Throws if the
+  // session is lost.
   void KeepSession(const std::string& address, EntryPort* port);
   void RunExpiry();
-  // Returns whether the agent stops.
+  // Sleeps for `duration`. Returns early, with true, if the agent stops.
   bool Pause(Duration duration);
-  // Returns early when a task has changed its phase; returns whether the server stops.
+  // Like Pause, but also returns early when a task's phase has changed.
   bool PauseUntilChange(Duration duration, int64_t changes);
-  AgentBeat MakeBeat() const;
+  AgentBeat MakeHeartbeat() const;
   GangHost& RequireWorker();
-  // Serve after and before the counting: the ledger's part, then the target's.
+  // The steps of Serve: Admit registers the request with the ledger and records its result, Run
+  // performs it at the target.
   ServiceAnswer Admit(const ServiceRequest& request);
   ServiceAnswer Run(const ServiceRequest& request, Time deadline);
-  // Throws Error(kCancelled) when the request's caller has gone.
-  void RequireWanted(const ServiceRequest& request);
-  // Takes over slots and connections of the document in force.
+  // Throws Error(kCancelled) if the request was cancelled.
+  void RequireNotCancelled(const ServiceRequest& request);
+  // Applies the slots and connections of the document in force.
   void ApplyLimits();
-  // The session with the entry has ended.
+  // Records that the session with the entry has ended.
   void MarkClosed(const std::string& address);
-  // The entry has heard that this agent leaves.
-  void MarkTold(const std::string& address);
-  // Every connected entry has heard that this agent leaves.
-  bool AllTold() const;
-  // Has every session send its next heartbeat now.
-  void WakeBeats();
+  // Records that the entry knows that this agent is leaving.
+  void MarkNotified(const std::string& address);
+  // Whether every connected entry knows that this agent is leaving.
+  bool AllEntriesNotified() const;
+  // Makes every session send its next heartbeat now.
+  void WakeHeartbeats();
 
   const AgentOptions options_;
   EntryConnector* const connector_;
@@ -103,16 +105,16 @@
   SessionPlan plan_;
   std::unique_ptr<GangHost> gangs_;
   std::atomic<bool> leaving_{false};
-  // Rises with each change of a task's phase.
+  // Incremented with each change of a task's phase.
   std::atomic<int64_t> task_changes_{0};
 
   std::mutex mutex_;
   std::condition_variable changed_;
   bool stopping_ = false;
   int serving_ = 0;
-  // Entries with a session, and those among them that have heard that this agent leaves.
+  // Entries with a session, and the entries that know that this agent is leaving.
   std::set<std::string> connected_;
-  std::set<std::string> told_leaving_;
+  std::set<std::string> notified_of_leaving_;
   std::set<std::string> cancelled_;
   std::vector<Thread> sessions_;
   Thread expiry_;
--- a/servers/agent/gang_host.cc
+++ b/servers/agent/gang_host.cc
@@ -8,8 +8,8 @@
 namespace turmericshift {
 namespace {
 
-// The agent stops a gang this share of the lease before the worker would by itself, so that there
-// is time for a checkpoint.
+// The agent stops a gang 1/10 of the lease before the worker would, so that there is time for a
+// checkpoint.
 constexpr int kCheckpointShare = 10;
 
 bool HasEnded(TaskPhase phase) {
@@ -24,41 +24,41 @@
 
 void GangHost::HandleHeartbeatReply(const std::string& entry, const EntryBeat& beat, Time sent) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  watch_.HandleHeartbeatReply(entry, beat, sent);
+  planner_.HandleHeartbeatReply(entry, beat, sent);
 }
 
 void GangHost::Reserve(const GangReserve& reserve, Time now) {
   const std::lock_guard<std::mutex> lock(mutex_);
   RequireEpoch(reserve.epoch, now);
-  RequireTrust(now);
+  RequireCurrentPlanner(now);
   guard_->RequireStartAllowed(now);
   const auto found = parts_.find({reserve.job, reserve.attempt});
   if (found != parts_.end()) {
-    // The same message again is no news.
+    // A duplicate of the message is ignored.
     if (found->second.phase == Phase::kReserved) return;
-    throw Error(ErrorKind::kConflict, "the attempt is past its reservation");
+    throw Error(ErrorKind::kConflict, "the attempt was already started on this worker");
   }
   for (const auto& [key, part] : parts_) {
-    if (key.first != reserve.job || Ended(part)) continue;
-    throw Error(ErrorKind::kConflict, "another attempt of the job is here");
+    if (key.first != reserve.job || AllTasksEnded(part)) continue;
+    throw Error(ErrorKind::kConflict, "another attempt of the job is on this worker");
   }
   RequireRoom(reserve);
   Part part;
   part.reserve = reserve;
-  part.until = now + reserve.hold;
+  part.expires_at = now + reserve.hold;
   parts_[{reserve.job, reserve.attempt}] = part;
 }
 
 void GangHost::Start(const GangStart& start, Time now) {
   const std::lock_guard<std::mutex> lock(mutex_);
   RequireEpoch(start.epoch, now);
-  RequireTrust(now);
+  RequireCurrentPlanner(now);
   guard_->RequireStartAllowed(now);
   Part& part = RequirePart(start.job, start.attempt);
   if (part.phase != Phase::kReserved) return;
-  // Marked first: if the worker takes some tasks and then fails, the stop must reach them.
+  // Set before the calls, so that the stop reaches tasks that the worker started before a failure.
   part.phase = Phase::kHeld;
-  part.until = now + part.reserve.hold;
+  part.expires_at = now + part.reserve.hold;
   for (const TaskPlacement& task : part.reserve.tasks) {
     TaskStart task_start;
     task_start.id = {start.job, start.attempt, task.task};
@@ -81,38 +81,41 @@
   RequireEpoch(action.epoch, now);
   Part& part = RequirePart(action.job, action.attempt);
   if (part.phase == Phase::kRunning) return;
-  if (part.phase == Phase::kReserved) throw Error(ErrorKind::kConflict, "not started yet");
-  if (part.phase == Phase::kStopping) throw Error(ErrorKind::kConflict, "stopping");
-  if (now >= part.until) throw Error(ErrorKind::kConflict, "the hold has run out");
-  RequireTrust(now);
+  if (part.phase == Phase::kReserved)
+    throw Error(ErrorKind::kConflict, "the tasks are not started yet");
+  if (part.phase == Phase::kStopping)
+    throw Error(ErrorKind::kConflict, "the tasks are being stopped");
+  if (now >= part.expires_at) throw Error(ErrorKind::kConflict, "the hold has expired");
+  RequireCurrentPlanner(now);
   guard_->RequireStartAllowed(now);
   part.phase = Phase::kRunning;
   part.lease = action.lease;
-  part.until = now + action.lease;
+  part.expires_at = now + action.lease;
   for (const TaskPlacement& task : part.reserve.tasks) {
     const TaskId id{action.job, action.attempt, task.task};
-    // The lease first: a task that is released must never run longer than the gang allows.
+    // Renews the lease before the release, so that a released task never runs longer than the gang
+    // allows.
     worker_->Renew(id, action.lease);
     worker_->Release(id);
   }
-  LogMember("gang_released", action.job, part);
+  LogGangEvent("gang_released", action.job, part);
 }
 
 void GangHost::Renew(const GangAction& action, Time now) {
   const std::lock_guard<std::mutex> lock(mutex_);
   RequireEpoch(action.epoch, now);
-  RequireTrust(now);
+  RequireCurrentPlanner(now);
   Part& part = RequirePart(action.job, action.attempt);
-  if (part.phase != Phase::kRunning) throw Error(ErrorKind::kConflict, "not running");
-  // A renewal that was long on its way comes after the planner has counted the lease out.
-  if (now >= part.until) throw Error(ErrorKind::kConflict, "the lease has run out");
+  if (part.phase != Phase::kRunning) throw Error(ErrorKind::kConflict, "the tasks are not running");
+  // A delayed renewal may arrive after the planner has treated the lease as expired.
+  if (now >= part.expires_at) throw Error(ErrorKind::kConflict, "the lease has expired");
   const Time from = action.beat_sent_at < 0 ? now : Time(Duration(action.beat_sent_at));
-  const Time until = std::min(now, from) + action.lease;
-  if (until <= part.until) return;
-  part.until = until;
+  const Time expires_at = std::min(now, from) + action.lease;
+  if (expires_at <= part.expires_at) return;
+  part.expires_at = expires_at;
   part.lease = action.lease;
   for (const TaskPlacement& task : part.reserve.tasks) {
-    worker_->Renew({action.job, action.attempt, task.task}, until - now);
+    worker_->Renew({action.job, action.attempt, task.task}, expires_at - now);
   }
 }
 
@@ -132,7 +135,8 @@
     StopTasks(part, false);
   }
   for (const TaskReport& report : worker_->Report()) reports_[report.id] = report;
-  if (Reported(part) && !Ended(part)) throw Error(ErrorKind::kConflict, "still stopping");
+  if (AnyTaskReported(part) && !AllTasksEnded(part))
+    throw Error(ErrorKind::kConflict, "the tasks are still stopping");
 }
 
 void GangHost::Forget(const GangAction& action, Time now) {
@@ -140,37 +144,37 @@
   RequireEpoch(action.epoch, now);
   const auto found = parts_.find({action.job, action.attempt});
   if (found == parts_.end()) return;
-  // Room of a task that won't stop must not be given out.
-  if (Reported(found->second) && !Ended(found->second)) {
-    throw Error(ErrorKind::kConflict, "it has not ended");
+  // The resources of a task that does not stop must not be allocated again.
+  if (AnyTaskReported(found->second) && !AllTasksEnded(found->second)) {
+    throw Error(ErrorKind::kConflict, "the tasks have not ended");
   }
   for (const TaskPlacement& task : found->second.reserve.tasks) {
     const TaskId id{action.job, action.attempt, task.task};
     worker_->Forget(id);
     reports_.erase(id);
   }
-  LogMember("gang_forgotten", action.job, found->second);
+  LogGangEvent("gang_forgotten", action.job, found->second);
   parts_.erase(found);
 }
 
 bool GangHost::Expire(Time now) {
-  const bool changed = Refresh(now);
+  const bool changed = RefreshReports(now);
   const std::lock_guard<std::mutex> lock(mutex_);
   for (auto each = parts_.begin(); each != parts_.end();) {
     Part& part = each->second;
-    const bool lapsed = now >= part.until - part.lease / kCheckpointShare;
+    const bool expired = now >= part.expires_at - part.lease / kCheckpointShare;
     if (part.phase == Phase::kStopping) {
       StopTasks(part, false);
-      // The worker never had it.
-      const bool never = reported_round_ > part.stop_round && !Reported(part);
-      each = never ? parts_.erase(each) : std::next(each);
+      // True if the worker never received the tasks.
+      const bool never_started = reported_round_ > part.stop_round && !AnyTaskReported(part);
+      each = never_started ? parts_.erase(each) : std::next(each);
       continue;
     }
-    if (lapsed && part.phase == Phase::kReserved) {
+    if (expired && part.phase == Phase::kReserved) {
       each = parts_.erase(each);
       continue;
     }
-    if (lapsed && !Ended(part)) {
+    if (expired && !AllTasksEnded(part)) {
       LogEvent(LogLevel::kWarning, "gang_lease_expired",
                {{"job", each->first.first}, {"attempt", each->first.second}});
       BeginStop(&part, part.phase == Phase::kRunning && part.reserve.checkpoints);
@@ -182,8 +186,8 @@
 
 void GangHost::FillHeartbeat(AgentBeat* beat, Time now) const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  beat->planner_epoch = known_ ? reports_epoch_ : kNoSequence;
-  beat->planner_silence = watch_.silence(now);
+  beat->planner_epoch = worker_state_known_ ? reports_epoch_ : kNoSequence;
+  beat->planner_silence = planner_.silence(now);
   beat->sent_at = now.time_since_epoch().count();
   beat->report_age = now - reports_at_;
   for (const auto& [id, report] : reports_) beat->tasks.push_back(report);
@@ -191,16 +195,16 @@
 
 Sequence GangHost::epoch() const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return watch_.epoch();
+  return planner_.epoch();
 }
 
 bool GangHost::idle() const {
   const std::lock_guard<std::mutex> lock(mutex_);
   return std::all_of(parts_.begin(), parts_.end(),
-                     [this](const auto& each) { return Ended(each.second); });
+                     [this](const auto& each) { return AllTasksEnded(each.second); });
 }
 
-void GangHost::LogMember(const char* event, const std::string& job, const Part& part) const {
+void GangHost::LogGangEvent(const char* event, const std::string& job, const Part& part) const {
   LogEvent(LogLevel::kInfo, event,
            {{"job", job},
             {"attempt", part.reserve.attempt},
@@ -209,30 +213,31 @@
             {"tasks", part.reserve.tasks.size()}});
 }
 
-void GangHost::RequireKnown() const {
-  // An agent that has just started doesn't know yet which accelerators are taken; giving one out
+void GangHost::RequireWorkerState() const {
+  // A restarted agent does not know yet which accelerators are in use. Allocating one of them again
   // would run two tasks on it.
-  if (!known_) throw Error(ErrorKind::kStale, "it is not known yet what runs at the worker");
+  if (!worker_state_known_)
+    throw Error(ErrorKind::kStale, "the tasks on the worker are not known yet");
 }
 
 void GangHost::RequireEpoch(Sequence epoch, Time now) {
-  RequireKnown();
-  // A planner that was paused and has been replaced still thinks it has the duty; obeying it could
-  // start a job that its successor started elsewhere.
-  if (epoch < watch_.epoch()) throw Error(ErrorKind::kFenced, "a newer planner has the zone");
-  watch_.Called(epoch, now);
+  RequireWorkerState();
+  // A planner that was paused and replaced still takes itself for the active one. Obeying it could
+  // start a job that its successor has started elsewhere.
+  if (epoch < planner_.epoch()) throw Error(ErrorKind::kFenced, "a newer planner has the zone");
+  planner_.RecordCall(epoch, now);
 }
 
-void GangHost::RequireTrust(Time now) const {
-  // Cut off together with an old planner, this agent would go on for it for ever while the
-  // successor starts the same jobs elsewhere.
-  if (watch_.Trusts(lease(), now)) return;
-  throw Error(ErrorKind::kStale, "a newer planner could exist unheard");
+void GangHost::RequireCurrentPlanner(Time now) const {
+  // An agent cut off together with a replaced planner would otherwise obey that planner
+  // indefinitely, while the successor starts the same jobs elsewhere.
+  if (planner_.IsPlannerCurrent(lease(), now)) return;
+  throw Error(ErrorKind::kStale, "a newer planner may exist that is not known here");
 }
 
 GangHost::Part& GangHost::RequirePart(const std::string& job, int64_t attempt) {
   const auto found = parts_.find({job, attempt});
-  if (found == parts_.end()) throw Error(ErrorKind::kConflict, "that attempt is not here");
+  if (found == parts_.end()) throw Error(ErrorKind::kConflict, "the attempt is not on this worker");
   return found->second;
 }
 
@@ -240,8 +245,8 @@
   TaskShape used;
   uint32_t taken = 0;
   for (const auto& [key, part] : parts_) {
-    // What has ended keeps its report until the planner has recorded it, and no room.
-    if (Ended(part)) continue;
+    // An ended part stays listed until the planner has recorded its end, but uses no resources.
+    if (AllTasksEnded(part)) continue;
     const int tasks = static_cast<int>(part.reserve.tasks.size());
     used.processors += part.reserve.shape.processors * tasks;
     used.memory_bytes += part.reserve.shape.memory_bytes * tasks;
@@ -260,7 +265,8 @@
       (wanted & taken) == 0 && (wanted & ~present) == 0 &&
       used.processors + reserve.shape.processors * tasks <= capacity_.processors &&
       used.memory_bytes + reserve.shape.memory_bytes * tasks <= capacity_.memory_bytes;
-  if (!fits) throw Error(ErrorKind::kConflict, "the room is taken");
+  if (!fits)
+    throw Error(ErrorKind::kConflict, "the requested resources are not free on this worker");
 }
 
 Duration GangHost::lease() const {
@@ -268,7 +274,7 @@
   return environment ? environment->bounds.lease : Bounds{}.lease;
 }
 
-bool GangHost::Ended(const Part& part) const {
+bool GangHost::AllTasksEnded(const Part& part) const {
   return std::all_of(
       part.reserve.tasks.begin(), part.reserve.tasks.end(), [&](const TaskPlacement& task) {
         const auto found = reports_.find({part.reserve.job, part.reserve.attempt, task.task});
@@ -276,31 +282,32 @@
       });
 }
 
-bool GangHost::Reported(const Part& part) const {
+bool GangHost::AnyTaskReported(const Part& part) const {
   return std::any_of(
       part.reserve.tasks.begin(), part.reserve.tasks.end(), [&](const TaskPlacement& task) {
         return reports_.count({part.reserve.job, part.reserve.attempt, task.task}) != 0;
       });
 }
 
-bool GangHost::Refresh(Time now) {
+bool GangHost::RefreshReports(Time now) {
   Sequence epoch = kNoSequence;
   int64_t round = 0;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    epoch = watch_.epoch();
+    epoch = planner_.epoch();
     round = ++round_;
   }
   std::vector<TaskReport> all;
   try {
-    // Outside the lock: a worker that hangs must not keep beats from going out.
+    // Called without the lock, so that a worker that hangs does not block heartbeats.
     all = worker_->Report();
   } catch (const Error& error) {
     LogEvent(LogLevel::kWarning, "worker_unheard", {{"error", error.what()}});
     return false;
   }
   const std::lock_guard<std::mutex> lock(mutex_);
-  // A new planner waits to hear that its predecessor is obeyed no more.
+  // A new epoch counts as a change too, since a new planner waits for confirmation that its
+  // predecessor is no longer obeyed.
   const bool changed = epoch != reports_epoch_ || all.size() != reports_.size() ||
                        std::any_of(all.begin(), all.end(), [this](const TaskReport& report) {
                          const auto found = reports_.find(report.id);
@@ -311,11 +318,11 @@
   reports_epoch_ = epoch;
   reports_at_ = now;
   reported_round_ = round;
-  if (!known_) Rebuild(now);
+  if (!worker_state_known_) RebuildParts(now);
   return changed;
 }
 
-void GangHost::Rebuild(Time now) {
+void GangHost::RebuildParts(Time now) {
   for (const auto& [id, report] : reports_) {
     const auto [slot, fresh] = parts_.try_emplace({id.job, id.attempt});
     Part& part = slot->second;
@@ -329,25 +336,27 @@
     part.reserve.guaranteed = report.guaranteed;
     part.lease = lease();
     part.reserve.tasks.push_back({id.task, report.accelerators});
-    watch_.Found(report.epoch);
+    planner_.RecordTaskEpoch(report.epoch);
     if (HasEnded(report.phase)) continue;
-    const Time until = now + report.lease_left;
+    const Time expires_at = now + report.lease_left;
     const bool first = part.phase == Phase::kStopping;
-    part.until = first ? until : std::min(part.until, until);
-    // A gang with a member that was not released yet is not whole; it lapses with its hold.
+    part.expires_at = first ? expires_at : std::min(part.expires_at, expires_at);
+    // A part with a task that is still held counts as held, since its gang is incomplete; it
+    // expires with the hold.
     if (part.phase != Phase::kHeld) {
       part.phase = report.phase == TaskPhase::kHeld ? Phase::kHeld : Phase::kRunning;
     }
   }
-  known_ = true;
-  reports_epoch_ = watch_.epoch();
-  LogEvent(LogLevel::kInfo, "worker_known", {{"parts", parts_.size()}, {"epoch", watch_.epoch()}});
+  worker_state_known_ = true;
+  reports_epoch_ = planner_.epoch();
+  LogEvent(LogLevel::kInfo, "worker_known",
+           {{"parts", parts_.size()}, {"epoch", planner_.epoch()}});
 }
 
 void GangHost::BeginStop(Part* part, bool checkpoint) {
   part->phase = Phase::kStopping;
   part->stop_round = round_;
-  LogMember("gang_stopped", part->reserve.job, *part);
+  LogGangEvent("gang_stopped", part->reserve.job, *part);
   StopTasks(*part, checkpoint);
 }
 
@@ -360,7 +369,7 @@
       if (checkpoint) worker_->Checkpoint(id);
       worker_->Stop(id);
     } catch (const Error& error) {
-      // Tried again with the next round; the worker's own lease ends it in any case.
+      // Retried in the next round. The worker's own lease ends the task in any case.
       LogEvent(LogLevel::kWarning, "task_not_stopped", {{"job", id.job}, {"error", error.what()}});
     }
   }
--- a/servers/agent/gang_host.h
+++ b/servers/agent/gang_host.h
@@ -1,5 +1,6 @@
-// This worker's part of gangs: what is reserved, held and running here, under which planner epoch.
-// The authority over the worker's accelerators. docs/notes/gangs.md gives the protocol.
+// Keeps track of the gang members on this worker: what is reserved, held and running, and under
+// which planner epoch. Has the authority over the worker's accelerators. docs/notes/gangs.md
+// describes the protocol.
 #pragma once
 
 #include <map>
@@ -18,14 +19,14 @@
 
 class GangHost {
  public:
-  // `worker` and `guard` must outlive the host. Refuses everything until Expire has found out what
-  // runs at the worker. `name` is the worker's, for log lines.
+  // `worker` and `guard` must outlive the host. All requests are refused until Expire has found out
+  // which tasks run on the worker. `name` identifies the worker in log lines.
   GangHost(const TaskShape& capacity, WorkerService* worker, const StartGuard* guard,
            const std::string& name = "");
 
   void HandleHeartbeatReply(const std::string& entry, const EntryBeat& beat, Time sent);
 
-  // The steps of AgentPort.
+  // The gang operations of AgentPort.
   void Reserve(const GangReserve& reserve, Time now);
   void Start(const GangStart& start, Time now);
   void Release(const GangAction& action, Time now);
@@ -33,15 +34,15 @@
   void Stop(const GangAction& action, Time now);
   void Forget(const GangAction& action, Time now);
 
-  // Asks the worker what runs, drops reservations that were not started in time, and stops gangs
-  // whose lease is about to run out, with a checkpoint first. Call it often.
-  // Returns whether a task has changed its phase since the last call.
+  // Refreshes the worker's task reports, drops expired reservations, and stops gangs whose lease is
+  // about to expire, after a checkpoint. To be called several times a second. Returns whether a
+  // task's phase has changed since the last call.
   bool Expire(Time now);
 
-  // Fills in what a beat says of tasks and planner.
+  // Fills in the tasks and planner epoch of a heartbeat.
   void FillHeartbeat(AgentBeat* beat, Time now) const;
   Sequence epoch() const;
-  // Nothing is reserved, held or running.
+  // Whether nothing is reserved, held or running.
   bool idle() const;
 
  private:
@@ -49,34 +50,35 @@
   struct Part {
     GangReserve reserve;
     Phase phase = Phase::kReserved;
-    // Reserved and held parts lapse, running ones stop, when this passes.
-    Time until{};
+    // Reserved and held parts are dropped at this time; running parts are stopped.
+    Time expires_at{};
     Duration lease{};
-    // The round of reports in which the stop was asked for.
+    // Round of reports in which the stop was requested.
     int64_t stop_round = 0;
   };
-  // Job and attempt.
+  // Job id and attempt.
   using PartKey = std::pair<std::string, int64_t>;
 
-  void RequireKnown() const;
+  void RequireWorkerState() const;
   void RequireEpoch(Sequence epoch, Time now);
-  // The planner may start or prolong work.
-  void RequireTrust(Time now) const;
+  // Throws Error(kStale) unless the planner is known to be current, so that it may start or extend
+  // work.
+  void RequireCurrentPlanner(Time now) const;
   Part& RequirePart(const std::string& job, int64_t attempt);
   void RequireRoom(const GangReserve& reserve) const;
   Duration lease() const;
 
-  // Whether each task of the part has ended, by the newest reports.
-  bool Ended(const Part& part) const;
-  bool Reported(const Part& part) const;
-  void Rebuild(Time now);
-  // Returns whether a task's phase has changed.
-  bool Refresh(Time now);
+  // Whether every task of the part has ended, according to the newest reports.
+  bool AllTasksEnded(const Part& part) const;
+  bool AnyTaskReported(const Part& part) const;
+  void RebuildParts(Time now);
+  // Fetches the worker's reports. Returns whether a task's phase has changed.
+  bool RefreshReports(Time now);
   void BeginStop(Part* part, bool checkpoint);
-  // Asks the worker to stop what still runs; faults are left to the next round.
+  // Stops the tasks that still run. Failures are retried in the next round.
   void StopTasks(const Part& part, bool checkpoint);
-  // One line of the history of a gang's member.
-  void LogMember(const char* event, const std::string& job, const Part& part) const;
+  // Logs an event in the history of this worker's part of a gang.
+  void LogGangEvent(const char* event, const std::string& job, const Part& part) const;
 
   const TaskShape capacity_;
   WorkerService* const worker_;
@@ -84,15 +86,16 @@
   const std::string name_;
 
   mutable std::mutex mutex_;
-  PlannerWatch watch_;
+  PlannerTracker planner_;
   std::map<PartKey, Part> parts_;
-  // What the worker last reported, the epoch known before it was asked, and when that was.
+  // The worker's newest reports, the planner epoch known before they were requested, and the time
+  // at which they were requested.
   std::map<TaskId, TaskReport> reports_;
   Sequence reports_epoch_ = kNoSequence;
   Time reports_at_{};
   int64_t round_ = 0;
   int64_t reported_round_ = 0;
-  bool known_ = false;
+  bool worker_state_known_ = false;
 };
 
 }  // namespace turmericshift
--- a/servers/agent/gang_host_test.cc
+++ b/servers/agent/gang_host_test.cc
@@ -1,4 +1,4 @@
-// What one agent obeys, and what it does by itself when nobody can be obeyed.
+// Checks which planners an agent obeys, and what the agent does by itself while it can't obey any.
 #include "servers/agent/gang_host.h"
 
 #include <gtest/gtest.h>
@@ -51,11 +51,11 @@
 class GangHostTest : public ::testing::Test {
  protected:
   GangHostTest() : worker_(&clock_), guard_("zone-a") {
-    HearDocument();
+    DeliverDocument();
     StartAgent();
   }
 
-  void HearDocument() {
+  void DeliverDocument() {
     EntryBeat beat;
     beat.config_version = 1;
     beat.config_text = kDocument;
@@ -63,15 +63,14 @@
     guard_.HandleHeartbeatReply(beat, clock_.Now());
   }
 
-  // As after a restart of the agent's process.
+  // Creates a new host, as after a restart of the agent's process.
   void StartAgent() {
     host_ = std::make_unique<GangHost>(TaskShape{8, int64_t{8} << 30, 8}, &worker_, &guard_);
     host_->Expire(clock_.Now());
-    HandleHeartbeatReply(kOld);
+    DeliverReply(kOld);
   }
 
-  void HandleHeartbeatReply(Sequence epoch, const std::string& entry = kEntry,
-                            bool failing = false) {
+  void DeliverReply(Sequence epoch, const std::string& entry = kEntry, bool failing = false) {
     EntryBeat beat;
     beat.planner_epoch = epoch;
     beat.planner_active = true;
@@ -116,12 +115,11 @@
   std::unique_ptr<GangHost> host_;
 };
 
-// A planner's process is paused, its successor takes over, and it wakes and goes on with the step
-// that it was at. Each step must be refused, or it would start, prolong or end work that is the
-// successor's now.
-TEST_F(GangHostTest, EveryStepOfAReplacedPlannerIsFenced) {
+// A planner is paused, replaced, and then continues with its next call. Every call must be refused,
+// or it would start, extend or end work that now belongs to the successor.
+TEST_F(GangHostTest, AllCallsOfAReplacedPlannerAreFenced) {
   Run(1);
-  HandleHeartbeatReply(kNew);
+  DeliverReply(kNew);
   const Time now = clock_.Now();
   EXPECT_EQ(KindOf([&] { host_->Reserve(Part(kOld, 2, 2), now); }), ErrorKind::kFenced);
   EXPECT_EQ(KindOf([&] {
@@ -136,9 +134,9 @@
   EXPECT_EQ(KindOf([&] { host_->Renew(Action(kNew, 1), now); }), std::nullopt);
 }
 
-// The planner's entry dies. Nobody renews, and the work must stop, saved, before a successor that
-// waits the lease out may start it elsewhere.
-TEST_F(GangHostTest, AGangThatNobodyRenewsIsSavedAndStoppedBeforeItsLeaseEnds) {
+// The planner's entry dies and nobody renews the lease. The work must be checkpointed and stopped
+// before a successor, which waits for the lease to expire, may start it elsewhere.
+TEST_F(GangHostTest, UnrenewedGangIsCheckpointedAndStoppedBeforeLeaseExpiry) {
   Run(1);
   Pass(seconds(8));
   EXPECT_EQ(phase(), TaskPhase::kRunning);
@@ -147,56 +145,57 @@
   EXPECT_EQ(ParseDuration(worker_.Report().at(0).checkpoint), milliseconds(9100));
 }
 
-// The planner dies after it released one member of a gang and not the others. The one may not go on
-// alone for a whole lease.
-TEST_F(GangHostTest, AReleasedMemberStopsAfterItsFirstLeaseUnlessConfirmed) {
+// The planner dies after it released one member of a gang but not the others. The released member
+// must not run alone for a whole lease.
+TEST_F(GangHostTest, ReleasedMemberStopsAfterFirstLeaseUnlessRenewed) {
   Run(1, seconds(2));
   Pass(seconds(2));
   EXPECT_EQ(phase(), TaskPhase::kStopped);
 }
 
-// A renewal is stuck on its way for longer than the lease. The planner has counted the gang out and
-// started it elsewhere; the late renewal must not keep the old one alive.
-TEST_F(GangHostTest, ALateRenewalAddsNoTime) {
+// A renewal is delayed for longer than the lease. The planner has started the gang elsewhere, so
+// the delayed renewal must not keep the old one running.
+TEST_F(GangHostTest, DelayedRenewalDoesNotExtendLease) {
   Run(1);
   GangAction renewal = Action(kOld, 1);
   renewal.beat_sent_at = clock_.Now().time_since_epoch().count();
   Pass(seconds(8));
-  HandleHeartbeatReply(kOld);
+  DeliverReply(kOld);
   host_->Renew(renewal, clock_.Now());
   Pass(milliseconds(1100));
   EXPECT_EQ(phase(), TaskPhase::kStopped);
   EXPECT_EQ(KindOf([&] { host_->Renew(renewal, clock_.Now()); }), ErrorKind::kConflict);
 }
 
-// A planner's host is cut off together with one agent. It hears the agent and not the log; its
-// successor, which the agent can't hear, starts the job elsewhere. Obeying on would run it twice.
-TEST_F(GangHostTest, AnAgentThatHearsOnlyAnEntryWithoutTheLogObeysNobody) {
+// A planner's machine is cut off together with one agent: it reaches the agent but not the log. Its
+// successor, which the agent can't reach, starts the job elsewhere. An agent that still obeyed the
+// old planner would run the job twice.
+TEST_F(GangHostTest, OneEntryWithoutLogIsNotEnoughToObeyPlanner) {
   Run(1);
   Pass(seconds(6));
-  HandleHeartbeatReply(kOld, kEntry, true);
+  DeliverReply(kOld, kEntry, true);
   EXPECT_EQ(KindOf([&] { host_->Renew(Action(kOld, 1), clock_.Now()); }), std::nullopt);
   Pass(seconds(6));
-  HandleHeartbeatReply(kOld, kEntry, true);
+  DeliverReply(kOld, kEntry, true);
   EXPECT_EQ(KindOf([&] { host_->Renew(Action(kOld, 1), clock_.Now()); }), ErrorKind::kStale);
 }
 
-// The log itself is down for an hour: all entries say so, nobody can claim, and running work goes
-// on.
-TEST_F(GangHostTest, AnAgentObeysOnWhenAllEntriesSayThatTheLogIsDown) {
+// The log is down for a long time. All entries report this, no planner can claim the zone, and
+// running work must go on.
+TEST_F(GangHostTest, PlannerIsObeyedWhenAllEntriesReportLogDown) {
   Run(1);
   for (int round = 0; round < 20; ++round) {
     Pass(seconds(5));
-    HandleHeartbeatReply(kOld, kEntry, true);
-    HandleHeartbeatReply(kOld, kOtherEntry, true);
+    DeliverReply(kOld, kEntry, true);
+    DeliverReply(kOld, kOtherEntry, true);
     EXPECT_EQ(KindOf([&] { host_->Renew(Action(kOld, 1), clock_.Now()); }), std::nullopt);
   }
   EXPECT_EQ(phase(), TaskPhase::kRunning);
 }
 
-// The agent's process is replaced while tasks run. It must know them again: their accelerators are
-// taken, their planner's epoch is the least it may obey, and their lease goes on.
-TEST_F(GangHostTest, ARestartedAgentKnowsWhatRuns) {
+// The agent's process restarts while tasks run. It must rebuild their state: their accelerators are
+// in use, their planner's epoch is the lowest to obey, and their leases go on.
+TEST_F(GangHostTest, RestartedAgentRebuildsStateFromWorker) {
   Run(1);
   Pass(seconds(3));
   StartAgent();
@@ -211,8 +210,8 @@
   EXPECT_EQ(phase(), TaskPhase::kStopped);
 }
 
-// The agent is up before its worker answers. It does not know yet which accelerators are taken.
-TEST_F(GangHostTest, AnAgentThatDoesNotKnowItsWorkerRefusesEverything) {
+// The agent starts before its worker answers, and does not know yet which accelerators are in use.
+TEST_F(GangHostTest, RefusesCallsUntilWorkerHasReported) {
   WorkerFaults faults;
   faults.unreachable = true;
   worker_.SetFaults(faults);
@@ -223,9 +222,9 @@
   EXPECT_EQ(KindOf([&] { host_->Reserve(Part(kOld, 2), clock_.Now()); }), std::nullopt);
 }
 
-// A worker takes the stop and the task goes on. Its accelerator must not be given to another, and
-// the planner must not be told that it has ended.
-TEST_F(GangHostTest, RoomOfATaskThatWontStopIsNotGivenOut) {
+// A worker accepts a stop but the task goes on. Its accelerator must not be allocated again, and
+// the planner must not be told that the task has ended.
+TEST_F(GangHostTest, ResourcesOfUnstoppedTaskAreNotReallocated) {
   Run(1);
   WorkerFaults faults;
   faults.ignores_stop = true;
@@ -240,8 +239,9 @@
   EXPECT_EQ(KindOf([&] { host_->Reserve(other, clock_.Now()); }), std::nullopt);
 }
 
-// The planner lost the answer to its reservation and gave up; the hold must not outlive its bound.
-TEST_F(GangHostTest, AReservationThatIsNotStartedLapses) {
+// The planner lost the answer to its reservation and gave up. The reservation must not outlive its
+// hold time.
+TEST_F(GangHostTest, UnstartedReservationExpires) {
   host_->Reserve(Part(kOld, 1), clock_.Now());
   Pass(seconds(5));
   EXPECT_EQ(KindOf([&] {
--- a/servers/agent/planner_tracker.h
+++ b/servers/agent/planner_tracker.h
@@ -1,6 +1,6 @@
-// What an agent has heard of its zone's planner: the highest epoch, how long the holder has been
-// silent, and whether a still higher epoch could exist unheard. docs/notes/planner-duty.md argues
-// the rule.
+// Tracks an agent's knowledge of its zone's planner: the highest epoch, the time since the active
+// planner's last sign of life, and whether a higher epoch could exist that the agent has not
+// received. docs/notes/planner-duty.md explains the rule.
 #pragma once
 
 #include <map>
@@ -12,28 +12,29 @@
 
 namespace turmericshift {
 
-// Not thread-safe; GangHost guards it.
-class PlannerWatch {
+// Not thread-safe; GangHost holds its mutex around all calls.
+class PlannerTracker {
  public:
-  // The answer of the entry at address `entry` to a beat that was sent at `sent`.
+  // Handles the reply of the entry at address `entry` to a heartbeat sent at `sent`.
   void HandleHeartbeatReply(const std::string& entry, const EntryBeat& beat, Time sent);
-  // The planner at `epoch` has called.
-  void Called(Sequence epoch, Time now);
-  // A task that was found here had been started under `epoch`.
-  void Found(Sequence epoch);
+  // Records a call from the planner with `epoch`.
+  void RecordCall(Sequence epoch, Time now);
+  // Records the epoch under which a task found on the worker was started.
+  void RecordTaskEpoch(Sequence epoch);
 
   Sequence epoch() const { return epoch_; }
-  // Negative: no planner was heard yet.
+  // Time since the active planner was last heard from. Negative if it never was.
   Duration silence(Time now) const;
 
-  // Whether the planner may be obeyed: an entry that was heard had read the jobs stream to its head
-  // within `limit`, or all that were heard within `limit` say that the log is down, so that nobody
-  // can have claimed meanwhile. One entry alone could be cut off together with this agent, so where
-  // more are known its word is not enough.
-  bool Trusts(Duration limit, Time now) const;
+  // Whether the planner may be obeyed. True if a reply shows that an entry had read the jobs stream
+  // to its head within `limit`, or if all entries that replied within `limit` report that the log
+  // is down, so that no planner can have claimed the zone meanwhile. One entry could be cut off
+  // together with this agent, so a single report that the log is down does not suffice where more
+  // entries are known.
+  bool IsPlannerCurrent(Duration limit, Time now) const;
 
  private:
-  struct EntryHeard {
+  struct EntryReply {
     Time heard{};
     bool failing = false;
   };
@@ -42,7 +43,7 @@
   std::optional<Time> planner_heard_;
   std::optional<Time> fresh_at_;
   size_t known_entries_ = 0;
-  std::map<std::string, EntryHeard> entries_;
+  std::map<std::string, EntryReply> entries_;
 };
 
 }  // namespace turmericshift
--- a/servers/agent/request_ledger.cc
+++ b/servers/agent/request_ledger.cc
@@ -7,8 +7,8 @@
 namespace turmericshift {
 namespace {
 
-// A question's answer is not waited for longer than this, so its age is at most that much too low.
-constexpr Duration kQuestionTransit = std::chrono::seconds(5);
+// Queries time out after this time, so a query's age is too low by at most this much.
+constexpr Duration kMaxQuestionTransit = std::chrono::seconds(5);
 
 std::string RowName(const std::string& workspace, const std::string& key,
                     const std::string& request_id) {
@@ -23,8 +23,9 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   const auto found = rows_.find(name);
   if (found == rows_.end()) {
-    if (keyed && request.fence <= floor_) {
-      throw Error(ErrorKind::kFenced, Outcome::kUnknown, "the claim is older than what is kept");
+    if (keyed && request.fence <= fence_floor_) {
+      throw Error(ErrorKind::kFenced, Outcome::kUnknown,
+                  "the claim is older than the stored attempts");
     }
     Add(name, request.fence, request.attempt, keyed, now);
     return;
@@ -35,15 +36,15 @@
     row.attempt = request.attempt;
     row.fence = request.fence;
     row.state = SeenState::kRunning;
-    row.begun = now;
+    row.begun_at = now;
     return;
   }
   if (request.attempt == row.attempt && row.state == SeenState::kNeverWillRun) {
-    throw Error(ErrorKind::kFenced, Outcome::kNotRun, "this attempt was promised never to run");
+    throw Error(ErrorKind::kFenced, Outcome::kNotRun, "this attempt was reported as never run");
   }
-  // A duplicated or late message: the first one decides, so this one must not run. What became of
-  // the first is asked for by Resolve, not told here.
-  throw Error(ErrorKind::kFenced, Outcome::kUnknown, "this attempt was seen before");
+  // A duplicate or delayed message: only the first copy may run. The result of the first copy is
+  // available from Resolve, not from this error.
+  throw Error(ErrorKind::kFenced, Outcome::kUnknown, "this attempt was received before");
 }
 
 void RequestLedger::Finish(const ServiceRequest& request, const ServiceAnswer& answer) {
@@ -51,15 +52,15 @@
   Row* row = Find(request);
   if (row == nullptr) return;
   row->state = SeenState::kRan;
-  KeepAnswer(row, answer);
+  StoreAnswer(row, answer);
 }
 
-void RequestLedger::Refuse(const ServiceRequest& request) {
+void RequestLedger::MarkNotRun(const ServiceRequest& request) {
   const std::lock_guard<std::mutex> lock(mutex_);
   if (Row* row = Find(request)) row->state = SeenState::kNeverWillRun;
 }
 
-void RequestLedger::Lose(const ServiceRequest& request) {
+void RequestLedger::MarkUnknown(const ServiceRequest& request) {
   const std::lock_guard<std::mutex> lock(mutex_);
   if (Row* row = Find(request)) row->state = SeenState::kUnknown;
 }
@@ -71,10 +72,11 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   const auto found = rows_.find(name);
   if (found == rows_.end()) {
-    const bool may_be_forgotten =
-        keyed ? question.fence <= floor_
-              : now - question.age <= forgotten_ + kQuestionTransit && forgotten_ != Time{};
-    if (may_be_forgotten) return {SeenState::kUnknown, {}};
+    const bool may_be_evicted =
+        keyed ? question.fence <= fence_floor_
+              : now - question.age <= newest_evicted_at_ + kMaxQuestionTransit &&
+                    newest_evicted_at_ != Time{};
+    if (may_be_evicted) return {SeenState::kUnknown, {}};
     Row& row = Add(name, question.fence, question.attempt, keyed, now);
     row.state = SeenState::kNeverWillRun;
     return {SeenState::kNeverWillRun, {}};
@@ -85,7 +87,7 @@
     row.attempt = question.attempt;
     row.fence = question.fence;
   }
-  // A newer attempt is claimed only once the older one can't run any more.
+  // A newer attempt is claimed only after the older one is known never to run.
   if (keyed && question.attempt < row.attempt) return {SeenState::kNeverWillRun, {}};
   return {row.state, row.answer};
 }
@@ -104,51 +106,51 @@
 
 RequestLedger::Row& RequestLedger::Add(const std::string& name, Sequence fence, int attempt,
                                        bool keyed, Time now) {
-  if (rows_.size() >= limits_.max_rows) ForgetOldest();
+  if (rows_.size() >= limits_.max_rows) EvictOldest();
   Row& row = rows_[name];
   row.keyed = keyed;
   row.attempt = attempt;
   row.fence = fence;
-  row.begun = now;
+  row.begun_at = now;
   row.place = order_.insert(order_.end(), name);
   return row;
 }
 
-void RequestLedger::ForgetOldest() {
+void RequestLedger::EvictOldest() {
   for (auto name = order_.begin(); name != order_.end(); ++name) {
     const auto found = rows_.find(*name);
     Row& row = found->second;
     if (row.state == SeenState::kRunning) continue;
-    if (row.keyed) floor_ = std::max(floor_, row.fence);
-    if (!row.keyed) forgotten_ = std::max(forgotten_, row.begun);
-    DropAnswer(&row);
+    if (row.keyed) fence_floor_ = std::max(fence_floor_, row.fence);
+    if (!row.keyed) newest_evicted_at_ = std::max(newest_evicted_at_, row.begun_at);
+    EvictAnswer(&row);
     order_.erase(name);
     rows_.erase(found);
     return;
   }
 }
 
-void RequestLedger::KeepAnswer(Row* row, const ServiceAnswer& answer) {
+void RequestLedger::StoreAnswer(Row* row, const ServiceAnswer& answer) {
   const size_t limit = row->keyed ? limits_.max_answer_bytes : limits_.max_unkeyed_answer_bytes;
   if (answer.body.size() > limit) return;
   row->answer = answer;
   answer_bytes_ += answer.body.size();
   answered_.push_back(*row->place);
-  DropOldestAnswers();
+  EvictOldestAnswers();
 }
 
-void RequestLedger::DropAnswer(Row* row) {
+void RequestLedger::EvictAnswer(Row* row) {
   answer_bytes_ -= row->answer.body.size();
   row->answer = {};
 }
 
-void RequestLedger::DropOldestAnswers() {
+void RequestLedger::EvictOldestAnswers() {
   const bool too_many = answered_.size() > limits_.max_rows;
   if (too_many) answered_.pop_front();
   while (answer_bytes_ > limits_.max_answer_bytes && answered_.size() > 1) {
     const auto oldest = rows_.find(answered_.front());
     answered_.pop_front();
-    if (oldest != rows_.end()) DropAnswer(&oldest->second);
+    if (oldest != rows_.end()) EvictAnswer(&oldest->second);
   }
 }
 
--- a/servers/agent/request_ledger.h
+++ b/servers/agent/request_ledger.h
@@ -1,6 +1,6 @@
-// What this agent has seen of requests. It is the one place that decides whether an attempt runs
-// here; it lives as long as the agent's incarnation, and claims name that incarnation, so a
-// restarted agent never answers for its predecessor.
+// Registry of the requests that this agent has received. Only the ledger decides whether an attempt
+// runs here. It lives as long as the agent's incarnation, and claims name the incarnation, so a
+// restarted agent never answers for the previous process.
 #pragma once
 
 #include <cstdint>
@@ -14,13 +14,13 @@
 
 namespace turmericshift {
 
-// How much a ledger keeps. Dropping a row is safe at any time: for a keyed attempt the highest
-// dropped fence becomes a floor below which nothing unknown runs; for a request without a key the
-// answer to a question about that age becomes "unknown".
+// Limits of what a ledger stores. Evicting a row is always safe. For a keyed attempt, the highest
+// evicted fence becomes a minimum: no unknown attempt with that fence or a lower one runs. For
+// requests without a key, queries about that age are answered with "unknown".
 struct LedgerLimits {
   size_t max_rows = 8192;
   size_t max_answer_bytes = size_t{12} << 20;
-  // Answers to requests without a key are kept only up to this size.
+  // Answers to requests without a key are stored only up to this size.
   size_t max_unkeyed_answer_bytes = size_t{64} << 10;
 };
 
@@ -28,18 +28,19 @@
  public:
   explicit RequestLedger(const LedgerLimits& limits = {}) : limits_(limits) {}
 
-  // Takes the attempt in, before it waits for a slot. Throws Error(kFenced) when it must not run:
-  // outcome not_run if it was promised never to run, unknown if it was begun before or is older
-  // than what is kept.
+  // Registers the attempt before it waits for a slot. Throws Error(kFenced) if it must not run:
+  // outcome not_run if the ledger has promised that it never runs, unknown if it was received
+  // before or is older than the stored rows.
   void Begin(const ServiceRequest& request, Time now);
-  // The attempt ended with `answer`.
+  // Records the answer of an attempt that ran.
   void Finish(const ServiceRequest& request, const ServiceAnswer& answer);
-  // The attempt surely did not reach the target; it never will from here on.
-  void Refuse(const ServiceRequest& request);
-  // The attempt may have run; nobody knows.
-  void Lose(const ServiceRequest& request);
+  // Records that the attempt has not reached the target. It never will from here on.
+  void MarkNotRun(const ServiceRequest& request);
+  // Records that the attempt may have run, with an unknown result.
+  void MarkUnknown(const ServiceRequest& request);
 
-  // "Did you see this attempt? If not, never run it."
+  // Returns the state of an attempt. An attempt that was not received yet is marked as never to
+  // run.
   SeenAnswer Resolve(const SeenQuestion& question, Time now);
 
   size_t rows() const;
@@ -50,30 +51,30 @@
     bool keyed = false;
     int attempt = 0;
     Sequence fence = kNoSequence;
-    Time begun{};
+    Time begun_at{};
     ServiceAnswer answer;
-    // Place in order_.
+    // Position in order_.
     std::list<std::string>::iterator place;
   };
   Row* Find(const ServiceRequest& request);
   Row& Add(const std::string& name, Sequence fence, int attempt, bool keyed, Time now);
-  void KeepAnswer(Row* row, const ServiceAnswer& answer);
-  void DropAnswer(Row* row);
-  void ForgetOldest();
-  void DropOldestAnswers();
+  void StoreAnswer(Row* row, const ServiceAnswer& answer);
+  void EvictAnswer(Row* row);
+  void EvictOldest();
+  void EvictOldestAnswers();
 
   const LedgerLimits limits_;
   mutable std::mutex mutex_;
-  // One row for each key (its newest attempt) and one for each request without a key.
+  // One row per key (for its newest attempt) and one per request without a key.
   std::map<std::string, Row> rows_;
-  // Names of rows, oldest first.
+  // Names of all rows, oldest first.
   std::list<std::string> order_;
-  // Names of rows that may hold an answer, oldest first.
+  // Names of rows that may have a stored answer, oldest first.
   std::deque<std::string> answered_;
   size_t answer_bytes_ = 0;
-  Sequence floor_ = kNoSequence;
-  // When the newest forgotten request without a key was taken in.
-  Time forgotten_{};
+  Sequence fence_floor_ = kNoSequence;
+  // Start time of the newest evicted request without a key.
+  Time newest_evicted_at_{};
 };
 
 }  // namespace turmericshift
--- a/servers/agent/request_ledger_test.cc
+++ b/servers/agent/request_ledger_test.cc
@@ -37,10 +37,10 @@
   return Outcome::kRan;
 }
 
-// An entry claims a key and pauses before it forwards. Another entry finds the claim, asks, and
-// runs the order elsewhere; then the first one wakes up. Without the fence the family gets two
-// boxes.
-TEST(RequestLedgerTest, AnAttemptThatWasAskedAboutNeverRuns) {
+// An entry claims a key and pauses before it forwards the request. Another entry finds the claim,
+// queries the agent, and runs the request elsewhere. If the first entry then forwarded it, the
+// order would be carried out twice.
+TEST(RequestLedgerTest, QueriedAttemptNeverRuns) {
   RequestLedger ledger;
   const ServiceRequest late = Keyed("order-1", 1, 10);
   EXPECT_EQ(ledger.Resolve(About(late), Time{}).state, SeenState::kNeverWillRun);
@@ -49,20 +49,20 @@
   EXPECT_EQ(OutcomeOfBegin(&ledger, late), Outcome::kUnknown);
 }
 
-// A message is delivered twice, the second copy after the first was refused for want of a slot.
-// The caller was told "not run", so the copy must not run either.
-TEST(RequestLedgerTest, ACopyOfARefusedRequestIsRefused) {
+// A message is delivered twice, and the second copy arrives after the first was refused for lack of
+// a slot. The caller was told "not run", so the second copy must not run.
+TEST(RequestLedgerTest, DuplicateOfRefusedRequestIsRefused) {
   RequestLedger ledger;
   ServiceRequest request;
   request.request_id = "request-1.1";
   EXPECT_EQ(OutcomeOfBegin(&ledger, request), Outcome::kRan);
-  ledger.Refuse(request);
+  ledger.MarkNotRun(request);
   EXPECT_EQ(OutcomeOfBegin(&ledger, request), Outcome::kNotRun);
 }
 
-// An agent serves so many orders that it forgets the oldest ones. A question or a late copy of a
-// forgotten one must not read as new.
-TEST(RequestLedgerTest, WhatIsForgottenIsUnknownAndDoesNotRun) {
+// The ledger evicts the oldest attempts. A query about an evicted attempt, or a delayed copy of it,
+// must not be taken for a new attempt.
+TEST(RequestLedgerTest, EvictedAttemptIsUnknownAndDoesNotRun) {
   LedgerLimits limits;
   limits.max_rows = 4;
   RequestLedger ledger(limits);
@@ -77,7 +77,7 @@
   EXPECT_EQ(OutcomeOfBegin(&ledger, forgotten), Outcome::kUnknown);
 }
 
-TEST(RequestLedgerTest, ForgottenRequestsWithoutAKeyAreUnknownByTheirAge) {
+TEST(RequestLedgerTest, EvictedRequestsWithoutKeyAreUnknownByAge) {
   LedgerLimits limits;
   limits.max_rows = 1;
   RequestLedger ledger(limits);
--- a/servers/agent/session_plan.cc
+++ b/servers/agent/session_plan.cc
@@ -5,14 +5,14 @@
 namespace turmericshift {
 namespace {
 
-constexpr Duration kFirstPause = std::chrono::milliseconds(250);
-constexpr Duration kLongestPause = std::chrono::seconds(5);
-constexpr int kMostDoublings = 6;
+constexpr Duration kMinBackoff = std::chrono::milliseconds(250);
+constexpr Duration kMaxBackoff = std::chrono::seconds(5);
+constexpr int kMaxDoublings = 6;
 
-// Worth of a session, by what it is the only one to give.
-constexpr int kIsPlanner = 8;
-constexpr int kOwnZone = 4;
-constexpr int kNewZone = 2;
+// Score of a session by what no other session provides.
+constexpr int kPlannerScore = 8;
+constexpr int kOwnZoneScore = 4;
+constexpr int kNewZoneScore = 2;
 
 }  // namespace
 
@@ -27,7 +27,8 @@
   }
 }
 
-void SessionPlan::Learn(const std::vector<EntryMember>& members, const std::string& planner) {
+void SessionPlan::UpdateEntries(const std::vector<EntryMember>& members,
+                                const std::string& planner) {
   const std::lock_guard<std::mutex> lock(mutex_);
   if (!planner.empty()) planner_ = planner;
   if (members.empty()) return;
@@ -47,59 +48,59 @@
 
 std::string SessionPlan::Choose(Time now) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  const std::vector<const Entry*> others = InUseBut("");
+  const std::vector<const Entry*> others = InUseExcept("");
   Entry* best = nullptr;
-  int best_worth = 0;
+  int best_score = 0;
   for (auto& [address, entry] : entries_) {
-    if (entry.in_use || now < entry.not_before) continue;
-    const int worth = Worth(entry, others);
-    // Equal ones are drawn, so that the fleet spreads over the entries.
+    if (entry.in_use || now < entry.retry_at) continue;
+    const int score = Score(entry, others);
+    // Ties are broken randomly, so that agents spread over the entries.
     const bool better =
-        best == nullptr || worth > best_worth || (worth == best_worth && random_() % 2 == 0);
+        best == nullptr || score > best_score || (score == best_score && random_() % 2 == 0);
     if (!better) continue;
     best = &entry;
-    best_worth = worth;
+    best_score = score;
   }
   if (best == nullptr) return "";
-  // Beyond enough sessions, one more is tried only for what no session gives; the least of the old
-  // ones ends when it stands, never before.
-  if (others.size() >= max_sessions_ && (best_worth == 0 || others.size() > max_sessions_)) {
+  // With enough sessions, one more is opened only if it scores higher than an existing one. The
+  // session with the lowest score is closed after the new one is connected, never before.
+  if (others.size() >= max_sessions_ && (best_score == 0 || others.size() > max_sessions_)) {
     return "";
   }
   if (others.size() >= max_sessions_) {
-    int least = best_worth;
+    int least = best_score;
     for (const Entry* other : others) {
-      least = std::min(least, Worth(*other, InUseBut(other->member.address)));
+      least = std::min(least, Score(*other, InUseExcept(other->member.address)));
     }
-    if (least >= best_worth) return "";
+    if (least >= best_score) return "";
   }
   best->in_use = true;
   return best->member.address;
 }
 
-void SessionPlan::Opened(const std::string& address) {
+void SessionPlan::MarkOpened(const std::string& address) {
   const std::lock_guard<std::mutex> lock(mutex_);
   Entry& entry = entries_[address];
   entry.open = true;
   entry.failures = 0;
 }
 
-void SessionPlan::Lost(const std::string& address, Time now) {
+void SessionPlan::MarkLost(const std::string& address, Time now) {
   const std::lock_guard<std::mutex> lock(mutex_);
   Entry& entry = entries_[address];
   entry.in_use = false;
   entry.open = false;
-  const Duration longest =
-      std::min(kFirstPause * (1 << std::min(entry.failures, kMostDoublings)), kLongestPause);
+  const Duration max_backoff =
+      std::min(kMinBackoff * (1 << std::min(entry.failures, kMaxDoublings)), kMaxBackoff);
   ++entry.failures;
-  entry.not_before = now + Duration(std::uniform_int_distribution<int64_t>(
-                               longest.count() / 4, longest.count())(random_));
-  if (!entry.listed && !entry.configured && entry.failures > kMostDoublings) {
+  entry.retry_at = now + Duration(std::uniform_int_distribution<int64_t>(
+                             max_backoff.count() / 4, max_backoff.count())(random_));
+  if (!entry.listed && !entry.configured && entry.failures > kMaxDoublings) {
     entries_.erase(address);
   }
 }
 
-bool SessionPlan::StillWanted(const std::string& address) const {
+bool SessionPlan::ShouldKeep(const std::string& address) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   std::vector<const Entry*> open;
   for (const auto& [each, entry] : entries_) {
@@ -107,38 +108,38 @@
   }
   if (open.size() <= max_sessions_) return true;
   const Entry* least = nullptr;
-  int least_worth = 0;
+  int lowest_score = 0;
   for (const Entry* entry : open) {
     std::vector<const Entry*> others = open;
     std::erase(others, entry);
-    const int worth = Worth(*entry, others);
-    if (least != nullptr && worth >= least_worth) continue;
+    const int score = Score(*entry, others);
+    if (least != nullptr && score >= lowest_score) continue;
     least = entry;
-    least_worth = worth;
+    lowest_score = score;
   }
   return least->member.address != address;
 }
 
-void SessionPlan::Released(const std::string& address) {
+void SessionPlan::MarkReleased(const std::string& address) {
   const std::lock_guard<std::mutex> lock(mutex_);
   Entry& entry = entries_[address];
   entry.in_use = false;
   entry.open = false;
 }
 
-int SessionPlan::Worth(const Entry& entry, const std::vector<const Entry*>& others) const {
+int SessionPlan::Score(const Entry& entry, const std::vector<const Entry*>& others) const {
   const std::string& zone = entry.member.zone;
   const bool zone_taken = std::any_of(others.begin(), others.end(), [&](const Entry* other) {
     return !zone.empty() && other->member.zone == zone;
   });
-  int worth = 0;
-  if (!planner_.empty() && entry.member.address == planner_) worth += kIsPlanner;
-  if (zone == zone_ && !zone_taken) worth += kOwnZone;
-  if (!zone_taken) worth += kNewZone;
-  return worth;
+  int score = 0;
+  if (!planner_.empty() && entry.member.address == planner_) score += kPlannerScore;
+  if (zone == zone_ && !zone_taken) score += kOwnZoneScore;
+  if (!zone_taken) score += kNewZoneScore;
+  return score;
 }
 
-std::vector<const SessionPlan::Entry*> SessionPlan::InUseBut(const std::string& address) const {
+std::vector<const SessionPlan::Entry*> SessionPlan::InUseExcept(const std::string& address) const {
   std::vector<const Entry*> result;
   for (const auto& [each, entry] : entries_) {
     if (entry.in_use && each != address) result.push_back(&entry);
--- a/servers/agent/session_plan.h
+++ b/servers/agent/session_plan.h
@@ -1,5 +1,6 @@
-// Which entries an agent keeps sessions with: the planner of its zone, one in its own zone, the
-// others each in a zone of its own, so that one zone's loss leaves the agent heard.
+// Selects the entries that an agent keeps sessions with: the planner of its zone, one entry in its
+// own zone, and others each in a different zone, so that the loss of one zone does not cut the
+// agent off.
 #pragma once
 
 #include <map>
@@ -15,29 +16,31 @@
 
 class SessionPlan {
  public:
-  // `configured` are addresses that stay known for ever; `seed` sets how this agent differs from
-  // others in its choices and pauses.
+  // `configured` are addresses that are never forgotten. `seed` makes the agents differ in their
+  // choices and back-off times.
   SessionPlan(const std::string& zone, int max_sessions, const std::vector<std::string>& configured,
               uint64_t seed);
 
-  // The entries as one of them knows them; those not among them any more are forgotten once they
-  // can't be reached either. `planner` is the address of the zone's planner, "" if unknown.
-  void Learn(const std::vector<EntryMember>& members, const std::string& planner);
+  // Updates the known entries from an entry's member list. Entries that are no longer listed are
+  // forgotten once they are unreachable as well. `planner` is the address of the zone's planner, ""
+  // if unknown.
+  void UpdateEntries(const std::vector<EntryMember>& members, const std::string& planner);
 
-  // The address to connect to now, marked as in use; "" when there is none.
+  // Returns the address to connect to now and marks it as in use. Returns "" if there is none.
   std::string Choose(Time now);
-  // The connection stands; the pauses of that address begin anew.
-  void Opened(const std::string& address);
-  // The connection failed or was lost: no new try for a random, growing pause, so that a fleet does
-  // not come back to a returning entry all at once.
-  void Lost(const std::string& address, Time now);
-  // Whether a session is worth keeping: not if there are more than enough and this one adds least.
-  bool StillWanted(const std::string& address) const;
-  // Given up on purpose.
-  void Released(const std::string& address);
+  // The connection is established. Resets the back-off of the address.
+  void MarkOpened(const std::string& address);
+  // The connection failed or was lost. The address is not tried again for a random, growing time,
+  // so that the agents do not all reconnect to a restarted entry at once.
+  void MarkLost(const std::string& address, Time now);
+  // Whether the session is worth keeping. False for the session with the lowest score if there are
+  // more than enough sessions.
+  bool ShouldKeep(const std::string& address) const;
+  // The session was closed on purpose.
+  void MarkReleased(const std::string& address);
 
   int64_t members_digest() const;
-  // Of the members last learned; before that, the configured ones.
+  // Digest of the last received member list.
   std::vector<std::string> addresses() const;
 
  private:
@@ -48,12 +51,12 @@
     bool in_use = false;
     bool open = false;
     int failures = 0;
-    Time not_before{};
+    Time retry_at{};
   };
 
-  // How much a session with this entry adds to the sessions of `others`; higher is better.
-  int Worth(const Entry& entry, const std::vector<const Entry*>& others) const;
-  std::vector<const Entry*> InUseBut(const std::string& address) const;
+  // Score of a session with this entry beside sessions with `others`. Higher is better.
+  int Score(const Entry& entry, const std::vector<const Entry*>& others) const;
+  std::vector<const Entry*> InUseExcept(const std::string& address) const;
 
   const std::string zone_;
   const size_t max_sessions_;
@@ -61,7 +64,7 @@
   std::minstd_rand random_;
   std::string planner_;
   std::vector<EntryMember> members_;
-  // By address.
+  // Known entries, by address.
   std::map<std::string, Entry> entries_;
 };
 
--- a/servers/agent/session_plan_test.cc
+++ b/servers/agent/session_plan_test.cc
@@ -22,15 +22,15 @@
 
 class SessionPlanTest : public testing::Test {
  protected:
-  // Opens sessions until the plan wants no more; returns them.
+  // Opens sessions until the plan wants no more. Returns the open ones.
   std::set<std::string> OpenAll(SessionPlan* plan) {
     std::set<std::string> open;
     for (std::string next = plan->Choose(now_); !next.empty(); next = plan->Choose(now_)) {
-      plan->Opened(next);
+      plan->MarkOpened(next);
       open.insert(next);
       for (auto each = open.begin(); each != open.end();) {
-        const bool wanted = plan->StillWanted(*each);
-        if (!wanted) plan->Released(*each);
+        const bool wanted = plan->ShouldKeep(*each);
+        if (!wanted) plan->MarkReleased(*each);
         each = wanted ? std::next(each) : open.erase(each);
       }
     }
@@ -40,44 +40,46 @@
   Time now_ = Time{} + std::chrono::hours(1);
 };
 
-// All sessions in one zone would go silent with it, and with them the agent's starts.
-TEST_F(SessionPlanTest, SessionsStandInDifferentZones) {
+// If all sessions were in one zone, the loss of that zone would cut the agent off and end its
+// starts.
+TEST_F(SessionPlanTest, SessionsAreSpreadOverZones) {
   SessionPlan plan("b", 3, {"a0:1", "a1:1", "a2:1"}, 7);
   EXPECT_EQ(OpenAll(&plan).size(), 3U);
-  plan.Learn(Members(3), "");
+  plan.UpdateEntries(Members(3), "");
   std::set<char> zones;
   for (const std::string& address : OpenAll(&plan)) zones.insert(address[0]);
-  plan.Learn(Members(3), "");
+  plan.UpdateEntries(Members(3), "");
   SessionPlan fresh("b", 3, {}, 8);
-  fresh.Learn(Members(3), "");
+  fresh.UpdateEntries(Members(3), "");
   zones.clear();
   for (const std::string& address : OpenAll(&fresh)) zones.insert(address[0]);
   EXPECT_EQ(zones.size(), 3U);
 }
 
-// The zone's planner moves to another entry: the agent goes there without giving up a session
-// before the new one stands.
-TEST_F(SessionPlanTest, ThePlannerIsAlwaysAmongTheSessions) {
+// The zone's planner moves to another entry. The agent must connect to it without closing a session
+// before the new one is connected.
+TEST_F(SessionPlanTest, PlannerAlwaysHasASession) {
   SessionPlan plan("b", 3, {}, 9);
-  plan.Learn(Members(2), "");
+  plan.UpdateEntries(Members(2), "");
   const std::set<std::string> before = OpenAll(&plan);
   ASSERT_EQ(before.size(), 3U);
   std::string planner;
   for (const EntryMember& member : Members(2)) {
     if (before.count(member.address) == 0) planner = member.address;
   }
-  plan.Learn(Members(2), planner);
+  plan.UpdateEntries(Members(2), planner);
   EXPECT_EQ(plan.Choose(now_), planner);
-  for (const std::string& address : before) EXPECT_TRUE(plan.StillWanted(address));
-  plan.Opened(planner);
-  EXPECT_TRUE(plan.StillWanted(planner));
+  for (const std::string& address : before) EXPECT_TRUE(plan.ShouldKeep(address));
+  plan.MarkOpened(planner);
+  EXPECT_TRUE(plan.ShouldKeep(planner));
   EXPECT_EQ(std::count_if(before.begin(), before.end(),
-                          [&](const auto& each) { return plan.StillWanted(each); }),
+                          [&](const auto& each) { return plan.ShouldKeep(each); }),
             2);
 }
 
-// An entry comes back after an outage and all agents want it again; they must not arrive at once.
-TEST_F(SessionPlanTest, AFleetReturnsSpreadOut) {
+// An entry returns after an outage and all agents reconnect to it. They must not do so at the same
+// time.
+TEST_F(SessionPlanTest, AgentsReconnectSpreadOut) {
   std::set<int64_t> moments;
   constexpr int kAgents = 200;
   for (int agent = 0; agent < kAgents; ++agent) {
@@ -85,7 +87,7 @@
     for (int failures = 0; failures < 8; ++failures) {
       Time now = now_ + seconds(10 * failures);
       ASSERT_EQ(plan.Choose(now), "a0:1");
-      plan.Lost("a0:1", now);
+      plan.MarkLost("a0:1", now);
     }
     Time now = now_ + seconds(70);
     EXPECT_EQ(plan.Choose(now + seconds(1)), "");
@@ -94,15 +96,15 @@
     EXPECT_LE(hundredths, 500);
     moments.insert(hundredths / 10);
   }
-  // Over some four seconds, in steps of a tenth.
+  // The reconnects spread over about four seconds, counted in steps of 0.1 s.
   EXPECT_GT(moments.size(), 30U);
 }
 
-TEST_F(SessionPlanTest, EntriesThatAreGoneAreForgotten) {
+TEST_F(SessionPlanTest, RemovedEntriesAreForgotten) {
   SessionPlan plan("a", 3, {"a0:1"}, 3);
-  plan.Learn(Members(1), "");
+  plan.UpdateEntries(Members(1), "");
   EXPECT_EQ(plan.addresses().size(), 3U);
-  plan.Learn({{"a0", "a", "a0:1"}}, "");
+  plan.UpdateEntries({{"a0", "a", "a0:1"}}, "");
   EXPECT_EQ(plan.addresses().size(), 1U);
   EXPECT_EQ(plan.members_digest(), DigestMembers({{"a0", "a", "a0:1"}}));
 }
--- a/servers/agent/slot_limiter.cc
+++ b/servers/agent/slot_limiter.cc
@@ -7,8 +7,8 @@
 namespace turmericshift {
 namespace {
 
-// Weight of the newest sample in the average hold: 1 / this.
-constexpr int kHoldWeight = 8;
+// The newest sample has weight 1/8 in the moving average of the hold time.
+constexpr int kAverageDivisor = 8;
 
 int CountOf(const std::map<std::string, int>& counts, const std::string& workspace) {
   const auto found = counts.find(workspace);
@@ -25,7 +25,7 @@
 SlotLimiter::SlotLimiter(int slots, int connections) : slots_(slots), connections_(connections) {}
 
 SlotLimiter::Slot::~Slot() {
-  if (limiter_ != nullptr) limiter_->Free(workspace_, begun_, DefaultClock().Now());
+  if (limiter_ != nullptr) limiter_->ReleaseSlot(workspace_, acquired_at_, DefaultClock().Now());
 }
 
 SlotLimiter::Slot SlotLimiter::Acquire(const std::string& workspace, const std::string& request_id,
@@ -40,7 +40,8 @@
   if (!changed_.wait_until(lock, deadline, settled)) {
     queue_.erase(place);
     Decrement(&waiting_of_, workspace);
-    throw Error(ErrorKind::kDeadlineExceeded, Outcome::kNotRun, "no slot came free in time");
+    throw Error(ErrorKind::kDeadlineExceeded, Outcome::kNotRun,
+                "no slot became free before the deadline");
   }
   if (waiter.state != WaitState::kGranted) ThrowFor(waiter.state);
   return {this, workspace, DefaultClock().Now()};
@@ -49,25 +50,26 @@
 void SlotLimiter::RequireRoom(const std::string& workspace, Time now, Time deadline) {
   if (closed_) ThrowFor(WaitState::kClosed);
   const int waiting = static_cast<int>(queue_.size());
-  // A request that would only be refused later is better refused now, while its caller can still
-  // go elsewhere. Under fair sharing its own workspace's queue is what it waits behind.
-  const Duration wait = typical_hold_ * (waiting + 1 + std::max(0, running_ - slots_)) / slots_;
+  // A request that would only expire in the queue is refused now, while its caller can still try
+  // another target. Under fair sharing, a request waits mainly behind its own workspace's queue.
+  const Duration wait =
+      average_hold_time_ * (waiting + 1 + std::max(0, running_ - slots_)) / slots_;
   const bool must_wait = running_ >= slots_;
-  const bool in_vain = must_wait && now + wait + typical_hold_ > deadline;
-  if (!in_vain && running_ + waiting < connections_) return;
+  const bool would_expire = must_wait && now + wait + average_hold_time_ > deadline;
+  if (!would_expire && running_ + waiting < connections_) return;
   if (!ShedFor(workspace)) {
-    throw Error(ErrorKind::kOverloaded, "the target has all the requests that it can take");
+    throw Error(ErrorKind::kOverloaded, "the target can't accept more requests at present");
   }
 }
 
 bool SlotLimiter::ShedFor(const std::string& workspace) {
-  const int own = Held(workspace);
+  const int own = Usage(workspace);
   auto victim = queue_.end();
   int most = own + 1;
   for (auto each = queue_.begin(); each != queue_.end(); ++each) {
-    const int held = Held((*each)->workspace);
+    const int held = Usage((*each)->workspace);
     if (held < most || (*each)->workspace == workspace) continue;
-    // The newest of the workspace that holds the most; later ones win ties.
+    // Selects the newest request of the workspace with the highest usage. Later requests win ties.
     most = held;
     victim = each;
   }
@@ -79,7 +81,7 @@
   return true;
 }
 
-int SlotLimiter::Held(const std::string& workspace) const {
+int SlotLimiter::Usage(const std::string& workspace) const {
   return CountOf(running_of_, workspace) + CountOf(waiting_of_, workspace);
 }
 
@@ -97,9 +99,9 @@
     queue_.erase(next);
     Decrement(&waiting_of_, waiter->workspace);
     any = true;
-    // Under overload the slot must not go to one whose answer would come after its deadline, or
-    // every slot is busy with work that nobody waits for.
-    if (!queue_.empty() && now + typical_hold_ > waiter->deadline) {
+    // Under overload, a slot must not go to a request whose answer would come after its deadline.
+    // Otherwise all slots are busy with work that no caller waits for.
+    if (!queue_.empty() && now + average_hold_time_ > waiter->deadline) {
       waiter->state = WaitState::kShed;
       continue;
     }
@@ -144,21 +146,22 @@
   return {running_, static_cast<int>(queue_.size()), slots_};
 }
 
-void SlotLimiter::Free(const std::string& workspace, Time begun, Time now) {
-  const Duration held = now - begun;
+void SlotLimiter::ReleaseSlot(const std::string& workspace, Time acquired_at, Time now) {
+  const Duration held = now - acquired_at;
   const std::lock_guard<std::mutex> lock(mutex_);
   --running_;
   Decrement(&running_of_, workspace);
-  typical_hold_ = typical_hold_ == Duration::zero()
-                      ? held
-                      : typical_hold_ + (held - typical_hold_) / kHoldWeight;
+  average_hold_time_ = average_hold_time_ == Duration::zero()
+                           ? held
+                           : average_hold_time_ + (held - average_hold_time_) / kAverageDivisor;
   Grant(now);
 }
 
 void SlotLimiter::ThrowFor(WaitState state) {
-  if (state == WaitState::kCancelled) throw Error(ErrorKind::kCancelled, "the caller has gone");
+  if (state == WaitState::kCancelled)
+    throw Error(ErrorKind::kCancelled, "the caller has cancelled the request");
   if (state == WaitState::kClosed) throw Error(ErrorKind::kLeaving, "the target is leaving");
-  throw Error(ErrorKind::kOverloaded, "the target has more requests than it can answer in time");
+  throw Error(ErrorKind::kOverloaded, "the target is overloaded and has shed the request");
 }
 
 }  // namespace turmericshift
--- a/servers/agent/slot_limiter.h
+++ b/servers/agent/slot_limiter.h
@@ -1,6 +1,6 @@
-// The target's own limits: so many requests run, a few wait, the rest are refused at once. Slots
-// and waiting room are shared between workspaces by max-min fairness: whoever holds the least is
-// served first, whoever waits with the most is shed first.
+// Limits the concurrency of a target: a fixed number of requests run, some wait, the rest are
+// refused immediately. Slots and queue are shared between workspaces by max-min fairness: the
+// workspace with the lowest usage is served first, the one with the highest is shed first.
 #pragma once
 
 #include <condition_variable>
@@ -17,35 +17,35 @@
 
 class SlotLimiter {
  public:
-  // At most `slots` run and at most `connections` run or wait.
+  // At most `slots` requests run, and at most `connections` run or wait.
   SlotLimiter(int slots, int connections);
 
-  // Holds a slot until destroyed.
+  // Owns a slot until destroyed.
   class Slot {
    public:
-    Slot(SlotLimiter* limiter, std::string workspace, Time begun)
-        : limiter_(limiter), workspace_(std::move(workspace)), begun_(begun) {}
+    Slot(SlotLimiter* limiter, std::string workspace, Time acquired_at)
+        : limiter_(limiter), workspace_(std::move(workspace)), acquired_at_(acquired_at) {}
     Slot(Slot&& other) noexcept
         : limiter_(std::exchange(other.limiter_, nullptr)),
           workspace_(std::move(other.workspace_)),
-          begun_(other.begun_) {}
+          acquired_at_(other.acquired_at_) {}
     Slot& operator=(Slot&&) = delete;
     ~Slot();
 
    private:
     SlotLimiter* limiter_;
     std::string workspace_;
-    Time begun_;
+    Time acquired_at_;
   };
 
-  // Waits for a slot until `deadline`. All with outcome not_run: Error(kOverloaded) when there is
-  // no room to wait or the wait would outlast the deadline, Error(kDeadlineExceeded) when none
-  // came free in time, Error(kCancelled) after CancelWaiting, Error(kLeaving) after Close.
+  // Waits for a slot until `deadline`. Throws, always with outcome not_run: Error(kOverloaded) if
+  // the queue is full or the expected wait exceeds the deadline, Error(kDeadlineExceeded) if no
+  // slot became free in time, Error(kCancelled) after CancelWaiting, Error(kLeaving) after Close.
   Slot Acquire(const std::string& workspace, const std::string& request_id, Time now,
                Time deadline);
-  // Ends the wait of that request, if it waits; returns whether it did.
+  // Cancels the request if it is waiting. Returns whether it was.
   bool CancelWaiting(const std::string& request_id);
-  // Refuses all that wait and all that come; what runs goes on.
+  // Refuses all waiting and future requests. Running requests are not affected.
   void Close();
 
   void SetLimits(int slots, int connections);
@@ -61,13 +61,14 @@
   };
   using Queue = std::list<Waiter*>;
 
-  void Free(const std::string& workspace, Time begun, Time now);
-  // Gives free slots to those who wait.
+  void ReleaseSlot(const std::string& workspace, Time acquired_at, Time now);
+  // Grants free slots to waiting requests.
   void Grant(Time now);
   Queue::iterator NextToRun();
-  // Makes room for `workspace` by shedding the newest waiter of one that has more; whether it did.
+  // Makes room for `workspace` by shedding the newest waiting request of the workspace with the
+  // highest usage, if that exceeds this workspace's. Returns whether a request was shed.
   bool ShedFor(const std::string& workspace);
-  int Held(const std::string& workspace) const;
+  int Usage(const std::string& workspace) const;
   void RequireRoom(const std::string& workspace, Time now, Time deadline);
   [[noreturn]] static void ThrowFor(WaitState state);
 
@@ -78,11 +79,11 @@
   bool closed_ = false;
   int running_ = 0;
   Queue queue_;
-  // Running and waiting, for each workspace that has any.
+  // Numbers of running and waiting requests of each workspace that has any.
   std::map<std::string, int> running_of_;
   std::map<std::string, int> waiting_of_;
-  // Moving average of how long a slot is held; zero before the first.
-  Duration typical_hold_{};
+  // Moving average of the time that a slot is held. Zero before the first sample.
+  Duration average_hold_time_{};
 };
 
 }  // namespace turmericshift
--- a/servers/agent/slot_limiter_test.cc
+++ b/servers/agent/slot_limiter_test.cc
@@ -26,7 +26,7 @@
   while (limiter.load().queued != queued) std::this_thread::yield();
 }
 
-// A thread that waits for a slot and keeps what came of it.
+// A thread that waits for a slot and stores the result.
 struct Waiting {
   Waiting(SlotLimiter* limiter, const std::string& workspace, const std::string& id)
       : thread("wait", [this, limiter, workspace, id] {
@@ -36,9 +36,9 @@
   Thread thread;
 };
 
-// One workspace sends a flood and another a single request. Without fair shedding the single one
-// is refused because the flood has filled the queue.
-TEST(SlotLimiterTest, AFloodGivesWayToAWorkspaceThatHoldsNothing) {
+// One workspace floods the target while another sends a single request. Without fair shedding, the
+// single request is refused because the flood has filled the queue.
+TEST(SlotLimiterTest, FloodingWorkspaceIsShedForIdleWorkspace) {
   SlotLimiter limiter(1, 3);
   SlotPointer running = Take(&limiter, "flood", "f0");
   Waiting first(&limiter, "flood", "f1");
@@ -52,7 +52,7 @@
   EXPECT_EQ(second.outcome.error->outcome(), Outcome::kNotRun);
   WaitForQueue(limiter, 2);
   running.reset();
-  // Neither runs anything now, so the older one is first.
+  // Neither workspace has a running request now, so the older request is first.
   first.thread.Join();
   EXPECT_TRUE(first.outcome.value);
   first.outcome.value.reset();
@@ -60,9 +60,9 @@
   EXPECT_TRUE(single.outcome.value);
 }
 
-// A target leaves while requests wait for a slot. They are refused at once, so that their entries
-// take them elsewhere; what runs goes on.
-TEST(SlotLimiterTest, ClosingRefusesWhatWaits) {
+// A target leaves while requests wait for a slot. They must be refused immediately, so that their
+// entries can send them elsewhere; running requests go on.
+TEST(SlotLimiterTest, CloseRefusesWaitingRequests) {
   SlotLimiter limiter(1, 3);
   const SlotPointer running = Take(&limiter, "a", "1");
   Waiting waiting(&limiter, "a", "2");
@@ -85,7 +85,7 @@
   EXPECT_EQ(waiting.outcome.error->kind(), ErrorKind::kCancelled);
 }
 
-TEST(SlotLimiterTest, MoreSlotsInTheDocumentLetWaitersRun) {
+TEST(SlotLimiterTest, RaisedSlotLimitReleasesWaitingRequests) {
   SlotLimiter limiter(1, 3);
   const SlotPointer running = Take(&limiter, "a", "1");
   Waiting waiting(&limiter, "a", "2");
--- a/servers/agent/start_guard.cc
+++ b/servers/agent/start_guard.cc
@@ -10,11 +10,12 @@
 namespace turmericshift {
 namespace {
 
-// A silent entry counts no longer after this time, if it said that it can't read the log or if the
-// log was read by others since; otherwise one lost machine would stop all starts for as long as the
-// log is down.
-constexpr Duration kForgetSilent = std::chrono::seconds(60);
-// One zone's entries may share one broken path to the log.
+// The status of a silent entry is dropped after this time, if the entry reported that it can't read
+// the log or if others have read the log since. Otherwise the loss of one machine would block all
+// starts for as long as the log is down.
+constexpr Duration kSilentEntryTimeout = std::chrono::seconds(60);
+// Number of zones whose entries must report that the log is down, as the entries of one zone may
+// share a broken path to the log.
 constexpr size_t kZonesThatAgree = 2;
 
 }  // namespace
@@ -24,37 +25,38 @@
 
 void StartGuard::HandleHeartbeatReply(const EntryBeat& beat, Time sent) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  if (!Belongs(beat)) {
+  if (!IsConsistent(beat)) {
     LogEvent(LogLevel::kError, "config_foreign",
              {{"entry", beat.self.process},
               {"environment", beat.environment},
               {"version", beat.config_version}});
     return;
   }
-  heard_at_ = std::max(heard_at_, sent);
+  newest_reply_sent_at_ = std::max(newest_reply_sent_at_, sent);
   if (environment_name_.empty()) environment_name_ = beat.environment;
-  if (beat.config_version > version_ && !beat.config_text.empty()) Take(beat);
-  // A view that lacks the entry's version is not as fresh as the entry.
+  if (beat.config_version > version_ && !beat.config_text.empty()) ApplyDocument(beat);
+  // The agent's view is not as fresh as the entry's if it lacks the entry's version.
   if (version_ < beat.config_version) return;
-  // An entry that has read nothing since it started may have accepted a document before that, so
-  // what it said earlier stays; it says nothing new.
+  // An entry that has read nothing since its start may have accepted a document before it, so its
+  // earlier status stays in force. It adds nothing new.
   if (beat.freshness.age < Duration::zero()) {
-    // Unless it says that it can't, it is about to read, and may accept a document unheard later.
+    // Unless the entry reports that reads fail, it is about to read the log, and may then accept a
+    // document that this agent does not receive.
     if (!beat.freshness.failing) {
       statements_.try_emplace(beat.self.process,
-                              Statement{beat.self, beat.config_version, sent, false});
+                              EntryStatement{beat.self, beat.config_version, sent, false});
     }
     return;
   }
-  Statement& statement = statements_[beat.self.process];
+  EntryStatement& statement = statements_[beat.self.process];
   if (sent < statement.sent) return;
   statement = {beat.self, beat.config_version, sent, beat.freshness.failing};
-  // The age was measured after this heartbeat was sent, so this never claims too much, also when
-  // either process was paused in between.
-  KnowAllBefore(sent - beat.freshness.age);
+  // The age was measured after this heartbeat was sent, so the computed time is never too recent,
+  // even if a process was paused in between.
+  AdvanceFreshness(sent - beat.freshness.age);
 }
 
-bool StartGuard::Belongs(const EntryBeat& beat) const {
+bool StartGuard::IsConsistent(const EntryBeat& beat) const {
   if (!environment_name_.empty() && !beat.environment.empty() &&
       beat.environment != environment_name_) {
     return false;
@@ -63,11 +65,11 @@
          beat.config_digest == digest_ || version_ == 0;
 }
 
-void StartGuard::Take(const EntryBeat& beat) {
+void StartGuard::ApplyDocument(const EntryBeat& beat) {
   const std::string digest = Digest(beat.config_text);
   try {
     if (!beat.config_digest.empty() && beat.config_digest != digest) {
-      throw Error(ErrorKind::kInvalidInput, "the document was damaged on its way here");
+      throw Error(ErrorKind::kInvalidInput, "the document does not match its digest");
     }
     environment_ = std::make_shared<const Environment>(
         ParseEnvironment("version " + std::to_string(beat.config_version), beat.config_text));
@@ -83,23 +85,23 @@
   }
 }
 
-void StartGuard::KnowAllBefore(Time time) {
+void StartGuard::AdvanceFreshness(Time time) {
   if (ever_fresh_ && time <= fresh_at_) return;
   fresh_at_ = time;
   ever_fresh_ = true;
-  // An entry that fell silent a moment ago may only be out of this agent's reach and read on, so
-  // others' reads don't end what it may accept; one silent for long while the log was read has
-  // gone.
+  // An entry that became silent recently may only be unreachable from this agent and still read the
+  // log, so a read by another entry does not clear its status. An entry that has been silent for
+  // long while others read the log is gone.
   std::erase_if(statements_,
-                [&](const auto& each) { return each.second.sent < time - kForgetSilent; });
+                [&](const auto& each) { return each.second.sent < time - kSilentEntryTimeout; });
 }
 
 bool StartGuard::LogIsDown(Time now) const {
   std::set<std::string> zones;
   for (const auto& [process, statement] : statements_) {
     const Duration silence = now - statement.sent;
-    if (statement.log_failing && silence > kForgetSilent) continue;
-    // It may read the log, and accept a document there, unheard by this agent.
+    if (statement.log_failing && silence > kSilentEntryTimeout) continue;
+    // The entry may read the log and accept a document that this agent does not receive.
     const bool may_read = !statement.log_failing || silence > environment_->bounds.zone_out;
     if (may_read) return false;
     zones.insert(statement.entry.zone);
@@ -110,10 +112,11 @@
 
 void StartGuard::RequireStartAllowed(Time now) const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  if (!environment_ || !ever_fresh_) throw Error(ErrorKind::kStale, "no document is known yet");
+  if (!environment_ || !ever_fresh_)
+    throw Error(ErrorKind::kStale, "no configuration document was received yet");
   const bool fresh = now - fresh_at_ <= environment_->bounds.zone_out;
   if (!fresh && !LogIsDown(now)) {
-    throw Error(ErrorKind::kStale, "the newest document may not be known here");
+    throw Error(ErrorKind::kStale, "the newest configuration document may not have been received");
   }
   const AvailabilityZoneSpec* zone = environment_->FindZone(zone_);
   if (zone == nullptr || !zone->in) {
@@ -131,9 +134,9 @@
   return environment_;
 }
 
-bool StartGuard::heard_within(Duration limit, Time now) const {
+bool StartGuard::received_reply_within(Duration limit, Time now) const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return now - heard_at_ <= limit;
+  return now - newest_reply_sent_at_ <= limit;
 }
 
 std::vector<HeardEntry> StartGuard::heard(Time now) const {
--- a/servers/agent/start_guard.h
+++ b/servers/agent/start_guard.h
@@ -1,5 +1,5 @@
-// Whether this agent may start work now: only when it is sure that its zone has not been taken out
-// longer ago than the bound. docs/notes/zone-out.md argues the rule.
+// Decides whether this agent may start work: only if its zone can't have been taken out longer ago
+// than the zone-out bound. docs/notes/zone-out.md explains the rule.
 #pragma once
 
 #include <map>
@@ -15,41 +15,44 @@
 
 class StartGuard {
  public:
-  // `agent` names this agent in the log lines.
+  // `agent` identifies this agent in log lines.
   explicit StartGuard(const std::string& zone, const std::string& agent = "");
 
-  // An entry's answer to a heartbeat that was sent at `sent`. Takes the document over if it is
-  // newer; versions never fall. A document that can't be read, is damaged or belongs to another
-  // environment is refused and logged.
+  // Handles an entry's reply to a heartbeat sent at `sent`. Adopts the reply's document if its
+  // version is newer; the version never decreases. A document that is unreadable, damaged or of
+  // another environment is rejected and logged.
   void HandleHeartbeatReply(const EntryBeat& beat, Time sent);
 
-  // Throws Error(kStale) or Error(kLeaving), outcome not_run, when nothing may start at `now`.
+  // Throws Error(kStale) or Error(kLeaving), with outcome not_run, if no work may start at `now`.
   void RequireStartAllowed(Time now) const;
 
   const std::string& zone() const { return zone_; }
   int64_t config_version() const;
-  // Null before the first document.
+  // The document in force. Null before the first one was received.
   std::shared_ptr<const Environment> environment() const;
-  // The agent has heard any entry within the lease.
-  bool heard_within(Duration limit, Time now) const;
-  // What each entry last said, for other entries.
+  // Whether a reply to a heartbeat that was sent within `limit` has been received.
+  bool received_reply_within(Duration limit, Time now) const;
+  // The last known version of each entry and the age of its reply, for reporting to other entries.
   std::vector<HeardEntry> heard(Time now) const;
 
  private:
-  // What an entry last said about itself.
-  struct Statement {
+  // The last status that an entry reported about itself.
+  struct EntryStatement {
     EntryMember entry;
     int64_t version = 0;
     Time sent{};
     bool log_failing = false;
   };
 
-  // False for a beat of another environment, or of another document under the same version.
-  bool Belongs(const EntryBeat& beat) const;
-  void Take(const EntryBeat& beat);
-  // All accepted before `time` is known here, so what entries said earlier does not matter.
-  void KnowAllBefore(Time time);
-  // All entries say that they can't read the log, so none can have accepted a document.
+  // Returns false for a reply from another environment, or with another document under the version
+  // in force.
+  bool IsConsistent(const EntryBeat& beat) const;
+  void ApplyDocument(const EntryBeat& beat);
+  // Records that all documents accepted before `time` are known here, so that earlier statements of
+  // entries no longer matter.
+  void AdvanceFreshness(Time time);
+  // Whether all entries report that they can't read the log, so that none can have accepted a
+  // document.
   bool LogIsDown(Time now) const;
 
   const std::string zone_;
@@ -61,9 +64,9 @@
   std::shared_ptr<const Environment> environment_;
   Time fresh_at_{};
   bool ever_fresh_ = false;
-  Time heard_at_{};
-  // By process name.
-  std::map<std::string, Statement> statements_;
+  Time newest_reply_sent_at_{};
+  // Last status of each entry, by process name.
+  std::map<std::string, EntryStatement> statements_;
 };
 
 }  // namespace turmericshift
--- a/servers/agent/start_guard_test.cc
+++ b/servers/agent/start_guard_test.cc
@@ -23,7 +23,7 @@
 
 class StartGuardTest : public testing::Test {
  protected:
-  // What an entry of zone `zone` answers; `age` of its newest read, `failing` reads now.
+  // Reply of an entry in `zone` whose newest read is `age` old; `failing` if its reads fail now.
   EntryBeat Beat(const std::string& zone, int64_t version, Duration age, bool failing) const {
     EntryBeat beat;
     beat.self = {"entry-" + zone, zone, "10.0.0.1:1"};
@@ -48,27 +48,28 @@
   Time now_ = Time{} + std::chrono::hours(1);
 };
 
-// The agent hears nobody: it can't know whether its zone was taken out meanwhile.
-TEST_F(StartGuardTest, HearingNobodyEndsStartsAfterTheBound) {
+// Without replies, the agent can't know whether its zone was taken out meanwhile.
+TEST_F(StartGuardTest, NoStartsAfterBoundWithoutReplies) {
   EXPECT_FALSE(MayStart(now_));
   guard_.HandleHeartbeatReply(Beat("a", 1, milliseconds(100), false), now_);
   EXPECT_TRUE(MayStart(now_ + milliseconds(2900)));
   EXPECT_FALSE(MayStart(now_ + milliseconds(2901)));
 }
 
-// One entry lost its way to the log while others read it: operators may take the zone out there.
-TEST_F(StartGuardTest, AnEntryThatCannotReadDoesNotVouchAloneForTheLog) {
+// One entry can't reach the log while others read it, so operators may take the zone out through
+// those.
+TEST_F(StartGuardTest, OneEntryReportingLogFailureIsNotEnough) {
   guard_.HandleHeartbeatReply(Beat("a", 1, Duration{}, false), now_);
   guard_.HandleHeartbeatReply(Beat("b", 1, Duration{}, false), now_ + milliseconds(1));
   guard_.HandleHeartbeatReply(Beat("a", 1, seconds(4), true), now_ + seconds(4));
   EXPECT_FALSE(MayStart(now_ + seconds(4)));
-  // The other one still reads: its word is enough.
+  // The other entry still reads the log, which is sufficient.
   guard_.HandleHeartbeatReply(Beat("b", 1, milliseconds(200), false), now_ + seconds(4));
   EXPECT_TRUE(MayStart(now_ + seconds(5)));
 }
 
-// The log is down for all entries: accepted work goes on, for nobody can have accepted a document.
-TEST_F(StartGuardTest, WorkGoesOnWhileEveryEntrySaysThatTheLogIsDown) {
+// The log is down for all entries, so none can have accepted a document and work may go on.
+TEST_F(StartGuardTest, StartsContinueWhileAllEntriesReportLogDown) {
   for (const char* zone : {"a", "b"})
     guard_.HandleHeartbeatReply(Beat(zone, 1, Duration{}, false), now_);
   const Time later = now_ + seconds(600);
@@ -76,14 +77,14 @@
   EXPECT_FALSE(MayStart(later));
   guard_.HandleHeartbeatReply(Beat("b", 1, seconds(599), true), later);
   EXPECT_TRUE(MayStart(later));
-  // One falls silent: it may be the one that reads again.
+  // The silent entry may be able to read the log again.
   guard_.HandleHeartbeatReply(Beat("a", 1, seconds(604), true), later + seconds(4));
   EXPECT_FALSE(MayStart(later + seconds(4)));
 }
 
-// An entry that still read the log died during the outage; what it accepted last may have reached
-// no agent. Only a read by another entry shows that there was nothing.
-TEST_F(StartGuardTest, AReaderThatDiedIsNotForgottenUntilTheLogIsReadAgain) {
+// An entry that could read the log died during the outage. The document it accepted last may have
+// reached no agent. Only a read by another entry shows that there was none.
+TEST_F(StartGuardTest, DeadReaderCountsUntilLogIsReadAgain) {
   for (const char* zone : {"a", "b", "c"})
     guard_.HandleHeartbeatReply(Beat(zone, 1, Duration{}, false), now_);
   const Time later = now_ + seconds(600);
@@ -97,10 +98,10 @@
   EXPECT_TRUE(MayStart(again));
 }
 
-// The way to one entry breaks while it goes on reading the log; just afterwards the other entries,
-// whose last read is newer than its last word, lose the log. Operators can still take the zone out
-// at the first, and shops would see work start in a zone that is under maintenance.
-TEST_F(StartGuardTest, AReaderThatFellSilentCountsThoughOthersReadOnceMore) {
+// The connection to one entry breaks while the entry goes on reading the log. Then the other
+// entries, whose last read is newer than its last reply, lose the log. Operators can still take the
+// zone out at the first entry, so no work may start.
+TEST_F(StartGuardTest, SilentReaderCountsAfterOthersRead) {
   for (const char* zone : {"a", "b", "c"})
     guard_.HandleHeartbeatReply(Beat(zone, 1, Duration{}, false), now_);
   for (const char* zone : {"a", "b"}) {
@@ -112,9 +113,10 @@
   EXPECT_FALSE(MayStart(later));
 }
 
-// An entry has just started when the way to it breaks; the others lose the log a moment later. It
-// has read nothing yet when it was last heard, but it reads on and takes operators' orders.
-TEST_F(StartGuardTest, AnEntryThatWasAboutToReadCounts) {
+// The connection to an entry breaks just after the entry has started, and the others lose the log
+// shortly after. The entry had read nothing at its last reply, but may read the log and accept
+// documents since.
+TEST_F(StartGuardTest, EntryAboutToReadCounts) {
   for (const char* zone : {"a", "b"})
     guard_.HandleHeartbeatReply(Beat(zone, 1, Duration{}, false), now_);
   guard_.HandleHeartbeatReply(Beat("c", 0, Duration(-1), false), now_);
@@ -124,8 +126,8 @@
   EXPECT_FALSE(MayStart(later));
 }
 
-// An entry restarted during the outage knows nothing of what it accepted before.
-TEST_F(StartGuardTest, ARestartedEntryDoesNotVouch) {
+// An entry that restarted during the outage does not know which documents it accepted before.
+TEST_F(StartGuardTest, RestartedEntryIsNoEvidenceOfLogFailure) {
   for (const char* zone : {"a", "b"})
     guard_.HandleHeartbeatReply(Beat(zone, 1, Duration{}, false), now_);
   const Time later = now_ + seconds(10);
@@ -134,9 +136,9 @@
   EXPECT_FALSE(MayStart(later));
 }
 
-// A process that was paused holds an answer whose age no longer holds; time is counted from before
-// the question was sent.
-TEST_F(StartGuardTest, ALateAnswerClaimsNoMoreThanItsQuestion) {
+// A process that was paused holds a reply whose age is outdated. The age must count from before the
+// heartbeat was sent.
+TEST_F(StartGuardTest, DelayedReplyCountsFromRequestTime) {
   guard_.HandleHeartbeatReply(Beat("a", 1, Duration{}, false), now_);
   const Time woke = now_ + seconds(300);
   EXPECT_FALSE(MayStart(woke));
@@ -144,11 +146,11 @@
   EXPECT_FALSE(MayStart(woke));
 }
 
-TEST_F(StartGuardTest, VersionsNeverFallAndAnOutZoneStaysOut) {
+TEST_F(StartGuardTest, VersionNeverDecreasesAndZoneStaysOut) {
   guard_.HandleHeartbeatReply(Beat("a", 1, Duration{}, false), now_);
   guard_.HandleHeartbeatReply(Beat("b", 2, Duration{}, false), now_ + seconds(1));
   EXPECT_FALSE(MayStart(now_ + seconds(1)));
-  // The other entry is behind and does not know yet.
+  // The other entry lags and does not know version 2 yet.
   EntryBeat old = Beat("a", 1, Duration{}, false);
   old.config_text = Document("in");
   guard_.HandleHeartbeatReply(old, now_ + seconds(2));
@@ -156,7 +158,7 @@
   EXPECT_FALSE(MayStart(now_ + seconds(2)));
 }
 
-// An agent's settings name an entry of another environment: its documents must not mix in.
+// An agent's settings name an entry of another environment, whose documents must not be adopted.
 TEST_F(StartGuardTest, DocumentsOfAnotherEnvironmentAreRefused) {
   EntryBeat trial = Beat("a", 1, Duration{}, false);
   trial.environment = "trial";
