--- a/servers/pool/advice_fetcher.cc
+++ b/servers/pool/advice_fetcher.cc
@@ -6,10 +6,11 @@
 namespace turmericshift::pool {
 namespace {
 
-// How long a question is waited for before the thread looks whether it should end.
-constexpr Duration kQuestionWait = std::chrono::milliseconds(500);
-// Thirty workers take the service some hundred milliseconds; calls of other VMs go in between.
-constexpr Duration kAnswerTimeout = std::chrono::milliseconds(2000);
+// Longest wait for a request before the thread checks whether to stop.
+constexpr Duration kStopCheckInterval = std::chrono::milliseconds(500);
+// A call that names thirty workers takes the service some hundred milliseconds; calls of other VMs
+// may be served before it.
+constexpr Duration kCallTimeout = std::chrono::milliseconds(2000);
 
 }  // namespace
 
@@ -20,22 +21,22 @@
 
 void AdviceFetcher::Run() {
   while (!stopping_.load()) {
-    const std::optional<AdviceRequest> question = planner_->NextQuestion(kQuestionWait);
-    if (!question) continue;
-    const Time asked = LeaseClock().Now();
+    const std::optional<AdviceRequest> request = planner_->NextQuestion(kStopCheckInterval);
+    if (!request) continue;
+    const Time asked_at = LeaseClock().Now();
     try {
-      const AdviceResponse answer = advice_->Ask(*question, kAnswerTimeout);
+      const AdviceResponse response = advice_->Ask(*request, kCallTimeout);
       LogEvent(LogLevel::kInfo, "advice_given",
-               {{"job", question->step.job},
-                {"step", question->step.place.step},
-                {"asked", question->workers.size()},
-                {"good", answer.allowed.size()},
-                {"valid_s", Seconds(answer.valid_for)},
-                {"seconds", Seconds(LeaseClock().Now() - asked)}});
-      planner_->HandleAdvice(*question, answer, asked);
+               {{"job", request->step.job},
+                {"step", request->step.place.step},
+                {"asked", request->workers.size()},
+                {"good", response.allowed.size()},
+                {"valid_s", Seconds(response.valid_for)},
+                {"seconds", Seconds(LeaseClock().Now() - asked_at)}});
+      planner_->HandleAdvice(*request, response, asked_at);
     } catch (const Error& error) {
       LogEvent(LogLevel::kWarning, "advice_missing",
-               {{"job", question->step.job}, {"error", error.what()}});
+               {{"job", request->step.job}, {"error", error.what()}});
       planner_->AdviceFailed(LeaseClock().Now());
     }
   }
--- a/tests/stand_ins/request_cluster.h
+++ b/tests/stand_ins/request_cluster.h
@@ -26,7 +26,7 @@
   static constexpr size_t kKeptKeys = 64;
 
   MetricsRegistry metrics;
-  ReplicatedRequests replicated_requests;
+  RequestFold fold;
   StreamClient stream;
   AgentDirectory directory;
   RequestRouter router;
