--- a/servers/agent/agent_server.cc
+++ b/servers/agent/agent_server.cc
@@ -204,8 +204,8 @@
   // A silent session may only be slow, so it is kept until a new session is connected. The entry
   // then resolves over the new session the calls that were in flight on the old one.
   std::shared_ptr<EntryPort> suspect;
-  bool again = true;
-  while (again) {
+  bool reconnect = true;
+  while (reconnect) {
     std::shared_ptr<EntryPort> port;
     try {
       port = connector_->Connect(address, options_.hello, this);
@@ -214,11 +214,11 @@
       suspect.reset();
       KeepSession(address, port.get());
       plan_.MarkReleased(address);
-      again = false;
+      reconnect = false;
     } catch (const Error& error) {
       LogEvent(LogLevel::kWarning, "entry_lost", {{"entry", address}, {"error", error.what()}});
-      again = error.kind() == ErrorKind::kDeadlineExceeded && port;
-      if (!again) plan_.MarkLost(address, DefaultClock().Now());
+      reconnect = error.kind() == ErrorKind::kDeadlineExceeded && port;
+      if (!reconnect) plan_.MarkLost(address, DefaultClock().Now());
       suspect = std::move(port);
     }
     MarkClosed(address);
@@ -230,33 +230,34 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     connected_.insert(address);
   }
-  int beats = 0;
+  int heartbeats = 0;
   int64_t changes = 0;
   do {
     changes = task_changes_.load();
     const Time sent = DefaultClock().Now();
-    AgentBeat own = MakeHeartbeat();
-    own.members_digest = plan_.members_digest();
-    if (beats++ % kHeartbeatsPerEntryReport == 0) own.heard = guard_.heard(sent);
-    EntryBeat beat = port->Heartbeat(own, options_.heartbeat_timeout);
-    guard_.HandleHeartbeatReply(beat, sent);
+    AgentBeat heartbeat = MakeHeartbeat();
+    heartbeat.members_digest = plan_.members_digest();
+    if (heartbeats++ % kHeartbeatsPerEntryReport == 0)
+      heartbeat.heard = guard_.entry_statements(sent);
+    EntryBeat reply = port->Heartbeat(heartbeat, options_.heartbeat_timeout);
+    guard_.HandleHeartbeatReply(reply, sent);
     ApplyLimits();
-    plan_.UpdateEntries(beat.members, beat.planner_address);
-    beat.entries = plan_.addresses();
-    if (gangs_) gangs_->HandleHeartbeatReply(address, beat, sent);
-    if (own.leaving) MarkNotified(address);
+    plan_.UpdateEntries(reply.members, reply.planner_address);
+    reply.entries = plan_.addresses();
+    if (gangs_) gangs_->HandleHeartbeatReply(address, reply, sent);
+    if (heartbeat.leaving) MarkNotified(address);
   } while (!PauseUntilChange(options_.heartbeat, changes) && plan_.ShouldKeep(address));
 }
 
 AgentBeat AgentServer::MakeHeartbeat() const {
-  AgentBeat beat;
-  beat.load = limiter_.load();
-  beat.config_version = guard_.config_version();
-  beat.leaving = leaving_.load();
+  AgentBeat heartbeat;
+  heartbeat.load = limiter_.load();
+  heartbeat.config_version = guard_.config_version();
+  heartbeat.leaving = leaving_.load();
   if (gangs_) {
-    gangs_->FillHeartbeat(&beat, DefaultClock().Now());
+    gangs_->FillHeartbeat(&heartbeat, DefaultClock().Now());
   }
-  return beat;
+  return heartbeat;
 }
 
 void AgentServer::RunExpiry() {
--- a/servers/agent/gang_host.cc
+++ b/servers/agent/gang_host.cc
@@ -22,9 +22,9 @@
                    const std::string& name)
     : capacity_(capacity), worker_(worker), guard_(guard), name_(name) {}
 
-void GangHost::HandleHeartbeatReply(const std::string& entry, const EntryBeat& beat, Time sent) {
+void GangHost::HandleHeartbeatReply(const std::string& entry, const EntryBeat& reply, Time sent) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  planner_.HandleHeartbeatReply(entry, beat, sent);
+  planner_.HandleHeartbeatReply(entry, reply, sent);
 }
 
 void GangHost::Reserve(const GangReserve& reserve, Time now) {
@@ -42,7 +42,7 @@
     if (key.first != reserve.job || AllTasksEnded(part)) continue;
     throw Error(ErrorKind::kConflict, "another attempt of the job is on this worker");
   }
-  RequireRoom(reserve);
+  RequireResources(reserve);
   Part part;
   part.reserve = reserve;
   part.expires_at = now + reserve.hold;
@@ -184,13 +184,13 @@
   return changed;
 }
 
-void GangHost::FillHeartbeat(AgentBeat* beat, Time now) const {
+void GangHost::FillHeartbeat(AgentBeat* heartbeat, Time now) const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  beat->planner_epoch = worker_state_known_ ? reports_epoch_ : kNoSequence;
-  beat->planner_silence = planner_.silence(now);
-  beat->sent_at = now.time_since_epoch().count();
-  beat->report_age = now - reports_at_;
-  for (const auto& [id, report] : reports_) beat->tasks.push_back(report);
+  heartbeat->planner_epoch = worker_state_known_ ? reports_epoch_ : kNoSequence;
+  heartbeat->planner_silence = planner_.silence(now);
+  heartbeat->sent_at = now.time_since_epoch().count();
+  heartbeat->report_age = now - reports_at_;
+  for (const auto& [id, report] : reports_) heartbeat->tasks.push_back(report);
 }
 
 Sequence GangHost::epoch() const {
@@ -241,7 +241,7 @@
   return found->second;
 }
 
-void GangHost::RequireRoom(const GangReserve& reserve) const {
+void GangHost::RequireResources(const GangReserve& reserve) const {
   TaskShape used;
   uint32_t taken = 0;
   for (const auto& [key, part] : parts_) {
--- a/servers/agent/gang_host.h
+++ b/servers/agent/gang_host.h
@@ -24,7 +24,7 @@
   GangHost(const TaskShape& capacity, WorkerService* worker, const StartGuard* guard,
            const std::string& name = "");
 
-  void HandleHeartbeatReply(const std::string& entry, const EntryBeat& beat, Time sent);
+  void HandleHeartbeatReply(const std::string& entry, const EntryBeat& reply, Time sent);
 
   // The gang operations of AgentPort.
   void Reserve(const GangReserve& reserve, Time now);
@@ -40,7 +40,7 @@
   bool Expire(Time now);
 
   // Fills in the tasks and planner epoch of a heartbeat.
-  void FillHeartbeat(AgentBeat* beat, Time now) const;
+  void FillHeartbeat(AgentBeat* heartbeat, Time now) const;
   Sequence epoch() const;
   // Whether nothing is reserved, held or running.
   bool idle() const;
@@ -65,7 +65,7 @@
   // work.
   void RequireCurrentPlanner(Time now) const;
   Part& RequirePart(const std::string& job, int64_t attempt);
-  void RequireRoom(const GangReserve& reserve) const;
+  void RequireResources(const GangReserve& reserve) const;
   Duration lease() const;
 
   // Whether every task of the part has ended, according to the newest reports.
--- a/servers/agent/gang_host_test.cc
+++ b/servers/agent/gang_host_test.cc
@@ -16,8 +16,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr Sequence kOld = 10;
-constexpr Sequence kNew = 20;
+constexpr Sequence kOldEpoch = 10;
+constexpr Sequence kNewEpoch = 20;
 constexpr Duration kLease = seconds(10);
 constexpr const char* kEntry = "10.0.0.1:1";
 constexpr const char* kOtherEntry = "10.0.0.2:1";
@@ -56,27 +56,27 @@
   }
 
   void DeliverDocument() {
-    EntryBeat beat;
-    beat.config_version = 1;
-    beat.config_text = kDocument;
-    beat.freshness.age = Duration::zero();
-    guard_.HandleHeartbeatReply(beat, clock_.Now());
+    EntryBeat reply;
+    reply.config_version = 1;
+    reply.config_text = kDocument;
+    reply.freshness.age = Duration::zero();
+    guard_.HandleHeartbeatReply(reply, clock_.Now());
   }
 
   // Creates a new host, as after a restart of the agent's process.
   void StartAgent() {
     host_ = std::make_unique<GangHost>(TaskShape{8, int64_t{8} << 30, 8}, &worker_, &guard_);
     host_->Expire(clock_.Now());
-    DeliverReply(kOld);
+    DeliverReply(kOldEpoch);
   }
 
   void DeliverReply(Sequence epoch, const std::string& entry = kEntry, bool failing = false) {
-    EntryBeat beat;
-    beat.planner_epoch = epoch;
-    beat.planner_active = true;
-    beat.jobs_freshness = {failing ? Duration(seconds(60)) : Duration::zero(), failing};
-    beat.entries = {kEntry, kOtherEntry};
-    host_->HandleHeartbeatReply(entry, beat, clock_.Now());
+    EntryBeat reply;
+    reply.planner_epoch = epoch;
+    reply.planner_active = true;
+    reply.jobs_freshness = {failing ? Duration(seconds(60)) : Duration::zero(), failing};
+    reply.entries = {kEntry, kOtherEntry};
+    host_->HandleHeartbeatReply(entry, reply, clock_.Now());
   }
 
   GangReserve Part(Sequence epoch, int64_t attempt, uint32_t accelerators = 1) const {
@@ -97,12 +97,12 @@
   }
 
   void Run(int64_t attempt, Duration lease = kLease) {
-    host_->Reserve(Part(kOld, attempt), clock_.Now());
-    host_->Start({kOld, "boxes/weekly", attempt, "1h", ""}, clock_.Now());
-    host_->Release(Action(kOld, attempt, lease), clock_.Now());
+    host_->Reserve(Part(kOldEpoch, attempt), clock_.Now());
+    host_->Start({kOldEpoch, "boxes/weekly", attempt, "1h", ""}, clock_.Now());
+    host_->Release(Action(kOldEpoch, attempt, lease), clock_.Now());
   }
 
-  void Pass(Duration step) {
+  void AdvanceTime(Duration step) {
     clock_.Advance(step);
     host_->Expire(clock_.Now());
   }
@@ -119,28 +119,28 @@
 // or it would start, extend or end work that now belongs to the successor.
 TEST_F(GangHostTest, AllCallsOfAReplacedPlannerAreFenced) {
   Run(1);
-  DeliverReply(kNew);
+  DeliverReply(kNewEpoch);
   const Time now = clock_.Now();
-  EXPECT_EQ(KindOf([&] { host_->Reserve(Part(kOld, 2, 2), now); }), ErrorKind::kFenced);
+  EXPECT_EQ(KindOf([&] { host_->Reserve(Part(kOldEpoch, 2, 2), now); }), ErrorKind::kFenced);
   EXPECT_EQ(KindOf([&] {
-              host_->Start({kOld, "boxes/weekly", 1, "", ""}, now);
+              host_->Start({kOldEpoch, "boxes/weekly", 1, "", ""}, now);
             }),
             ErrorKind::kFenced);
-  EXPECT_EQ(KindOf([&] { host_->Release(Action(kOld, 1), now); }), ErrorKind::kFenced);
-  EXPECT_EQ(KindOf([&] { host_->Renew(Action(kOld, 1), now); }), ErrorKind::kFenced);
-  EXPECT_EQ(KindOf([&] { host_->Stop(Action(kOld, 1), now); }), ErrorKind::kFenced);
-  EXPECT_EQ(KindOf([&] { host_->Forget(Action(kOld, 1), now); }), ErrorKind::kFenced);
+  EXPECT_EQ(KindOf([&] { host_->Release(Action(kOldEpoch, 1), now); }), ErrorKind::kFenced);
+  EXPECT_EQ(KindOf([&] { host_->Renew(Action(kOldEpoch, 1), now); }), ErrorKind::kFenced);
+  EXPECT_EQ(KindOf([&] { host_->Stop(Action(kOldEpoch, 1), now); }), ErrorKind::kFenced);
+  EXPECT_EQ(KindOf([&] { host_->Forget(Action(kOldEpoch, 1), now); }), ErrorKind::kFenced);
   EXPECT_EQ(phase(), TaskPhase::kRunning);
-  EXPECT_EQ(KindOf([&] { host_->Renew(Action(kNew, 1), now); }), std::nullopt);
+  EXPECT_EQ(KindOf([&] { host_->Renew(Action(kNewEpoch, 1), now); }), std::nullopt);
 }
 
 // The planner's entry dies and nobody renews the lease. The work must be checkpointed and stopped
 // before a successor, which waits for the lease to expire, may start it elsewhere.
 TEST_F(GangHostTest, UnrenewedGangIsCheckpointedAndStoppedBeforeLeaseExpiry) {
   Run(1);
-  Pass(seconds(8));
+  AdvanceTime(seconds(8));
   EXPECT_EQ(phase(), TaskPhase::kRunning);
-  Pass(milliseconds(1100));
+  AdvanceTime(milliseconds(1100));
   EXPECT_EQ(phase(), TaskPhase::kStopped);
   EXPECT_EQ(ParseDuration(worker_.Report().at(0).checkpoint), milliseconds(9100));
 }
@@ -149,7 +149,7 @@
 // must not run alone for a whole lease.
 TEST_F(GangHostTest, ReleasedMemberStopsAfterFirstLeaseUnlessRenewed) {
   Run(1, seconds(2));
-  Pass(seconds(2));
+  AdvanceTime(seconds(2));
   EXPECT_EQ(phase(), TaskPhase::kStopped);
 }
 
@@ -157,12 +157,12 @@
 // the delayed renewal must not keep the old one running.
 TEST_F(GangHostTest, DelayedRenewalDoesNotExtendLease) {
   Run(1);
-  GangAction renewal = Action(kOld, 1);
+  GangAction renewal = Action(kOldEpoch, 1);
   renewal.beat_sent_at = clock_.Now().time_since_epoch().count();
-  Pass(seconds(8));
-  DeliverReply(kOld);
+  AdvanceTime(seconds(8));
+  DeliverReply(kOldEpoch);
   host_->Renew(renewal, clock_.Now());
-  Pass(milliseconds(1100));
+  AdvanceTime(milliseconds(1100));
   EXPECT_EQ(phase(), TaskPhase::kStopped);
   EXPECT_EQ(KindOf([&] { host_->Renew(renewal, clock_.Now()); }), ErrorKind::kConflict);
 }
@@ -172,12 +172,12 @@
 // old planner would run the job twice.
 TEST_F(GangHostTest, OneEntryWithoutLogIsNotEnoughToObeyPlanner) {
   Run(1);
-  Pass(seconds(6));
-  DeliverReply(kOld, kEntry, true);
-  EXPECT_EQ(KindOf([&] { host_->Renew(Action(kOld, 1), clock_.Now()); }), std::nullopt);
-  Pass(seconds(6));
-  DeliverReply(kOld, kEntry, true);
-  EXPECT_EQ(KindOf([&] { host_->Renew(Action(kOld, 1), clock_.Now()); }), ErrorKind::kStale);
+  AdvanceTime(seconds(6));
+  DeliverReply(kOldEpoch, kEntry, true);
+  EXPECT_EQ(KindOf([&] { host_->Renew(Action(kOldEpoch, 1), clock_.Now()); }), std::nullopt);
+  AdvanceTime(seconds(6));
+  DeliverReply(kOldEpoch, kEntry, true);
+  EXPECT_EQ(KindOf([&] { host_->Renew(Action(kOldEpoch, 1), clock_.Now()); }), ErrorKind::kStale);
 }
 
 // The log is down for a long time. All entries report this, no planner can claim the zone, and
@@ -185,10 +185,10 @@
 TEST_F(GangHostTest, PlannerIsObeyedWhenAllEntriesReportLogDown) {
   Run(1);
   for (int round = 0; round < 20; ++round) {
-    Pass(seconds(5));
-    DeliverReply(kOld, kEntry, true);
-    DeliverReply(kOld, kOtherEntry, true);
-    EXPECT_EQ(KindOf([&] { host_->Renew(Action(kOld, 1), clock_.Now()); }), std::nullopt);
+    AdvanceTime(seconds(5));
+    DeliverReply(kOldEpoch, kEntry, true);
+    DeliverReply(kOldEpoch, kOtherEntry, true);
+    EXPECT_EQ(KindOf([&] { host_->Renew(Action(kOldEpoch, 1), clock_.Now()); }), std::nullopt);
   }
   EXPECT_EQ(phase(), TaskPhase::kRunning);
 }
@@ -197,16 +197,17 @@
 // in use, their planner's epoch is the lowest to obey, and their leases go on.
 TEST_F(GangHostTest, RestartedAgentRebuildsStateFromWorker) {
   Run(1);
-  Pass(seconds(3));
+  AdvanceTime(seconds(3));
   StartAgent();
-  AgentBeat beat;
-  host_->FillHeartbeat(&beat, clock_.Now());
-  ASSERT_EQ(beat.tasks.size(), 1U);
-  EXPECT_EQ(beat.planner_epoch, kOld);
-  const GangReserve other = Part(kOld, 2);
+  AgentBeat heartbeat;
+  host_->FillHeartbeat(&heartbeat, clock_.Now());
+  ASSERT_EQ(heartbeat.tasks.size(), 1U);
+  EXPECT_EQ(heartbeat.planner_epoch, kOldEpoch);
+  const GangReserve other = Part(kOldEpoch, 2);
   EXPECT_EQ(KindOf([&] { host_->Reserve(other, clock_.Now()); }), ErrorKind::kConflict);
-  EXPECT_EQ(KindOf([&] { host_->Renew(Action(kOld - 1, 1), clock_.Now()); }), ErrorKind::kFenced);
-  Pass(milliseconds(6100));
+  EXPECT_EQ(KindOf([&] { host_->Renew(Action(kOldEpoch - 1, 1), clock_.Now()); }),
+            ErrorKind::kFenced);
+  AdvanceTime(milliseconds(6100));
   EXPECT_EQ(phase(), TaskPhase::kStopped);
 }
 
@@ -216,10 +217,10 @@
   faults.unreachable = true;
   worker_.SetFaults(faults);
   StartAgent();
-  EXPECT_EQ(KindOf([&] { host_->Reserve(Part(kOld, 2), clock_.Now()); }), ErrorKind::kStale);
+  EXPECT_EQ(KindOf([&] { host_->Reserve(Part(kOldEpoch, 2), clock_.Now()); }), ErrorKind::kStale);
   worker_.SetFaults({});
   host_->Expire(clock_.Now());
-  EXPECT_EQ(KindOf([&] { host_->Reserve(Part(kOld, 2), clock_.Now()); }), std::nullopt);
+  EXPECT_EQ(KindOf([&] { host_->Reserve(Part(kOldEpoch, 2), clock_.Now()); }), std::nullopt);
 }
 
 // A worker accepts a stop but the task goes on. Its accelerator must not be allocated again, and
@@ -229,23 +230,24 @@
   WorkerFaults faults;
   faults.ignores_stop = true;
   worker_.SetFaults(faults);
-  EXPECT_EQ(KindOf([&] { host_->Stop(Action(kOld, 1), clock_.Now()); }), ErrorKind::kConflict);
-  EXPECT_EQ(KindOf([&] { host_->Forget(Action(kOld, 1), clock_.Now()); }), ErrorKind::kConflict);
-  GangReserve other = Part(kOld, 1);
+  EXPECT_EQ(KindOf([&] { host_->Stop(Action(kOldEpoch, 1), clock_.Now()); }), ErrorKind::kConflict);
+  EXPECT_EQ(KindOf([&] { host_->Forget(Action(kOldEpoch, 1), clock_.Now()); }),
+            ErrorKind::kConflict);
+  GangReserve other = Part(kOldEpoch, 1);
   other.job = "boxes/other";
   EXPECT_EQ(KindOf([&] { host_->Reserve(other, clock_.Now()); }), ErrorKind::kConflict);
   worker_.SetFaults({});
-  EXPECT_EQ(KindOf([&] { host_->Stop(Action(kOld, 1), clock_.Now()); }), std::nullopt);
+  EXPECT_EQ(KindOf([&] { host_->Stop(Action(kOldEpoch, 1), clock_.Now()); }), std::nullopt);
   EXPECT_EQ(KindOf([&] { host_->Reserve(other, clock_.Now()); }), std::nullopt);
 }
 
 // The planner lost the answer to its reservation and gave up. The reservation must not outlive its
 // hold time.
 TEST_F(GangHostTest, UnstartedReservationExpires) {
-  host_->Reserve(Part(kOld, 1), clock_.Now());
-  Pass(seconds(5));
+  host_->Reserve(Part(kOldEpoch, 1), clock_.Now());
+  AdvanceTime(seconds(5));
   EXPECT_EQ(KindOf([&] {
-              host_->Start({kOld, "boxes/weekly", 1, "", ""}, clock_.Now());
+              host_->Start({kOldEpoch, "boxes/weekly", 1, "", ""}, clock_.Now());
             }),
             ErrorKind::kConflict);
   EXPECT_TRUE(host_->idle());
--- a/servers/agent/planner_tracker.h
+++ b/servers/agent/planner_tracker.h
@@ -16,7 +16,7 @@
 class PlannerTracker {
  public:
   // Handles the reply of the entry at address `entry` to a heartbeat sent at `sent`.
-  void HandleHeartbeatReply(const std::string& entry, const EntryBeat& beat, Time sent);
+  void HandleHeartbeatReply(const std::string& entry, const EntryBeat& reply, Time sent);
   // Records a call from the planner with `epoch`.
   void RecordCall(Sequence epoch, Time now);
   // Records the epoch under which a task found on the worker was started.
@@ -35,12 +35,12 @@
 
  private:
   struct EntryReply {
-    Time heard{};
+    Time sent{};
     bool failing = false;
   };
 
   Sequence epoch_ = kNoSequence;
-  std::optional<Time> planner_heard_;
+  std::optional<Time> planner_last_seen_;
   std::optional<Time> fresh_at_;
   size_t known_entries_ = 0;
   std::map<std::string, EntryReply> entries_;
--- a/servers/agent/request_ledger_test.cc
+++ b/servers/agent/request_ledger_test.cc
@@ -17,7 +17,7 @@
   return request;
 }
 
-SeenQuestion About(const ServiceRequest& request) {
+SeenQuestion QueryFor(const ServiceRequest& request) {
   SeenQuestion question;
   question.workspace = request.workspace;
   question.idempotency_key = request.idempotency_key;
@@ -43,7 +43,7 @@
 TEST(RequestLedgerTest, QueriedAttemptNeverRuns) {
   RequestLedger ledger;
   const ServiceRequest late = Keyed("order-1", 1, 10);
-  EXPECT_EQ(ledger.Resolve(About(late), Time{}).state, SeenState::kNeverWillRun);
+  EXPECT_EQ(ledger.Resolve(QueryFor(late), Time{}).state, SeenState::kNeverWillRun);
   EXPECT_EQ(OutcomeOfBegin(&ledger, late), Outcome::kNotRun);
   EXPECT_EQ(OutcomeOfBegin(&ledger, Keyed("order-1", 2, 20)), Outcome::kRan);
   EXPECT_EQ(OutcomeOfBegin(&ledger, late), Outcome::kUnknown);
@@ -73,7 +73,7 @@
   }
   EXPECT_EQ(ledger.rows(), 4U);
   const ServiceRequest forgotten = Keyed("order-2", 1, 2);
-  EXPECT_EQ(ledger.Resolve(About(forgotten), Time{}).state, SeenState::kUnknown);
+  EXPECT_EQ(ledger.Resolve(QueryFor(forgotten), Time{}).state, SeenState::kUnknown);
   EXPECT_EQ(OutcomeOfBegin(&ledger, forgotten), Outcome::kUnknown);
 }
 
--- a/servers/agent/slot_limiter.cc
+++ b/servers/agent/slot_limiter.cc
@@ -31,7 +31,7 @@
 SlotLimiter::Slot SlotLimiter::Acquire(const std::string& workspace, const std::string& request_id,
                                        Time now, Time deadline) {
   std::unique_lock<std::mutex> lock(mutex_);
-  RequireRoom(workspace, now, deadline);
+  RequireCapacity(workspace, now, deadline);
   Waiter waiter{workspace, request_id, deadline, WaitState::kWaiting};
   const auto place = queue_.insert(queue_.end(), &waiter);
   ++waiting_of_[workspace];
@@ -47,7 +47,7 @@
   return {this, workspace, DefaultClock().Now()};
 }
 
-void SlotLimiter::RequireRoom(const std::string& workspace, Time now, Time deadline) {
+void SlotLimiter::RequireCapacity(const std::string& workspace, Time now, Time deadline) {
   if (closed_) ThrowFor(WaitState::kClosed);
   const int waiting = static_cast<int>(queue_.size());
   // A request that would only expire in the queue is refused now, while its caller can still try
--- a/servers/agent/slot_limiter.h
+++ b/servers/agent/slot_limiter.h
@@ -69,7 +69,7 @@
   // highest usage, if that exceeds this workspace's. Returns whether a request was shed.
   bool ShedFor(const std::string& workspace);
   int Usage(const std::string& workspace) const;
-  void RequireRoom(const std::string& workspace, Time now, Time deadline);
+  void RequireCapacity(const std::string& workspace, Time now, Time deadline);
   [[noreturn]] static void ThrowFor(WaitState state);
 
   mutable std::mutex mutex_;
--- a/servers/agent/start_guard.cc
+++ b/servers/agent/start_guard.cc
@@ -23,57 +23,57 @@
 StartGuard::StartGuard(const std::string& zone, const std::string& agent)
     : zone_(zone), agent_(agent) {}
 
-void StartGuard::HandleHeartbeatReply(const EntryBeat& beat, Time sent) {
+void StartGuard::HandleHeartbeatReply(const EntryBeat& reply, Time sent) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  if (!IsConsistent(beat)) {
+  if (!IsConsistent(reply)) {
     LogEvent(LogLevel::kError, "config_foreign",
-             {{"entry", beat.self.process},
-              {"environment", beat.environment},
-              {"version", beat.config_version}});
+             {{"entry", reply.self.process},
+              {"environment", reply.environment},
+              {"version", reply.config_version}});
     return;
   }
   newest_reply_sent_at_ = std::max(newest_reply_sent_at_, sent);
-  if (environment_name_.empty()) environment_name_ = beat.environment;
-  if (beat.config_version > version_ && !beat.config_text.empty()) ApplyDocument(beat);
+  if (environment_name_.empty()) environment_name_ = reply.environment;
+  if (reply.config_version > version_ && !reply.config_text.empty()) ApplyDocument(reply);
   // The agent's view is not as fresh as the entry's if it lacks the entry's version.
-  if (version_ < beat.config_version) return;
+  if (version_ < reply.config_version) return;
   // An entry that has read nothing since its start may have accepted a document before it, so its
   // earlier status stays in force. It adds nothing new.
-  if (beat.freshness.age < Duration::zero()) {
+  if (reply.freshness.age < Duration::zero()) {
     // Unless the entry reports that reads fail, it is about to read the log, and may then accept a
     // document that this agent does not receive.
-    if (!beat.freshness.failing) {
-      statements_.try_emplace(beat.self.process,
-                              EntryStatement{beat.self, beat.config_version, sent, false});
+    if (!reply.freshness.failing) {
+      statements_.try_emplace(reply.self.process,
+                              EntryStatement{reply.self, reply.config_version, sent, false});
     }
     return;
   }
-  EntryStatement& statement = statements_[beat.self.process];
+  EntryStatement& statement = statements_[reply.self.process];
   if (sent < statement.sent) return;
-  statement = {beat.self, beat.config_version, sent, beat.freshness.failing};
+  statement = {reply.self, reply.config_version, sent, reply.freshness.failing};
   // The age was measured after this heartbeat was sent, so the computed time is never too recent,
   // even if a process was paused in between.
-  AdvanceFreshness(sent - beat.freshness.age);
+  AdvanceFreshness(sent - reply.freshness.age);
 }
 
-bool StartGuard::IsConsistent(const EntryBeat& beat) const {
-  if (!environment_name_.empty() && !beat.environment.empty() &&
-      beat.environment != environment_name_) {
+bool StartGuard::IsConsistent(const EntryBeat& reply) const {
+  if (!environment_name_.empty() && !reply.environment.empty() &&
+      reply.environment != environment_name_) {
     return false;
   }
-  return beat.config_version != version_ || beat.config_digest.empty() ||
-         beat.config_digest == digest_ || version_ == 0;
+  return reply.config_version != version_ || reply.config_digest.empty() ||
+         reply.config_digest == digest_ || version_ == 0;
 }
 
-void StartGuard::ApplyDocument(const EntryBeat& beat) {
-  const std::string digest = Digest(beat.config_text);
+void StartGuard::ApplyDocument(const EntryBeat& reply) {
+  const std::string digest = Digest(reply.config_text);
   try {
-    if (!beat.config_digest.empty() && beat.config_digest != digest) {
+    if (!reply.config_digest.empty() && reply.config_digest != digest) {
       throw Error(ErrorKind::kInvalidInput, "the document does not match its digest");
     }
     environment_ = std::make_shared<const Environment>(
-        ParseEnvironment("version " + std::to_string(beat.config_version), beat.config_text));
-    version_ = beat.config_version;
+        ParseEnvironment("version " + std::to_string(reply.config_version), reply.config_text));
+    version_ = reply.config_version;
     digest_ = digest;
     LogEvent(LogLevel::kInfo, "config_in_force",
              {{"version", version_},
@@ -139,7 +139,7 @@
   return now - newest_reply_sent_at_ <= limit;
 }
 
-std::vector<HeardEntry> StartGuard::heard(Time now) const {
+std::vector<HeardEntry> StartGuard::entry_statements(Time now) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   std::vector<HeardEntry> result;
   for (const auto& [process, statement] : statements_) {
--- a/servers/state/record.cc
+++ b/servers/state/record.cc
@@ -28,7 +28,7 @@
                                                 incarnation, caller_address)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(MemberLeft, id, process, incarnation)
 
-// WriteResult by hand, because the state is encoded by its name.
+// Encoded by hand, because the state is stored by its name.
 static void to_json(nlohmann::json& json, const JobEnded& record) {  // NOLINT: the library's name
   json = {{"id", record.id},           {"job", record.job},
           {"attempt", record.attempt}, {"state", JobStateName(record.state)},
--- a/servers/state/snapshot.cc
+++ b/servers/state/snapshot.cc
@@ -9,7 +9,7 @@
 // Returns the end of the part that begins at `from`. The JSON of a snapshot may contain multi-byte
 // characters, and each part is encoded as JSON again, so parts are cut only where a character
 // begins.
-size_t CutAt(const std::string& bytes, size_t from) {
+size_t PartEnd(const std::string& bytes, size_t from) {
   size_t end = std::min(bytes.size(), from + kSnapshotPartBytes);
   constexpr unsigned kContinuationMask = 0xC0;
   constexpr unsigned kContinuation = 0x80;
@@ -27,7 +27,7 @@
   const std::string digest = Digest(state.bytes);
   size_t from = 0;
   do {
-    const size_t end = CutAt(state.bytes, from);
+    const size_t end = PartEnd(state.bytes, from);
     SnapshotPart part;
     part.covers = state.covers;
     part.part = static_cast<int>(parts.size());
--- a/servers/state/snapshot_test.cc
+++ b/servers/state/snapshot_test.cc
@@ -77,7 +77,7 @@
 }
 
 // Splits the snapshot and assembles it again, as a reader does with parts from the log.
-SnapshotState ThroughParts(const SnapshotState& state) {
+SnapshotState SplitAndAssemble(const SnapshotState& state) {
   SnapshotAssembler assembler;
   std::optional<SnapshotState> whole;
   for (const SnapshotPart& part : SplitSnapshot("test", state)) whole = assembler.Add(part);
@@ -106,7 +106,7 @@
       }
       if (cut == count) snapshot = whole.TakeSnapshot(0);
       StateReplica rest("test", resumed[index].get());
-      rest.Restore(ThroughParts(snapshot));
+      rest.Restore(SplitAndAssemble(snapshot));
       for (const LogEntry& entry : entries) {
         if (entry.offset >= rest.next()) rest.Apply(entry);
       }
