--- a/servers/agent/request_ledger.h
+++ b/servers/agent/request_ledger.h
@@ -39,8 +39,8 @@
   // Records that the attempt may have run, with an unknown result.
   void MarkUnknown(const ServiceRequest& request);
 
-  // Returns the state of an attempt. An attempt that was not received yet is marked as never to
-  // run.
+  // Returns the state of an attempt. An attempt that was never received is marked as never to run,
+  // unless its row may have been evicted; the state is then kUnknown.
   SeenAnswer Resolve(const SeenQuestion& question, Time now);
 
   size_t rows() const;
--- a/servers/agent/slot_limiter.h
+++ b/servers/agent/slot_limiter.h
@@ -39,8 +39,9 @@
   };
 
   // Waits for a slot until `deadline`. Throws, always with outcome not_run: Error(kOverloaded) if
-  // the queue is full or the expected wait exceeds the deadline, Error(kDeadlineExceeded) if no
-  // slot became free in time, Error(kCancelled) after CancelWaiting, Error(kLeaving) after Close.
+  // the queue is full, the expected wait exceeds the deadline, or the request was shed;
+  // Error(kDeadlineExceeded) if no slot became free in time; Error(kCancelled) after CancelWaiting;
+  // Error(kLeaving) after Close.
   Slot Acquire(const std::string& workspace, const std::string& request_id, Time now,
                Time deadline);
   // Cancels the request if it is waiting. Returns whether it was.
