--- a/servers/state/record.h
+++ b/servers/state/record.h
@@ -204,8 +204,8 @@
 std::string EncodeRecord(const Record& record);
 std::string JoinEncoded(const std::vector<std::string>& records);
 
-// Decodes the records of an entry. All readers skip an unreadable record alike. A skipped record
-// still counts in the `place` of the records after it, so that sequences agree.
+// A decoded record and its index in the log entry. All readers skip the same unreadable records,
+// which still count in `place`, so that sequences agree.
 struct PlacedRecord {
   int place = 0;
   Record record;
