--- a/tests/control_history_test.cc
+++ b/tests/control_history_test.cc
@@ -255,7 +255,7 @@
   };
   const auto all_heard = [&] {
     return std::all_of(agents_.begin(), agents_.end(), [&](const auto& agent) {
-      return agent->guard().heard(DefaultClock().Now()).size() == entries_.size();
+      return agent->guard().entry_statements(DefaultClock().Now()).size() == entries_.size();
     });
   };
   // An agent knows nothing of an entry that it never heard; docs/notes/zone-out.md says so.
