--- a/modules/placement/best_fit.cc
+++ b/modules/placement/best_fit.cc
@@ -11,7 +11,7 @@
   for (const WaitingJob& job : view.waiting) {
     if (job.cancel_asked || !job.obstacle.empty()) continue;
     AdmitRefusal refusal = AdmitRefusal::kNoRoom;
-    if (const auto tasks = PlaceTight(room, job.spec, nullptr)) {
+    if (const auto tasks = PlaceBestFit(room, job.spec, nullptr)) {
       StartDecision start{job.id, job.last_attempt + 1, false, *tasks};
       refusal = room.Admit(job.spec, &start);
       if (refusal == AdmitRefusal::kNone) plan.starts.push_back(std::move(start));
--- a/modules/placement/cell_policy.cc
+++ b/modules/placement/cell_policy.cc
@@ -12,8 +12,8 @@
 
 // Gangs of this many accelerators and more get workers reserved.
 constexpr int kLargeGang = 8;
-constexpr double kReserveAfterSeconds = 60;
-constexpr double kHoldCapAfterSeconds = 600;
+constexpr double kReserveWorkersAfterSeconds = 60;
+constexpr double kReserveCapAfterSeconds = 600;
 constexpr size_t kMaxReservations = 4;
 // Other work may use reserved workers if it is expected to end within this share of the time until
 // they are free: estimates are often far off.
@@ -21,21 +21,21 @@
 // What stopping with a checkpoint and starting again costs each accelerator.
 constexpr double kCheckpointSeconds = 60;
 // Work that was started this recently goes last, so that it is not stopped again and again.
-constexpr double kSettleSeconds = 300;
-constexpr double kSettleFactor = 4;
+constexpr double kRecentStartSeconds = 300;
+constexpr double kRecentStartFactor = 4;
 constexpr double kUrgentPenalty = 1e9;
 constexpr double kSparedCost = 1e12;
 // Moving work together pays only if it costs less than this share of the wait that it saves.
-constexpr double kDefragmentShare = 0.5;
+constexpr double kMaxDefragmentCostShare = 0.5;
 constexpr int kMaxMoves = 3;
 constexpr double kNever = std::numeric_limits<double>::infinity();
 
 int AcceleratorsOf(const JobSpec& spec) { return spec.shape.accelerators * spec.tasks; }
 
 // Jobs of one kind fail to be placed together.
-using Kind = std::tuple<int, int, int64_t, int, int, Adjacency, bool>;
+using PlacementKey = std::tuple<int, int, int64_t, int, int, Adjacency, bool>;
 
-Kind KindOf(const JobSpec& spec, int workspace) {
+PlacementKey PlacementKeyOf(const JobSpec& spec, int workspace) {
   return {workspace,  spec.shape.processors, spec.shape.memory_bytes, spec.shape.accelerators,
           spec.tasks, spec.adjacency,        CanBeStopped(spec)};
 }
@@ -44,39 +44,40 @@
   const WaitingJob* job;
   int workspace;
   bool guaranteed;
-  double remaining;
+  double remaining_seconds;
   double priority;
 };
 
 // How a job may come by its workspace's cells.
-enum class Serve { kFree, kReclaim, kAnywhere };
+enum class GuaranteeStage { kFree, kReclaim, kAnywhere };
 
 // One pass over the waiting jobs.
-class Pass {
+class SchedulingPass {
  public:
-  Pass(const ZoneView& view, const RunTimeEstimator& estimator, Time now,
-       Reservations* reservations)
+  SchedulingPass(const ZoneView& view, const RunTimeEstimator& estimator, Time now,
+                 Reservations* reservations)
       : view_(view), estimator_(estimator), now_(now), room_(view), reservations_(*reservations) {
     reserved_until_.assign(view.workers.size(), kNever);
-    gatherer_.assign(view.workers.size(), nullptr);
+    reserved_by_.assign(view.workers.size(), nullptr);
     stopped_.assign(view.running.size(), false);
     cost_ = [this](int job) { return StopCostOf(job); };
   }
 
   Plan Run() {
     const std::vector<Candidate> candidates = Candidates();
-    KeepReservations(candidates);
-    HoldCaps(candidates);
+    RefreshReservations(candidates);
+    ReserveCaps(candidates);
     std::vector<const Candidate*> open;
     open.reserve(candidates.size());
     for (const Candidate& candidate : candidates) open.push_back(&candidate);
     // Every guarantee is served before any room is lent: those that find their cells free, then
     // those that must have room back, then those that may run on lent room as well.
-    for (const Serve serve : {Serve::kFree, Serve::kReclaim, Serve::kAnywhere}) {
-      std::erase_if(open, [&](const Candidate* each) { return ServeGuarantee(*each, serve); });
-      failed_.clear();
+    for (const GuaranteeStage stage :
+         {GuaranteeStage::kFree, GuaranteeStage::kReclaim, GuaranteeStage::kAnywhere}) {
+      std::erase_if(open, [&](const Candidate* each) { return ServeGuarantee(*each, stage); });
+      failed_keys_.clear();
     }
-    for (const Candidate* candidate : open) Lend(*candidate);
+    for (const Candidate* candidate : open) StartLentOrWait(*candidate);
     return std::move(plan_);
   }
 
@@ -87,7 +88,7 @@
     for (const WaitingJob& job : view_.waiting) {
       if (job.cancel_asked || !job.obstacle.empty()) continue;
       Candidate candidate{&job, room_.WorkspaceIndex(job.spec.workspace), false,
-                          estimator_.Remaining(job), 0};
+                          estimator_.RemainingSeconds(job), 0};
       candidate.guaranteed = room_.HasUnbound(candidate.workspace);
       candidate.priority = Priority(candidate);
       candidates.push_back(candidate);
@@ -105,7 +106,7 @@
   // work is not forgotten; falls with what the workspace already has.
   double Priority(const Candidate& candidate) const {
     const double waited = Seconds(now_ - candidate.job->accepted);
-    const double ratio = (waited + candidate.remaining) / candidate.remaining;
+    const double ratio = (waited + candidate.remaining_seconds) / candidate.remaining_seconds;
     const double guaranteed = std::max(1, room_.GuaranteedAccelerators(candidate.workspace));
     const double share = room_.AcceleratorsUsed(candidate.workspace) / guaranteed;
     return ratio / (1 + share);
@@ -113,20 +114,20 @@
 
   // A gang that its workspace's cap keeps waiting would never start if shorter work of the
   // workspace kept using the cap up.
-  void HoldCaps(const std::vector<Candidate>& candidates) {
+  void ReserveCaps(const std::vector<Candidate>& candidates) {
     for (const Candidate& candidate : candidates) {
-      const bool waited = Seconds(now_ - candidate.job->accepted) > kHoldCapAfterSeconds;
+      const bool waited = Seconds(now_ - candidate.job->accepted) > kReserveCapAfterSeconds;
       if (!waited || AcceleratorsOf(candidate.job->spec) < kLargeGang) continue;
       if (!OverCap(candidate)) continue;
-      double& held = cap_held_[candidate.workspace];
-      held = std::max(held, candidate.priority);
+      double& reserved = cap_reservations_[candidate.workspace];
+      reserved = std::max(reserved, candidate.priority);
     }
   }
 
-  bool MustLeaveCap(const Candidate& candidate) const {
-    const auto held = cap_held_.find(candidate.workspace);
-    return held != cap_held_.end() && !candidate.job->spec.urgent &&
-           candidate.priority < held->second;
+  bool MustYieldCap(const Candidate& candidate) const {
+    const auto reserved = cap_reservations_.find(candidate.workspace);
+    return reserved != cap_reservations_.end() && !candidate.job->spec.urgent &&
+           candidate.priority < reserved->second;
   }
 
   bool OverCap(const Candidate& candidate) const {
@@ -135,93 +136,93 @@
   }
 
   // Returns whether the job starts within its workspace's cells or waits for them to come free.
-  bool ServeGuarantee(const Candidate& candidate, Serve serve) {
+  bool ServeGuarantee(const Candidate& candidate, GuaranteeStage stage) {
     const WaitingJob& job = *candidate.job;
     const int guaranteed = room_.GuaranteedAccelerators(candidate.workspace);
     if (guaranteed == 0 || AcceleratorsOf(job.spec) > guaranteed) return false;
-    if (MustLeaveCap(candidate)) return false;
-    const Kind kind = KindOf(job.spec, candidate.workspace);
-    if (failed_.count(kind) != 0) return false;
-    if (StartInCells(candidate, serve)) return true;
-    failed_.emplace(kind, "");
+    if (MustYieldCap(candidate)) return false;
+    const PlacementKey key = PlacementKeyOf(job.spec, candidate.workspace);
+    if (failed_keys_.count(key) != 0) return false;
+    if (TryStartInCells(candidate, stage)) return true;
+    failed_keys_.emplace(key, "");
     return false;
   }
 
   // Lent work of a workspace at its cap must not keep it from its own guarantee: the cheapest goes.
-  void MakeRoomUnderCap(const Candidate& candidate) {
-    int over = room_.AcceleratorsUsed(candidate.workspace) + AcceleratorsOf(candidate.job->spec) -
-               room_.AcceleratorCap(candidate.workspace);
-    std::vector<int> own;
+  void StopOwnLentWorkOverCap(const Candidate& candidate) {
+    int excess = room_.AcceleratorsUsed(candidate.workspace) + AcceleratorsOf(candidate.job->spec) -
+                 room_.AcceleratorCap(candidate.workspace);
+    std::vector<int> own_lent;
     for (size_t index = 0; index < view_.running.size(); ++index) {
       const RunningJob& job = view_.running[index];
       if (!job.borrowed || job.spec.workspace != candidate.job->spec.workspace) continue;
       if (job.stopping || stopped_[index]) {
-        over -= AcceleratorsOf(job.spec);
+        excess -= AcceleratorsOf(job.spec);
       } else {
-        own.push_back(static_cast<int>(index));
+        own_lent.push_back(static_cast<int>(index));
       }
     }
-    std::stable_sort(own.begin(), own.end(),
+    std::stable_sort(own_lent.begin(), own_lent.end(),
                      [this](int a, int b) { return StopCostOf(a) < StopCostOf(b); });
-    for (const int index : own) {
-      if (over <= 0) return;
-      over -= AcceleratorsOf(view_.running[index].spec);
+    for (const int index : own_lent) {
+      if (excess <= 0) return;
+      excess -= AcceleratorsOf(view_.running[index].spec);
       Stop(index, StopReason::kReclaim);
     }
   }
 
   // Starts the job on room that is lent to it.
-  void Lend(const Candidate& candidate) {
+  void StartLentOrWait(const Candidate& candidate) {
     const WaitingJob& job = *candidate.job;
-    if (MustLeaveCap(candidate)) {
+    if (MustYieldCap(candidate)) {
       return Wait(job, "its workspace's accelerator cap is kept for a gang that has waited longer");
     }
-    const Kind kind = KindOf(job.spec, candidate.workspace);
-    const auto failed = failed_.find(kind);
-    if (failed != failed_.end()) return Wait(job, failed->second);
-    if (OverCap(candidate)) return Fail(job, kind, AdmitRefusalText(AdmitRefusal::kOverCap));
+    const PlacementKey key = PlacementKeyOf(job.spec, candidate.workspace);
+    const auto failed = failed_keys_.find(key);
+    if (failed != failed_keys_.end()) return Wait(job, failed->second);
+    if (OverCap(candidate)) return WaitFailed(job, key, AdmitRefusalText(AdmitRefusal::kOverCap));
     if (!CanBeStopped(job.spec)) {
-      return Fail(job, kind, AdmitRefusalText(AdmitRefusal::kNotStoppable));
+      return WaitFailed(job, key, AdmitRefusalText(AdmitRefusal::kNotStoppable));
     }
-    if (StartLent(candidate)) return;
-    if (AcceleratorsOf(job.spec) >= kLargeGang) Gather(candidate);
+    if (TryStartLent(candidate)) return;
+    if (AcceleratorsOf(job.spec) >= kLargeGang) ReserveWorkers(candidate);
     // What short work may use of reserved workers depends on its length, so it is not remembered.
-    if (reservations_.empty()) failed_.emplace(kind, AdmitRefusalText(AdmitRefusal::kNoRoom));
+    if (reservations_.empty()) failed_keys_.emplace(key, AdmitRefusalText(AdmitRefusal::kNoRoom));
     Wait(job, AdmitRefusalText(AdmitRefusal::kNoRoom));
   }
 
-  bool StartInCells(const Candidate& candidate, Serve serve) {
+  bool TryStartInCells(const Candidate& candidate, GuaranteeStage stage) {
     const WaitingJob& job = *candidate.job;
     const bool over_cap = OverCap(candidate);
-    if (serve == Serve::kFree) {
-      return !over_cap && StartBound(job, PlaceInCells(&room_, view_, job.spec, cost_, false));
+    if (stage == GuaranteeStage::kFree) {
+      return !over_cap && TryStartBound(job, PlaceInCells(&room_, view_, job.spec, cost_, false));
     }
     // What a workspace runs already is as good as what it wants to run: only work that has no other
     // way stops other work of its own workspace.
-    const bool patient = CanBeStopped(job.spec) && !job.spec.urgent;
-    if (patient != (serve == Serve::kAnywhere)) return false;
+    const bool can_borrow = CanBeStopped(job.spec) && !job.spec.urgent;
+    if (can_borrow != (stage == GuaranteeStage::kAnywhere)) return false;
     // Free room elsewhere is better than having room back from other work.
-    if (patient && !over_cap && StartLent(candidate)) return true;
-    spare_workspace_ = patient ? &job.spec.workspace : nullptr;
-    if (over_cap && spare_workspace_ != nullptr) return false;
+    if (can_borrow && !over_cap && TryStartLent(candidate)) return true;
+    spared_workspace_ = can_borrow ? &job.spec.workspace : nullptr;
+    if (over_cap && spared_workspace_ != nullptr) return false;
     const std::optional<CellPlacement> placement =
         PlaceInCells(&room_, view_, job.spec, cost_, true);
     if (!placement) return false;
-    if (over_cap) MakeRoomUnderCap(candidate);
+    if (over_cap) StopOwnLentWorkOverCap(candidate);
     for (const int victim : placement->victims) {
       // The cells are bound in this pass, so the room is kept until some of that work ends.
-      if (!Spared(victim)) continue;
+      if (!IsSpared(victim)) continue;
       Wait(job, "its workspace's other work holds its guaranteed room");
       return true;
     }
-    if (!over_cap && StartBound(job, placement)) return true;
+    if (!over_cap && TryStartBound(job, placement)) return true;
     for (const int victim : placement->victims) Stop(victim, StopReason::kReclaim);
     room_.Reserve(job.spec, placement->tasks);
     Wait(job, "its guaranteed room is being had back from borrowed work");
     return true;
   }
 
-  bool StartBound(const WaitingJob& job, const std::optional<CellPlacement>& placement) {
+  bool TryStartBound(const WaitingJob& job, const std::optional<CellPlacement>& placement) {
     if (!placement || !placement->victims.empty()) return false;
     if (!room_.HasFreeRoom(job.spec, placement->tasks)) return false;
     room_.Take(job.spec, placement->tasks);
@@ -229,11 +230,11 @@
     return true;
   }
 
-  bool StartLent(const Candidate& candidate) {
+  bool TryStartLent(const Candidate& candidate) {
     const JobSpec& spec = candidate.job->spec;
-    const auto tasks = PlaceTight(room_, spec, [&](int worker) {
-      return gatherer_[worker] == nullptr || *gatherer_[worker] == candidate.job->id ||
-             candidate.remaining <= kBackfillShare * reserved_until_[worker];
+    const auto tasks = PlaceBestFit(room_, spec, [&](int worker) {
+      return reserved_by_[worker] == nullptr || *reserved_by_[worker] == candidate.job->id ||
+             candidate.remaining_seconds <= kBackfillShare * reserved_until_[worker];
     });
     if (!tasks) return false;
     StartDecision start{candidate.job->id, candidate.job->last_attempt + 1, true, *tasks};
@@ -249,33 +250,33 @@
     plan_.stops.push_back({job.id, job.attempt, job.spec.checkpoints, reason});
   }
 
-  bool Spared(int index) const {
+  bool IsSpared(int index) const {
     const RunningJob& job = view_.running[index];
-    return spare_workspace_ != nullptr && job.spec.workspace == *spare_workspace_ &&
+    return spared_workspace_ != nullptr && job.spec.workspace == *spared_workspace_ &&
            !job.stopping && !stopped_[index];
   }
 
   double StopCostOf(int index) const {
     const RunningJob& job = view_.running[index];
     if (stopped_[index]) return 0;
-    if (Spared(index)) return kSparedCost;
+    if (IsSpared(index)) return kSparedCost;
     const double ran = Seconds(now_ - job.started);
     const double lost =
         job.spec.checkpoints ? kCheckpointSeconds : Seconds(now_ - job.last_checkpoint);
     double cost = lost * std::max(1, AcceleratorsOf(job.spec)) * (1 + job.restarts);
-    if (ran < kSettleSeconds) cost *= kSettleFactor;
+    if (ran < kRecentStartSeconds) cost *= kRecentStartFactor;
     if (job.spec.urgent) cost += kUrgentPenalty;
     return cost;
   }
 
   // Reservations of jobs that still wait, on workers that are still there.
-  void KeepReservations(const std::vector<Candidate>& candidates) {
+  void RefreshReservations(const std::vector<Candidate>& candidates) {
     std::set<std::string> waiting;
     for (const Candidate& candidate : candidates) waiting.insert(candidate.job->id);
     std::erase_if(reservations_,
                   [&](const auto& entry) { return waiting.count(entry.first) == 0; });
     if (reservations_.empty()) return;
-    ComputeDrains();
+    ComputeDrainTimes();
     for (auto& [job, names] : reservations_) {
       std::vector<int> workers;
       for (const std::string& name : names) workers.push_back(room_.WorkerIndex({0, name}));
@@ -297,25 +298,25 @@
     for (const int worker : workers) ready = std::max(ready, drain_seconds_[worker]);
     for (const int worker : workers) {
       reserved_until_[worker] = ready;
-      gatherer_[worker] = &entry->first;
+      reserved_by_[worker] = &entry->first;
       room_.MarkSoftReserved(worker);
     }
     return ready;
   }
 
   // Reserves for a large gang the workers that are expected to be free first, and keeps them.
-  void Gather(const Candidate& candidate) {
+  void ReserveWorkers(const Candidate& candidate) {
     const WaitingJob& job = *candidate.job;
     const double waited = Seconds(now_ - job.accepted);
-    if (drain_seconds_.empty()) ComputeDrains();
+    if (drain_seconds_.empty()) ComputeDrainTimes();
     const auto kept = reservations_.find(job.id);
     std::vector<int> workers;
     if (kept != reservations_.end()) {
       for (const std::string& name : kept->second) workers.push_back(room_.WorkerIndex({0, name}));
     } else {
       if (reservations_.size() >= kMaxReservations) return;
-      if (!job.spec.urgent && waited < kReserveAfterSeconds) return;
-      workers = SoonestFree(job.spec);
+      if (!job.spec.urgent && waited < kReserveWorkersAfterSeconds) return;
+      workers = EarliestFreeWorkers(job.spec);
       if (workers.empty()) return;
       std::vector<std::string>& names = reservations_[job.id];
       for (const int worker : workers) names.emplace_back(room_.workers()[worker].name);
@@ -324,25 +325,25 @@
     Defragment(candidate, workers, ready);
   }
 
-  void ComputeDrains() {
+  void ComputeDrainTimes() {
     drain_seconds_.assign(view_.workers.size(), 0);
-    tasks_on_.assign(view_.workers.size(), {});
+    jobs_on_.assign(view_.workers.size(), {});
     for (size_t index = 0; index < view_.running.size(); ++index) {
       const RunningJob& job = view_.running[index];
-      const double remaining = estimator_.Remaining(job, now_);
+      const double remaining_seconds = estimator_.RemainingSeconds(job, now_);
       for (const TaskOnWorker& task : job.tasks) {
         const int worker = room_.WorkerIndex(task);
         if (worker < 0) continue;
-        drain_seconds_[worker] = std::max(drain_seconds_[worker], remaining);
-        tasks_on_[worker].push_back(static_cast<int>(index));
+        drain_seconds_[worker] = std::max(drain_seconds_[worker], remaining_seconds);
+        jobs_on_[worker].push_back(static_cast<int>(index));
       }
     }
   }
 
   // Enough workers for the job, soonest free first; of one rack where it must stay in one.
-  std::vector<int> SoonestFree(const JobSpec& spec) const {
+  std::vector<int> EarliestFreeWorkers(const JobSpec& spec) const {
     std::vector<int> best;
-    double least = kNever;
+    double least_seconds = kNever;
     std::vector<std::vector<int>> groups = room_.racks();
     if (spec.adjacency != Adjacency::kSameRack) {
       groups.assign(1, {});
@@ -351,17 +352,17 @@
       }
     }
     for (std::vector<int>& group : groups) {
-      const std::vector<int> chosen = SoonestOf(&group, spec);
+      const std::vector<int> chosen = EarliestFreeIn(&group, spec);
       double ready = 0;
       for (const int worker : chosen) ready = std::max(ready, drain_seconds_[worker]);
-      if (chosen.empty() || ready >= least) continue;
-      least = ready;
+      if (chosen.empty() || ready >= least_seconds) continue;
+      least_seconds = ready;
       best = chosen;
     }
     return best;
   }
 
-  std::vector<int> SoonestOf(std::vector<int>* group, const JobSpec& spec) const {
+  std::vector<int> EarliestFreeIn(std::vector<int>* group, const JobSpec& spec) const {
     std::erase_if(*group, [this](int worker) {
       return !room_.workers()[worker].usable || reserved_until_[worker] != kNever;
     });
@@ -382,12 +383,12 @@
     int moved = 0;
     std::set<int> victims;
     for (const int worker : workers) {
-      for (const int index : tasks_on_[worker]) {
+      for (const int index : jobs_on_[worker]) {
         const RunningJob& job = view_.running[index];
         if (job.stopping) return;
         const bool movable = job.borrowed && job.spec.checkpoints && !job.spec.urgent &&
                              job.restarts < kMaxMoves &&
-                             Seconds(now_ - job.started) >= kSettleSeconds;
+                             Seconds(now_ - job.started) >= kRecentStartSeconds;
         if (!movable) return;
         if (!victims.insert(index).second) continue;
         cost += kCheckpointSeconds * AcceleratorsOf(job.spec);
@@ -398,16 +399,16 @@
     for (const RoomWorker& worker : room_.workers()) {
       if (worker.usable) free += std::popcount(worker.free_accelerators);
     }
-    const int gang = AcceleratorsOf(candidate.job->spec);
+    const int needed = AcceleratorsOf(candidate.job->spec);
     // What is moved must find room beside the gang, or the gang merely takes its place.
-    if (free < gang || moved > gang) return;
-    const double gain = ready * gang;
-    if (cost > gain * kDefragmentShare) return;
+    if (free < needed || moved > needed) return;
+    const double saved = ready * needed;
+    if (cost > saved * kMaxDefragmentCostShare) return;
     for (const int victim : victims) Stop(victim, StopReason::kDefragment);
   }
 
-  void Fail(const WaitingJob& job, const Kind& kind, const std::string& reason) {
-    failed_.emplace(kind, reason);
+  void WaitFailed(const WaitingJob& job, const PlacementKey& key, const std::string& reason) {
+    failed_keys_.emplace(key, reason);
     Wait(job, reason);
   }
 
@@ -421,30 +422,30 @@
   ZoneRoom room_;
   Plan plan_;
   StopCost cost_;
-  std::map<Kind, std::string> failed_;
+  std::map<PlacementKey, std::string> failed_keys_;
   // By workspace, the priority of the gang that waits for its cap.
-  std::map<int, double> cap_held_;
+  std::map<int, double> cap_reservations_;
   std::vector<bool> stopped_;
   // Its work is not to be stopped for the job that is looked at.
-  const std::string* spare_workspace_ = nullptr;
+  const std::string* spared_workspace_ = nullptr;
   Reservations& reservations_;
   // The job that gathers each worker, if any.
-  std::vector<const std::string*> gatherer_;
+  std::vector<const std::string*> reserved_by_;
   // Work may be put on the worker only if it is gone by then, in seconds from now.
   std::vector<double> reserved_until_;
   std::vector<double> drain_seconds_;
-  std::vector<std::vector<int>> tasks_on_;
+  std::vector<std::vector<int>> jobs_on_;
 };
 
 }  // namespace
 
 Plan CellPolicy::Decide(const ZoneView& view, Time now) {
-  if (!view.in) return LeaveZone(view, now);
+  if (!view.in) return DrainZone(view, now);
   out_since_.reset();
-  return Pass(view, estimator_, now, &reservations_).Run();
+  return SchedulingPass(view, estimator_, now, &reservations_).Run();
 }
 
-Plan CellPolicy::LeaveZone(const ZoneView& view, Time now) {
+Plan CellPolicy::DrainZone(const ZoneView& view, Time now) {
   if (!out_since_) out_since_ = now;
   Plan plan;
   // Stopped at once, work would wait for room in zones that are full just then, while its own
--- a/modules/placement/cell_policy.h
+++ b/modules/placement/cell_policy.h
@@ -24,7 +24,7 @@
 
  private:
   // What has to leave a zone that is out.
-  Plan LeaveZone(const ZoneView& view, Time now);
+  Plan DrainZone(const ZoneView& view, Time now);
 
   RunTimeEstimator estimator_;
   // Since when this policy has seen its zone out. A planner that takes over counts anew.
--- a/modules/placement/cell_policy_test.cc
+++ b/modules/placement/cell_policy_test.cc
@@ -9,7 +9,7 @@
 
 // Operators take a zone out at the peak. Were its work stopped at once it would wait for room in
 // zones that are full, and the plans that were nearly done would come late.
-TEST(CellPolicyTest, WorkInAZoneThatIsOutMayGoOnUntilTheZoneMustBeEmpty) {
+TEST(CellPolicyTest, JobsInAZoneThatIsOutRunUntilTheDrainTimeEnds) {
   Environment environment = SmallEnvironment(2, 8, {2});
   environment.bounds.zone_drain = std::chrono::minutes(10);
   const auto planner = PlannerWithWorkers(environment, std::make_unique<CellPolicy>());
--- a/modules/placement/decision_time_suite.cc
+++ b/modules/placement/decision_time_suite.cc
@@ -16,8 +16,8 @@
 // Share of the zone that is guaranteed, in whole workers.
 constexpr double kGuaranteedShare = 0.7;
 constexpr int kDecisions = 300;
-constexpr int kChangesEach = 3;
-constexpr double kTail = 0.99;
+constexpr int kChangesPerDecision = 3;
+constexpr double kPercentile = 0.99;
 constexpr double kMillisecond = 1e-3;
 
 struct ZoneSize {
@@ -52,9 +52,9 @@
   return environment;
 }
 
-class Churn {
+class ChurnSimulation {
  public:
-  Churn(const ZoneSize& size, uint64_t seed)
+  ChurnSimulation(const ZoneSize& size, uint64_t seed)
       : size_(size),
         random_(seed),
         planner_(kZone, PlacementPolicyRegistry::Instance().Create(kPolicy)) {
@@ -70,8 +70,8 @@
     Fill();
     std::vector<double> seconds;
     for (int step = 0; step < kDecisions; ++step) {
-      for (int change = 0; change < kChangesEach; ++change) {
-        EndOne();
+      for (int change = 0; change < kChangesPerDecision; ++change) {
+        EndRandomJob();
         Submit();
       }
       const Time begun = DefaultClock().Now();
@@ -90,28 +90,30 @@
     Decide();
   }
 
-  int Below(int limit) { return static_cast<int>(random_() % static_cast<uint64_t>(limit)); }
+  int RandomBelow(int limit) { return static_cast<int>(random_() % static_cast<uint64_t>(limit)); }
 
   // Four fifths of all tasks need no accelerator. Returns the tasks submitted.
   int Submit() {
     JobRecord job;
     job.id = "job-" + std::to_string(++jobs_);
-    job.spec.workspace = "workspace-" + std::to_string(Below(size_.workspaces));
-    const bool light = Below(4) != 0;
-    job.spec.tasks = light ? 24 : std::array<int, 6>{1, 2, 4, 8, 16, 128}.at(Below(6));
+    job.spec.workspace = "workspace-" + std::to_string(RandomBelow(size_.workspaces));
+    const bool no_accelerators = RandomBelow(4) != 0;
+    job.spec.tasks =
+        no_accelerators ? 24 : std::array<int, 6>{1, 2, 4, 8, 16, 128}.at(RandomBelow(6));
     if (job.spec.tasks * 2 > size_.workers * 2) job.spec.tasks = 8;
-    job.spec.shape = light ? TaskShape{2, 2 * kGibibyte, 0}
-                           : TaskShape{8, 8 * kGibibyte, std::array<int, 3>{1, 2, 4}.at(Below(3))};
-    job.spec.checkpoints = Below(2) == 0;
+    job.spec.shape = no_accelerators ? TaskShape{2, 2 * kGibibyte, 0}
+                                     : TaskShape{8, 8 * kGibibyte,
+                                                 std::array<int, 3>{1, 2, 4}.at(RandomBelow(3))};
+    job.spec.checkpoints = RandomBelow(2) == 0;
     job.sequence = static_cast<Sequence>(jobs_);
     planner_.JobAccepted(job, now_);
     return job.spec.tasks;
   }
 
-  void EndOne() {
+  void EndRandomJob() {
     const std::vector<RunningJob>& running = planner_.view().running;
     if (running.empty()) return;
-    const RunningJob& job = running[Below(static_cast<int>(running.size()))];
+    const RunningJob& job = running[RandomBelow(static_cast<int>(running.size()))];
     planner_.AttemptEnded(std::string(job.id), job.attempt, AttemptEnd::kDone, now_);
   }
 
@@ -119,7 +121,7 @@
     now_ += std::chrono::seconds(1);
     const Plan plan = planner_.Decide(now_);
     stopping_.insert(stopping_.end(), plan.stops.begin(), plan.stops.end());
-    if (stopping_.size() < kChangesEach) return;
+    if (stopping_.size() < kChangesPerDecision) return;
     for (const StopDecision& stop : stopping_) {
       planner_.AttemptEnded(stop.job, stop.attempt, AttemptEnd::kStopped, now_);
     }
@@ -134,9 +136,9 @@
   std::vector<StopDecision> stopping_;
 };
 
-double TailOf(std::vector<double> samples) {
+double PercentileOf(std::vector<double> samples) {
   std::sort(samples.begin(), samples.end());
-  return samples[static_cast<size_t>(kTail * static_cast<double>(samples.size() - 1))];
+  return samples[static_cast<size_t>(kPercentile * static_cast<double>(samples.size() - 1))];
 }
 
 }  // namespace
@@ -148,12 +150,13 @@
 std::vector<BenchFigure> DecisionTimeSuite::Run(const BenchOptions& options) {
   std::vector<BenchFigure> figures;
   for (const ZoneSize& size : kSizes) {
-    std::vector<double> tails;
-    tails.reserve(static_cast<size_t>(options.repeats));
+    std::vector<double> percentiles;
+    percentiles.reserve(static_cast<size_t>(options.repeats));
     for (int repeat = 0; repeat < options.repeats; ++repeat) {
-      tails.push_back(TailOf(Churn(size, options.seed).Measure()) / kMillisecond);
+      percentiles.push_back(PercentileOf(ChurnSimulation(size, options.seed).Measure()) /
+                            kMillisecond);
     }
-    figures.push_back(MachineFigure(std::string("decide_p99_") + size.name, "ms", tails));
+    figures.push_back(MachineFigure(std::string("decide_p99_") + size.name, "ms", percentiles));
     figures.back().aim = "below 10 ms";
   }
   return figures;
--- a/modules/placement/placement_property_test.cc
+++ b/modules/placement/placement_property_test.cc
@@ -15,7 +15,7 @@
 constexpr int kSettleRounds = 4;
 constexpr Duration kStep = std::chrono::seconds(30);
 
-enum class Fault { kNone, kHalfGang, kSameRoomTwice, kIgnoresZone, kNeverBorrows };
+enum class Fault { kNone, kPartialGang, kSameRoomTwice, kIgnoresZone, kNeverBorrows };
 
 // Starts what comes first, with one fault that the checks must see.
 class FaultyPolicy : public PlacementPolicy {
@@ -27,7 +27,7 @@
     if (fault_ == Fault::kIgnoresZone) seen.in = true;
     Plan plan = FirstFit().Decide(seen, now);
     for (StartDecision& start : plan.starts) {
-      if (fault_ == Fault::kHalfGang && start.tasks.size() > 1) start.tasks.pop_back();
+      if (fault_ == Fault::kPartialGang && start.tasks.size() > 1) start.tasks.pop_back();
     }
     if (fault_ == Fault::kSameRoomTwice && plan.starts.size() > 1) {
       plan.starts[1].tasks = plan.starts[0].tasks;
@@ -133,7 +133,7 @@
   return *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 324 * 64));
 }
 
-TEST(PlacementPropertyTest, PlansKeepWhatMustHold) {
+TEST(PlacementPropertyTest, PlansKeepInvariants) {
   EXPECT_TRUE(rc::check([] {
     Harness run(AnyEnvironment(), AnyPolicy());
     for (const int event : AnyEvents()) {
@@ -162,10 +162,10 @@
 // good. Then lent work took the room that had been had back for a claim, again and again.
 TEST(PlacementPropertyTest, WorkWithoutAcceleratorsKeepsItsBlock) {
   EXPECT_TRUE(rc::check([] {
-    constexpr int kLightLentJob = 7050;
-    constexpr int kLightGuaranteedJob = 0;
+    constexpr int kLentJobWithoutAccelerators = 7050;
+    constexpr int kGuaranteedJobWithoutAccelerators = 0;
     Harness run(SmallEnvironment(1, 4, {0, 0, 0, 0}), std::make_unique<CellPolicy>());
-    for (const int event : {kLightLentJob, kLightGuaranteedJob}) {
+    for (const int event : {kLentJobWithoutAccelerators, kGuaranteedJobWithoutAccelerators}) {
       run.Step(event);
       run.DecideAndStop();
     }
@@ -174,9 +174,9 @@
 }
 
 // The planner's own check must hold against any policy, also a broken one.
-TEST(PlacementPropertyTest, PlannerStopsFaultyPolicies) {
+TEST(PlacementPropertyTest, PlannerRejectsFaultyPlans) {
   EXPECT_TRUE(rc::check([] {
-    const Fault fault = *rc::gen::element(Fault::kHalfGang, Fault::kSameRoomTwice,
+    const Fault fault = *rc::gen::element(Fault::kPartialGang, Fault::kSameRoomTwice,
                                           Fault::kIgnoresZone, Fault::kNeverBorrows);
     Environment environment = AnyEnvironment();
     environment.zones[kTestZone].in = *rc::gen::arbitrary<bool>();
@@ -189,9 +189,9 @@
 }
 
 // Each fault must be seen by the checks above when the planner does not stand between.
-class PlantedFaultTest : public testing::TestWithParam<std::pair<Fault, std::string>> {};
+class InjectedFaultTest : public testing::TestWithParam<std::pair<Fault, std::string>> {};
 
-TEST_P(PlantedFaultTest, IsSeen) {
+TEST_P(InjectedFaultTest, IsDetected) {
   const auto& [fault, problem] = GetParam();
   Environment environment = SmallEnvironment(2, 8, {3});
   environment.zones[kTestZone].in = fault != Fault::kIgnoresZone;
@@ -203,8 +203,8 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    All, PlantedFaultTest,
-    testing::Values(std::pair(Fault::kHalfGang, "a gang in part"),
+    All, InjectedFaultTest,
+    testing::Values(std::pair(Fault::kPartialGang, "a gang in part"),
                     std::pair(Fault::kSameRoomTwice, "room given twice"),
                     std::pair(Fault::kIgnoresZone, "a start while the zone is out"),
                     std::pair(Fault::kNeverBorrows, "a guarantee is out of reach")));
--- a/modules/placement/placement_suite.cc
+++ b/modules/placement/placement_suite.cc
@@ -19,10 +19,10 @@
 constexpr std::array<const char*, 2> kBaselines = {"first_fit", "best_fit"};
 constexpr int kSeeds = 2;
 constexpr int kLargeGang = 8;
-constexpr double kTail = 0.95;
+constexpr double kPercentile = 0.95;
 constexpr Duration kZoneLeaves = hours(12);
 constexpr Duration kZoneReturns = hours(16);
-constexpr double kOffBy = 4;
+constexpr double kDeclaredTimeErrorFactor = 4;
 constexpr int64_t kGibibyte = int64_t{1} << 30;
 
 // Which workspace of a deployment does which part of the day.
@@ -40,7 +40,8 @@
      {"thistle-and-rind", "shop-answers", "seasonal-blends", "label-runs", "head-office",
       "clyde-b"}}};
 
-JobSpec Shape(const std::string& workspace, int tasks, int accelerators, Adjacency adjacency) {
+JobSpec MakeJobSpec(const std::string& workspace, int tasks, int accelerators,
+                    Adjacency adjacency) {
   JobSpec spec;
   spec.workspace = workspace;
   spec.tasks = tasks;
@@ -50,8 +51,8 @@
   return spec;
 }
 
-GenerateRule Rule(const std::string& prefix, int count, const JobSpec& spec, Duration shortest,
-                  Duration longest) {
+GenerateRule MakeRule(const std::string& prefix, int count, const JobSpec& spec, Duration shortest,
+                      Duration longest) {
   GenerateRule rule;
   rule.from = Duration::zero();
   rule.until = hours(22);
@@ -60,35 +61,39 @@
   rule.spec = spec;
   rule.shortest = shortest;
   rule.longest = longest;
-  rule.off_by = kOffBy;
+  rule.off_by = kDeclaredTimeErrorFactor;
   return rule;
 }
 
 std::vector<GenerateRule> DayOf(const Deployment& deployment) {
   std::vector<GenerateRule> rules;
-  JobSpec check = Shape(deployment.urgent_workspace, 1, 1, Adjacency::kAny);
+  JobSpec check = MakeJobSpec(deployment.urgent_workspace, 1, 1, Adjacency::kAny);
   check.urgent = true;
-  rules.push_back(Rule("check-", 300, check, minutes(2), minutes(10)));
-  rules.push_back(Rule("plan-", 160, Shape(deployment.plan_workspace, 2, 2, Adjacency::kSameWorker),
-                       minutes(10), hours(1)));
+  rules.push_back(MakeRule("check-", 300, check, minutes(2), minutes(10)));
+  rules.push_back(MakeRule("plan-", 160,
+                           MakeJobSpec(deployment.plan_workspace, 2, 2, Adjacency::kSameWorker),
+                           minutes(10), hours(1)));
   rules.back().peak = hours(20) + minutes(30);
   rules.back().peak_width = hours(2);
-  rules.push_back(Rule("gang-", 36, Shape(deployment.plan_workspace, 4, 4, Adjacency::kAny),
-                       minutes(20), minutes(90)));
-  rules.push_back(Rule("batch-", 30, Shape(deployment.batch_workspace, 2, 8, Adjacency::kSameRack),
-                       minutes(30), hours(3)));
+  rules.push_back(MakeRule("gang-", 36,
+                           MakeJobSpec(deployment.plan_workspace, 4, 4, Adjacency::kAny),
+                           minutes(20), minutes(90)));
+  rules.push_back(MakeRule("batch-", 30,
+                           MakeJobSpec(deployment.batch_workspace, 2, 8, Adjacency::kSameRack),
+                           minutes(30), hours(3)));
   // A burst before the co-packer's shift.
-  rules.push_back(Rule("shift-", 12, Shape(deployment.batch_workspace, 2, 4, Adjacency::kAny),
-                       minutes(15), minutes(60)));
+  rules.push_back(MakeRule("shift-", 12,
+                           MakeJobSpec(deployment.batch_workspace, 2, 4, Adjacency::kAny),
+                           minutes(15), minutes(60)));
   rules.back().from = hours(5);
   rules.back().until = hours(5) + minutes(15);
-  JobSpec large = Shape(deployment.batch_workspace, 3, 8, Adjacency::kAny);
+  JobSpec large = MakeJobSpec(deployment.batch_workspace, 3, 8, Adjacency::kAny);
   large.checkpoints = false;
-  rules.push_back(Rule("large-", 12, large, minutes(30), hours(2)));
-  JobSpec order = Shape(deployment.order_workspace, 1, 2, Adjacency::kAny);
+  rules.push_back(MakeRule("large-", 12, large, minutes(30), hours(2)));
+  JobSpec order = MakeJobSpec(deployment.order_workspace, 1, 2, Adjacency::kAny);
   order.checkpoints = false;
   order.repeatable = false;
-  rules.push_back(Rule("order-", 120, order, minutes(5), minutes(30)));
+  rules.push_back(MakeRule("order-", 120, order, minutes(5), minutes(30)));
   return rules;
 }
 
@@ -133,10 +138,10 @@
   double unfinished = 0;
 };
 
-double TailOf(std::vector<double> values) {
+double PercentileOf(std::vector<double> values) {
   if (values.empty()) return 0;
   std::sort(values.begin(), values.end());
-  return values[static_cast<size_t>(kTail * static_cast<double>(values.size() - 1))];
+  return values[static_cast<size_t>(kPercentile * static_cast<double>(values.size() - 1))];
 }
 
 double MeasureOf(const ReplayResult& result, const std::string& name) {
@@ -151,15 +156,15 @@
  public:
   void AddDay(const ReplayResult& result) {
     for (const auto& [id, job] : result.jobs) {
-      work_ += job.accelerators() * Seconds(job.job.runs);
-      lost_ += job.lost;
+      work_ += job.accelerators() * Seconds(job.job.run_time);
+      lost_ += job.lost_work;
       if (job.state == JobState::kDone) {
-        completions_.push_back(Seconds(*job.ended - job.asked));
+        completions_.push_back(Seconds(*job.ended - job.submitted));
       } else {
         ++unfinished_;
       }
       if (!job.started) continue;
-      const double wait = Seconds(*job.started - job.asked);
+      const double wait = Seconds(*job.started - job.submitted);
       if (job.accelerators() >= kLargeGang) gang_waits_.push_back(wait);
       if (job.job.spec.urgent) urgent_waits_.push_back(wait);
     }
@@ -173,9 +178,9 @@
   PolicyFigures Figures() const {
     PolicyFigures figures;
     figures.completion_mean = Mean(completions_);
-    figures.completion_p95 = TailOf(completions_);
-    figures.gang_wait_p95 = TailOf(gang_waits_);
-    figures.urgent_wait_p95 = TailOf(urgent_waits_);
+    figures.completion_p95 = PercentileOf(completions_);
+    figures.gang_wait_p95 = PercentileOf(gang_waits_);
+    figures.urgent_wait_p95 = PercentileOf(urgent_waits_);
     figures.fragmentation = Mean(fragmentation_);
     figures.zone_change_share = Mean(zone_change_);
     figures.lost_share = work_ > 0 ? lost_ / work_ : 0;
--- a/modules/placement/placement_test_support_test.cc
+++ b/modules/placement/placement_test_support_test.cc
@@ -31,8 +31,8 @@
       worker.free_accelerators &= ~task.accelerators;
       worker.free_processors -= job->spec.shape.processors;
       worker.free_memory_bytes -= job->spec.shape.memory_bytes;
-      const bool counted = std::popcount(task.accelerators) == job->spec.shape.accelerators;
-      if (!free || !counted || worker.free_processors < 0 || worker.free_memory_bytes < 0) {
+      const bool right_count = std::popcount(task.accelerators) == job->spec.shape.accelerators;
+      if (!free || !right_count || worker.free_processors < 0 || worker.free_memory_bytes < 0) {
         return "room given twice";
       }
     }
--- a/modules/placement/run_time_estimator.cc
+++ b/modules/placement/run_time_estimator.cc
@@ -11,38 +11,38 @@
 // One run says little; the declared time keeps the weight of this many.
 constexpr int kDeclaredWeight = 2;
 // From here on the task's own reports say more than any estimate.
-constexpr double kEnoughProgress = 0.05;
-constexpr double kLeastSeconds = 1;
+constexpr double kMinReportedProgress = 0.05;
+constexpr double kMinSeconds = 1;
 // A job that has outrun its estimate is expected to run on for as long as it has, by this share.
 constexpr double kOverrunShare = 0.5;
 
 }  // namespace
 
 void RunTimeEstimator::Learn(const JobSpec& spec, Duration run_time) {
-  const double declared = std::max(kLeastSeconds, Seconds(spec.declared_run_time));
-  const double ratio = std::log(std::max(kLeastSeconds, Seconds(run_time)) / declared);
-  Ratio& known = ratios_[spec.workspace];
-  ++known.seen;
-  const double weight = std::max(kNewestWeight, 1.0 / (known.seen + kDeclaredWeight));
+  const double declared = std::max(kMinSeconds, Seconds(spec.declared_run_time));
+  const double ratio = std::log(std::max(kMinSeconds, Seconds(run_time)) / declared);
+  RunTimeRatio& known = ratios_[spec.workspace];
+  ++known.runs;
+  const double weight = std::max(kNewestWeight, 1.0 / (known.runs + kDeclaredWeight));
   known.mean_log += weight * (ratio - known.mean_log);
 }
 
-double RunTimeEstimator::Total(const JobSpec& spec) const {
-  const double declared = std::max(kLeastSeconds, Seconds(spec.declared_run_time));
+double RunTimeEstimator::TotalSeconds(const JobSpec& spec) const {
+  const double declared = std::max(kMinSeconds, Seconds(spec.declared_run_time));
   const auto known = ratios_.find(spec.workspace);
   return known == ratios_.end() ? declared : declared * std::exp(known->second.mean_log);
 }
 
-double RunTimeEstimator::Remaining(const WaitingJob& job) const {
-  return std::max(kLeastSeconds, Total(job.spec) * (1 - job.progress));
+double RunTimeEstimator::RemainingSeconds(const WaitingJob& job) const {
+  return std::max(kMinSeconds, TotalSeconds(job.spec) * (1 - job.progress));
 }
 
-double RunTimeEstimator::Remaining(const RunningJob& job, Time now) const {
+double RunTimeEstimator::RemainingSeconds(const RunningJob& job, Time now) const {
   const double ran = Seconds(now - job.started);
   const double gained = job.progress - job.started_progress;
-  if (gained >= kEnoughProgress && ran > 0) return ran * (1 - job.progress) / gained;
-  const double left = Total(job.spec) * (1 - job.started_progress) - ran;
-  return std::max({left, ran * kOverrunShare, kLeastSeconds});
+  if (gained >= kMinReportedProgress && ran > 0) return ran * (1 - job.progress) / gained;
+  const double left = TotalSeconds(job.spec) * (1 - job.started_progress) - ran;
+  return std::max({left, ran * kOverrunShare, kMinSeconds});
 }
 
 }  // namespace turmericshift
--- a/modules/placement/run_time_estimator.h
+++ b/modules/placement/run_time_estimator.h
@@ -13,17 +13,17 @@
  public:
   void Learn(const JobSpec& spec, Duration run_time);
   // Seconds that a whole run takes.
-  double Total(const JobSpec& spec) const;
-  double Remaining(const WaitingJob& job) const;
-  double Remaining(const RunningJob& job, Time now) const;
+  double TotalSeconds(const JobSpec& spec) const;
+  double RemainingSeconds(const WaitingJob& job) const;
+  double RemainingSeconds(const RunningJob& job, Time now) const;
 
  private:
-  struct Ratio {
+  struct RunTimeRatio {
     // Mean of the logarithm of actual by declared, newer runs weighing more.
     double mean_log = 0;
-    int seen = 0;
+    int runs = 0;
   };
-  std::map<std::string, Ratio> ratios_;
+  std::map<std::string, RunTimeRatio> ratios_;
 };
 
 }  // namespace turmericshift
--- a/modules/placement/task_placer.cc
+++ b/modules/placement/task_placer.cc
@@ -10,7 +10,7 @@
 
 constexpr int kMaxAccelerators = 32;
 // Less than any stop, so that it only decides between free sites.
-constexpr double kGatheredCost = 1;
+constexpr double kSoftReservedCost = 1;
 
 uint32_t LowestBits(uint32_t mask, int count) {
   uint32_t chosen = 0;
@@ -67,8 +67,8 @@
   return order;
 }
 
-void PutOn(const ZoneRoom& room, int worker, int count, const JobSpec& spec,
-           std::vector<TaskOnWorker>* tasks) {
+void AppendTasks(const ZoneRoom& room, int worker, int count, const JobSpec& spec,
+                 std::vector<TaskOnWorker>* tasks) {
   const RoomWorker& target = room.workers()[worker];
   uint32_t free = target.free_accelerators;
   for (int index = 0; index < count; ++index) {
@@ -96,12 +96,12 @@
     const int left = spec.tasks - static_cast<int>(tasks.size());
     if (left == 0) break;
     const int fit = TasksThatFit(room.workers()[worker], spec.shape);
-    PutOn(room, worker, std::min(left, fit), spec, &tasks);
+    AppendTasks(room, worker, std::min(left, fit), spec, &tasks);
   }
   return tasks;
 }
 
-std::vector<int> Allowed(const std::vector<int>& workers, const WorkerFilter& allowed) {
+std::vector<int> FilterWorkers(const std::vector<int>& workers, const WorkerFilter& allowed) {
   std::vector<int> result;
   for (const int worker : workers) {
     if (!allowed || allowed(worker)) result.push_back(worker);
@@ -115,7 +115,7 @@
   return all;
 }
 
-int FreeAmong(const ZoneRoom& room, const std::vector<int>& workers) {
+int FreeAccelerators(const ZoneRoom& room, const std::vector<int>& workers) {
   int free = 0;
   for (const int worker : workers) free += std::popcount(room.workers()[worker].free_accelerators);
   return free;
@@ -133,7 +133,7 @@
   bool bound = false;
   double cost = 0;
   // Size of the largest block that binding this one would break.
-  int breaks = 0;
+  int broken_block_size = 0;
 };
 
 class CellSearch {
@@ -142,9 +142,9 @@
              bool may_stop)
       : room_(room), view_(view), spec_(spec), cost_(cost), may_stop_(may_stop) {
     workspace_ = room->WorkspaceIndex(spec.workspace);
-    together_ = spec.adjacency == Adjacency::kSameWorker;
-    unit_ = together_ ? MultiplyShape(spec.shape, spec.tasks) : spec.shape;
-    units_ = together_ ? 1 : spec.tasks;
+    same_worker_ = spec.adjacency == Adjacency::kSameWorker;
+    unit_ = same_worker_ ? MultiplyShape(spec.shape, spec.tasks) : spec.shape;
+    unit_count_ = same_worker_ ? 1 : spec.tasks;
   }
 
   std::optional<CellPlacement> Run() {
@@ -156,8 +156,8 @@
     // Least lost first; where that would break room that other guarantees need, tightest first.
     for (const bool tightest : {false, true}) {
       Sort(tightest);
-      for (const std::vector<Site>& group : Groups()) {
-        std::optional<CellPlacement> placement = Fill(group);
+      for (const std::vector<Site>& group : SiteGroups()) {
+        std::optional<CellPlacement> placement = PlaceUnits(group);
         const bool free_now =
             placement && placement->victims.empty() && room_->HasFreeRoom(spec_, placement->tasks);
         if (!may_stop_ && !free_now) continue;
@@ -194,12 +194,12 @@
         if ((lent.mask & site.mask) != 0) site.cost += Cost(lent.job);
       }
     }
-    if (worker.soft_reserved) site.cost += kGatheredCost;
+    if (worker.soft_reserved) site.cost += kSoftReservedCost;
     if (!site.bound) {
       for (const CellLevel level : {CellLevel::kPair, CellLevel::kHalf, CellLevel::kWorker}) {
         for (const uint32_t block : room_->sizes().Blocks(level)) {
           if ((block & site.mask) == 0 || (block & worker.held) != 0) continue;
-          site.breaks = std::max(site.breaks, std::popcount(block));
+          site.broken_block_size = std::max(site.broken_block_size, std::popcount(block));
         }
       }
     }
@@ -212,35 +212,35 @@
     std::stable_sort(sites_.begin(), sites_.end(), [tightest](const Site& a, const Site& b) {
       const double cost_a = tightest ? 0 : a.cost;
       const double cost_b = tightest ? 0 : b.cost;
-      return std::tuple(!a.bound, cost_a, a.level, a.breaks, a.cost) <
-             std::tuple(!b.bound, cost_b, b.level, b.breaks, b.cost);
+      return std::tuple(!a.bound, cost_a, a.level, a.broken_block_size, a.cost) <
+             std::tuple(!b.bound, cost_b, b.level, b.broken_block_size, b.cost);
     });
   }
 
   // The sites of each rack for jobs that must stay in one, else all.
-  std::vector<std::vector<Site>> Groups() const {
+  std::vector<std::vector<Site>> SiteGroups() const {
     if (spec_.adjacency != Adjacency::kSameRack) return {sites_};
     std::vector<std::vector<Site>> groups(room_->racks().size());
     for (const Site& site : sites_) groups[room_->workers()[site.worker].rack].push_back(site);
     return groups;
   }
 
-  std::optional<CellPlacement> Fill(const std::vector<Site>& sites) {
+  std::optional<CellPlacement> PlaceUnits(const std::vector<Site>& sites) {
     CellPlacement placement;
     std::array<int, kCellLevelCount> bound{};
     std::map<int, uint32_t> taken;
     std::map<int, TaskShape> needed;
     int placed = 0;
     for (const Site& site : sites) {
-      if (placed == units_) break;
+      if (placed == unit_count_) break;
       if ((taken[site.worker] & site.mask) != 0) continue;
       int& used = bound[static_cast<size_t>(site.level)];
       if (!site.bound && used >= room_->Unbound(workspace_, site.level)) continue;
       uint32_t mask = site.mask;
       TaskShape left = site.room;
       int here = 0;
-      while (placed < units_ && FitsIn(unit_, left)) {
-        PutUnit(site, &mask, &placement.tasks);
+      while (placed < unit_count_ && FitsIn(unit_, left)) {
+        PlaceUnit(site, &mask, &placement.tasks);
         left = {left.processors - unit_.processors, left.memory_bytes - unit_.memory_bytes,
                 left.accelerators - unit_.accelerators};
         ++placed;
@@ -255,13 +255,13 @@
       // A rack's cell is bound once, on whichever of its workers comes first.
       if (!site.bound) ++used;
     }
-    if (placed < units_) return std::nullopt;
+    if (placed < unit_count_) return std::nullopt;
     placement.victims = Victims(placement.tasks, needed);
     return placement;
   }
 
-  void PutUnit(const Site& site, uint32_t* mask, std::vector<TaskOnWorker>* tasks) {
-    const int count = together_ ? spec_.tasks : 1;
+  void PlaceUnit(const Site& site, uint32_t* mask, std::vector<TaskOnWorker>* tasks) {
+    const int count = same_worker_ ? spec_.tasks : 1;
     for (int index = 0; index < count; ++index) {
       const uint32_t chosen = CheapestBits(site.worker, *mask);
       *mask &= ~chosen;
@@ -300,12 +300,12 @@
         if ((lent.mask & task.accelerators) != 0) victims.insert(lent.job);
       }
     }
-    for (const auto& [worker, shape] : needed) AddForShape(worker, shape, &victims);
+    for (const auto& [worker, shape] : needed) AddVictimsForShape(worker, shape, &victims);
     return {victims.begin(), victims.end()};
   }
 
   // Lent work may hold more processors and memory than its accelerators' part.
-  void AddForShape(int index, const TaskShape& shape, std::set<int>* victims) const {
+  void AddVictimsForShape(int index, const TaskShape& shape, std::set<int>* victims) const {
     const RoomWorker& worker = room_->workers()[index];
     int processors = worker.free_processors;
     int64_t memory = worker.free_memory_bytes;
@@ -333,31 +333,31 @@
   const StopCost& cost_;
   const bool may_stop_;
   int workspace_ = 0;
-  bool together_ = false;
+  bool same_worker_ = false;
   TaskShape unit_;
-  int units_ = 0;
+  int unit_count_ = 0;
   std::vector<Site> sites_;
 };
 
 }  // namespace
 
-std::optional<std::vector<TaskOnWorker>> PlaceTight(const ZoneRoom& room, const JobSpec& spec,
-                                                    const WorkerFilter& allowed) {
+std::optional<std::vector<TaskOnWorker>> PlaceBestFit(const ZoneRoom& room, const JobSpec& spec,
+                                                      const WorkerFilter& allowed) {
   if (spec.adjacency == Adjacency::kSameWorker) {
-    for (const int worker : FullestFirst(room, Allowed(AllWorkers(room), allowed))) {
+    for (const int worker : FullestFirst(room, FilterWorkers(AllWorkers(room), allowed))) {
       if (TasksThatFit(room.workers()[worker], spec.shape) < spec.tasks) continue;
       return PlaceAmong(room, spec, {worker});
     }
     return std::nullopt;
   }
   if (spec.adjacency != Adjacency::kSameRack) {
-    return PlaceAmong(room, spec, Allowed(AllWorkers(room), allowed));
+    return PlaceAmong(room, spec, FilterWorkers(AllWorkers(room), allowed));
   }
   std::optional<std::vector<TaskOnWorker>> best;
   int least = 0;
   for (const std::vector<int>& rack : room.racks()) {
-    const std::vector<int> members = Allowed(rack, allowed);
-    const int free = FreeAmong(room, members);
+    const std::vector<int> members = FilterWorkers(rack, allowed);
+    const int free = FreeAccelerators(room, members);
     if (best && free >= least) continue;
     std::optional<std::vector<TaskOnWorker>> tasks = PlaceAmong(room, spec, members);
     if (!tasks) continue;
--- a/modules/placement/task_placer.h
+++ b/modules/placement/task_placer.h
@@ -16,8 +16,8 @@
 using StopCost = std::function<double(int job)>;
 
 // Tightest fit on free room, small work on workers that are already broken.
-std::optional<std::vector<TaskOnWorker>> PlaceTight(const ZoneRoom& room, const JobSpec& spec,
-                                                    const WorkerFilter& allowed);
+std::optional<std::vector<TaskOnWorker>> PlaceBestFit(const ZoneRoom& room, const JobSpec& spec,
+                                                      const WorkerFilter& allowed);
 
 struct CellPlacement {
   std::vector<TaskOnWorker> tasks;
--- a/modules/routing/routing_test.cc
+++ b/modules/routing/routing_test.cc
@@ -13,10 +13,10 @@
   return {{"a", "near", {0, 0, 8}, 0}, {"b", "near", {0, 0, 8}, 0}, {"c", "far", {0, 0, 8}, 0}};
 }
 
-int TimesChosen(RoutingPolicy* policy, const std::vector<TargetCandidate>& targets, size_t place) {
+int TimesChosen(RoutingPolicy* policy, const std::vector<TargetCandidate>& targets, size_t index) {
   int times = 0;
   for (int round = 0; round < kRounds; ++round) {
-    if (policy->Choose(targets, "near", Time{}) == place) ++times;
+    if (policy->Choose(targets, "near", Time{}) == index) ++times;
   }
   return times;
 }
@@ -27,7 +27,7 @@
   EXPECT_EQ(RoutingPolicyRegistry::Instance().names(), expected);
 }
 
-TEST(RoutingTest, TwoChoicesStaysInItsZoneWhileThatDoesNotHurt) {
+TEST(RoutingTest, TwoChoicesPrefersItsOwnZoneUnlessItIsSlower) {
   TwoChoices policy(1);
   for (const char* agent : {"a", "b", "c"}) {
     policy.Observe(agent, std::chrono::milliseconds(10), true, Time{});
@@ -40,7 +40,7 @@
 }
 
 // One target answers ten times slower than its neighbour and is no busier.
-TEST(RoutingTest, TwoChoicesAvoidsTheSlowOne) {
+TEST(RoutingTest, TwoChoicesAvoidsASlowTarget) {
   TwoChoices policy(1);
   policy.Observe("a", std::chrono::milliseconds(100), true, Time{});
   policy.Observe("b", std::chrono::milliseconds(10), true, Time{});
@@ -48,7 +48,7 @@
   EXPECT_LT(TimesChosen(&policy, Targets(), 0), kRounds / 10);
 }
 
-TEST(RoutingTest, Baselines) {
+TEST(RoutingTest, RoundRobinAndLeastLoadedChooseAsNamed) {
   RoundRobin turns;
   EXPECT_EQ(TimesChosen(&turns, Targets(), 1), kRounds / 3);
   LeastLoaded least;
--- a/modules/routing/two_choices.h
+++ b/modules/routing/two_choices.h
@@ -16,11 +16,12 @@
   explicit TwoChoices(uint64_t seed) : random_(seed) {}
   size_t Choose(const std::vector<TargetCandidate>& candidates, const std::string& own_zone,
                 Time now) override;
-  void Observe(const std::string& agent, Duration latency, bool well, Time now) override;
+  void Observe(const std::string& agent, Duration latency, bool success, Time now) override;
 
  private:
   // The better of two picks among `places`, which is not empty.
-  size_t PickOf(const std::vector<TargetCandidate>& candidates, const std::vector<size_t>& places);
+  size_t PickBetter(const std::vector<TargetCandidate>& candidates,
+                    const std::vector<size_t>& indices);
   // Expected time of a request sent there now, in seconds.
   double Score(const TargetCandidate& candidate) const;
 
--- a/servers/replay/expectation_check.cc
+++ b/servers/replay/expectation_check.cc
@@ -10,17 +10,17 @@
 namespace turmericshift {
 namespace {
 
-constexpr size_t kEventsAround = 8;
+constexpr size_t kContextEvents = 8;
 // Releases and ends are told with the report's lag.
-constexpr Duration kCheckRoom = std::chrono::seconds(1);
+constexpr Duration kReportMargin = std::chrono::seconds(1);
 
-std::string Number(double value) {
+std::string FormatNumber(double value) {
   std::array<char, 32> text{};
   std::snprintf(text.data(), text.size(), "%.6g", value);
   return text.data();
 }
 
-std::string Moment(const std::optional<Duration>& time) {
+std::string TimeText(const std::optional<Duration>& time) {
   return time ? FormatDuration(*time) : "never";
 }
 
@@ -35,7 +35,7 @@
   if (measure == measures.end()) {
     throw Error(ErrorKind::kInvalidInput, "no promise or measure '" + expectation.name + "'");
   }
-  checked.found = Number(measure->value);
+  checked.found = FormatNumber(measure->value);
   if (expectation.below && measure->value >= *expectation.below) checked.holds = false;
   if (expectation.above && measure->value <= *expectation.above) checked.holds = false;
   if (!expectation.below && !expectation.above) {
@@ -49,7 +49,7 @@
   for (const HistoryEvent& event : history.events) {
     if (event.job == job) events.push_back(event);
   }
-  if (events.size() > kEventsAround) events.erase(events.begin(), events.end() - kEventsAround);
+  if (events.size() > kContextEvents) events.erase(events.begin(), events.end() - kContextEvents);
   return events;
 }
 
@@ -60,16 +60,17 @@
     throw Error(ErrorKind::kInvalidInput, "the trace has no job '" + expectation.job + "'");
   }
   const ReplayJob& job = found->second;
-  checked.found = std::string(JobStateName(job.state)) + ", started " + Moment(job.started) +
-                  ", ended " + Moment(job.ended) + ", attempts " + std::to_string(job.attempts);
-  const auto late = [](const std::optional<Duration>& time, const std::optional<Duration>& bound) {
+  checked.found = std::string(JobStateName(job.state)) + ", started " + TimeText(job.started) +
+                  ", ended " + TimeText(job.ended) + ", attempts " + std::to_string(job.attempts);
+  const auto missed = [](const std::optional<Duration>& time,
+                         const std::optional<Duration>& bound) {
     return bound && (!time || *time >= *bound);
   };
   if (!expectation.state.empty() && expectation.state != JobStateName(job.state)) {
     checked.holds = false;
   }
-  if (late(job.started, expectation.started_before)) checked.holds = false;
-  if (late(job.ended, expectation.ended_before)) checked.holds = false;
+  if (missed(job.started, expectation.started_before)) checked.holds = false;
+  if (missed(job.ended, expectation.ended_before)) checked.holds = false;
   if (expectation.attempts_below && job.attempts >= *expectation.attempts_below) {
     checked.holds = false;
   }
@@ -78,15 +79,15 @@
 }
 
 // The contradicting events and those that came shortly before the last of them.
-std::vector<HistoryEvent> Around(const std::vector<HistoryEvent>& evidence,
-                                 const History& history) {
+std::vector<HistoryEvent> WithContext(const std::vector<HistoryEvent>& evidence,
+                                      const History& history) {
   if (evidence.empty()) return {};
   std::vector<HistoryEvent> events(evidence.begin(), evidence.end() - 1);
   const std::string& last = evidence.back().place;
   const auto at = std::find_if(history.events.begin(), history.events.end(),
                                [&last](const HistoryEvent& event) { return event.place == last; });
   if (at == history.events.end()) return evidence;
-  const auto before = std::min<std::ptrdiff_t>(kEventsAround, at - history.events.begin());
+  const auto before = std::min<std::ptrdiff_t>(kContextEvents, at - history.events.begin());
   events.insert(events.end(), at - before, at + 1);
   return events;
 }
@@ -103,17 +104,17 @@
   checked.holds = check.verdict != CheckVerdict::kViolated;
   checked.found = CheckVerdictName(check.verdict);
   if (!check.message.empty()) checked.found += ": " + check.message;
-  checked.evidence = Around(check.evidence, result.history);
+  checked.evidence = WithContext(check.evidence, result.history);
   return checked;
 }
 
 }  // namespace
 
 HistoryBounds BoundsOf(const Trace& trace, const Bounds& bounds) {
-  const Duration room = trace.report_lag + 2 * trace.tick + kCheckRoom;
+  const Duration margin = trace.report_lag + 2 * trace.tick + kReportMargin;
   HistoryBounds checks;
   checks.zone_out = bounds.zone_out;
-  checks.partial_gang = bounds.lease + room;
+  checks.partial_gang = bounds.lease + margin;
   checks.reclaim = bounds.reclaim;
   checks.job_silence = trace.until;
   return checks;
@@ -144,13 +145,13 @@
   if (!expectation.job.empty()) text += " " + expectation.job;
   if (!expectation.state.empty()) text += " " + expectation.state;
   if (!expectation.workspace.empty()) text += " of " + expectation.workspace;
-  if (expectation.started_before) text += " started before " + Moment(expectation.started_before);
-  if (expectation.ended_before) text += " ended before " + Moment(expectation.ended_before);
+  if (expectation.started_before) text += " started before " + TimeText(expectation.started_before);
+  if (expectation.ended_before) text += " ended before " + TimeText(expectation.ended_before);
   if (expectation.attempts_below) {
     text += " attempts below " + std::to_string(*expectation.attempts_below);
   }
-  if (expectation.below) text += " below " + Number(*expectation.below);
-  if (expectation.above) text += " above " + Number(*expectation.above);
+  if (expectation.below) text += " below " + FormatNumber(*expectation.below);
+  if (expectation.above) text += " above " + FormatNumber(*expectation.above);
   return text;
 }
 
--- a/servers/replay/guarantee_oracle.cc
+++ b/servers/replay/guarantee_oracle.cc
@@ -7,9 +7,9 @@
 namespace {
 
 // Cells of a workspace by their free accelerators; a rack counts as its workers.
-class CellBooks {
+class CellTable {
  public:
-  CellBooks(const std::vector<CellCount>& cells, const AvailabilityZoneSpec& zone) : zone_(zone) {
+  CellTable(const std::vector<CellCount>& cells, const AvailabilityZoneSpec& zone) : zone_(zone) {
     for (const CellCount& cell : cells) {
       const bool rack = cell.level == CellLevel::kRack;
       const int count = cell.count * (rack ? zone.workers_per_rack : 1);
@@ -20,13 +20,13 @@
 
   // Takes the job's room; false, with the books as they were, if it does not fit.
   bool Take(const JobSpec& spec) {
-    const int each = SizeOf(spec.shape);
-    const bool together = spec.adjacency == Adjacency::kSameWorker;
+    const int task_size = SizeOf(spec.shape);
+    const bool same_worker = spec.adjacency == Adjacency::kSameWorker;
     // Whether cells are neighbours is not told by the document.
     if (spec.adjacency == Adjacency::kSameRack && spec.tasks > 1) return false;
     std::vector<int> trial = free_;
-    const int pieces = together ? 1 : spec.tasks;
-    const int size = together ? each * spec.tasks : each;
+    const int pieces = same_worker ? 1 : spec.tasks;
+    const int size = same_worker ? task_size * spec.tasks : task_size;
     for (int piece = 0; piece < pieces; ++piece) {
       if (!TakePiece(size, &trial)) return false;
     }
@@ -90,10 +90,10 @@
   std::set<std::string> covered;
   const AvailabilityZoneSpec* zone = view.environment->FindZone(view.zone);
   if (zone == nullptr || !view.in || zone->worker.accelerators == 0) return covered;
-  CellBooks books(cells, *zone);
+  CellTable table(cells, *zone);
   for (const RunningJob& job : view.running) {
     // A workspace that uses more than its guarantee has nothing to claim.
-    if (job.spec.workspace == workspace && !books.Take(job.spec)) return covered;
+    if (job.spec.workspace == workspace && !table.Take(job.spec)) return covered;
   }
   std::vector<const WaitingJob*> waiting;
   for (const WaitingJob& job : view.waiting) {
@@ -103,7 +103,7 @@
     return left->sequence < right->sequence;
   });
   for (const WaitingJob* job : waiting) {
-    if (books.Take(job->spec)) covered.insert(job->id);
+    if (table.Take(job->spec)) covered.insert(job->id);
   }
   return covered;
 }
--- a/servers/replay/replay_measures.cc
+++ b/servers/replay/replay_measures.cc
@@ -9,8 +9,8 @@
 
 // Work counts towards a zone change until this long after the last one: what was held up by it is
 // caught up by then or is lost.
-constexpr Duration kAfterZoneChange = std::chrono::minutes(30);
-constexpr double kTailShare = 0.95;
+constexpr Duration kZoneChangeWindow = std::chrono::minutes(30);
+constexpr double kPercentile = 0.95;
 
 int SlotsOn(const WorkerView& worker, const TaskShape& shape) {
   if (!worker.usable) return 0;
@@ -52,10 +52,11 @@
   return sum / static_cast<double>(values.size());
 }
 
-double TailOf(std::vector<double> values) {
+double PercentileOf(std::vector<double> values) {
   if (values.empty()) return 0;
   std::sort(values.begin(), values.end());
-  const auto rank = static_cast<size_t>(std::ceil(kTailShare * static_cast<double>(values.size())));
+  const auto rank =
+      static_cast<size_t>(std::ceil(kPercentile * static_cast<double>(values.size())));
   return values[std::max<size_t>(rank, 1) - 1];
 }
 
@@ -81,18 +82,18 @@
 }
 
 bool TimeIntegrals::InZoneChange() const {
-  return last_zone_change_ && now_ - *last_zone_change_ <= kAfterZoneChange;
+  return last_zone_change_ && now_ - *last_zone_change_ <= kZoneChangeWindow;
 }
 
 void TimeIntegrals::ZoneChanged(Time now) { last_zone_change_ = now; }
 
-void TimeIntegrals::Lost(double accelerator_seconds) {
+void TimeIntegrals::AddLostWork(double accelerator_seconds) {
   all_.done -= accelerator_seconds;
   if (InZoneChange()) zone_change_.done -= accelerator_seconds;
 }
 
 void TimeIntegrals::Add(const std::vector<const ZoneView*>& zones, const ReplayPlatform& platform,
-                        int wanted_accelerators, Duration span) {
+                        int requested_accelerators, Duration span) {
   const double seconds = Seconds(span);
   double capacity = 0;
   bool all_in = true;
@@ -110,24 +111,24 @@
   double running = 0;
   for (const auto& [key, attempt] : platform.attempts()) running += attempt.accelerators();
   // What still runs in a zone that is out counts as done but was not asked for.
-  const double allowed = std::min<double>(capacity, wanted_accelerators);
+  const double attainable = std::min<double>(capacity, requested_accelerators);
   all_.done += running * seconds;
-  all_.allowed += allowed * seconds;
+  all_.attainable += attainable * seconds;
   if (!all_in || InZoneChange()) {
     zone_change_.done += running * seconds;
-    zone_change_.allowed += allowed * seconds;
+    zone_change_.attainable += attainable * seconds;
   }
 }
 
 double TimeIntegrals::fragmentation() const { return free_ <= 0 ? 0 : unusable_ / free_; }
 
 double TimeIntegrals::work_share() const {
-  return all_.allowed <= 0 ? 1 : all_.done / all_.allowed;
+  return all_.attainable <= 0 ? 1 : all_.done / all_.attainable;
 }
 
 std::optional<double> TimeIntegrals::zone_change_work_share() const {
   if (!last_zone_change_) return std::nullopt;
-  return zone_change_.allowed <= 0 ? 1 : zone_change_.done / zone_change_.allowed;
+  return zone_change_.attainable <= 0 ? 1 : zone_change_.done / zone_change_.attainable;
 }
 
 std::vector<Measure> MeasuresOf(const std::map<std::string, ReplayJob>& jobs,
@@ -138,17 +139,17 @@
   std::map<JobState, double> states;
   double restarts = 0;
   double restarts_not_reclaimed = 0;
-  double lost = 0;
+  double lost_work = 0;
   double count = 0;
   for (const auto& [id, job] : jobs) {
     if (!workspace.empty() && job.job.spec.workspace != workspace) continue;
     ++count;
     ++states[job.state];
     restarts += std::max(0, job.attempts - 1);
-    restarts_not_reclaimed += std::max(0, job.attempts - 1 - job.reclaimed);
-    lost += job.lost;
-    if (job.state == JobState::kDone) completion.push_back(Seconds(*job.ended - job.asked));
-    if (job.started) waits.push_back(Seconds(*job.started - job.asked));
+    restarts_not_reclaimed += std::max(0, job.attempts - 1 - job.reclaims);
+    lost_work += job.lost_work;
+    if (job.state == JobState::kDone) completion.push_back(Seconds(*job.ended - job.submitted));
+    if (job.started) waits.push_back(Seconds(*job.started - job.submitted));
     if (job.started && job.job.spec.urgent) urgent_waits.push_back(waits.back());
   }
   constexpr double kSecondsPerHour = 3600;
@@ -159,13 +160,13 @@
           {"jobs_impossible", states[JobState::kImpossible]},
           {"jobs_open", states[JobState::kWaiting]},
           {"completion_mean", MeanOf(completion)},
-          {"completion_p95", TailOf(completion)},
+          {"completion_p95", PercentileOf(completion)},
           {"wait_mean", MeanOf(waits)},
-          {"wait_p95", TailOf(waits)},
-          {"urgent_wait_p95", TailOf(urgent_waits)},
+          {"wait_p95", PercentileOf(waits)},
+          {"urgent_wait_p95", PercentileOf(urgent_waits)},
           {"restarts", restarts},
           {"restarts_not_reclaimed", restarts_not_reclaimed},
-          {"lost_accelerator_hours", lost / kSecondsPerHour}};
+          {"lost_accelerator_hours", lost_work / kSecondsPerHour}};
 }
 
 }  // namespace turmericshift
--- a/servers/replay/replay_measures.h
+++ b/servers/replay/replay_measures.h
@@ -17,15 +17,15 @@
   TracedJob job;
   std::string zone;
   // All since the trace's start. `asked` is the first try, also while the log was down.
-  Duration asked{};
+  Duration submitted{};
   std::optional<Duration> started;
   std::optional<Duration> ended;
   JobState state = JobState::kWaiting;
   int attempts = 0;
   // Attempts that were stopped to give a guarantee back.
-  int reclaimed = 0;
+  int reclaims = 0;
   // Accelerator-seconds of work that was done and thrown away.
-  double lost = 0;
+  double lost_work = 0;
 
   int accelerators() const { return job.spec.shape.accelerators * job.spec.tasks; }
 };
@@ -39,14 +39,14 @@
 // Sums over time that need the state between two events.
 class TimeIntegrals {
  public:
-  // The state held for `span`, ending before the next change. `wanted_accelerators`: of all jobs
+  // The state held for `span`, ending before the next change. `requested_accelerators`: of all jobs
   // that have not ended.
   void Add(const std::vector<const ZoneView*>& zones, const ReplayPlatform& platform,
-           int wanted_accelerators, Duration span);
+           int requested_accelerators, Duration span);
   // From the first zone that leaves until some time after the last return, work counts for the
   // zone-change measure.
   void ZoneChanged(Time now);
-  void Lost(double accelerator_seconds);
+  void AddLostWork(double accelerator_seconds);
   void SetTime(Time now) { now_ = now; }
 
   double fragmentation() const;
@@ -57,7 +57,7 @@
  private:
   struct Work {
     double done = 0;
-    double allowed = 0;
+    double attainable = 0;
   };
   bool InZoneChange() const;
 
--- a/servers/replay/replay_platform.cc
+++ b/servers/replay/replay_platform.cc
@@ -31,7 +31,7 @@
   return found == attempts_.end() ? nullptr : &found->second;
 }
 
-std::string ReplayPlatform::RefusalOf(const StartDecision& start, const JobSpec& spec) const {
+std::string ReplayPlatform::StartRefusal(const StartDecision& start, const JobSpec& spec) const {
   if (attempts_.count({start.job, start.attempt}) != 0) return "that attempt was seen before";
   for (const TaskOnWorker& task : start.tasks) {
     if (RunsAt(task.worker, start.job)) return "another attempt of the job is at " + task.worker;
@@ -83,12 +83,12 @@
   attempt.tasks = start.tasks;
   attempt.borrowed = start.borrowed;
   attempt.started = now;
-  attempt.kept = Kept(start.job);
-  attempt.ends = now + std::max<Duration>(job.runs - attempt.kept, Duration::zero());
+  attempt.saved = SavedWork(start.job);
+  attempt.end_time = now + std::max<Duration>(job.run_time - attempt.saved, Duration::zero());
   attempt.end = job.fails ? AttemptEnd::kFailed : AttemptEnd::kDone;
   for (const TaskOnWorker& task : start.tasks) {
     if (!Worker(task.worker).fails_all) continue;
-    attempt.ends = std::min(attempt.ends, now + fails_after_);
+    attempt.end_time = std::min(attempt.end_time, now + fails_after_);
     attempt.end = AttemptEnd::kFailed;
     attempt.failed_on.push_back(task.worker);
   }
@@ -96,68 +96,68 @@
   if (attempt.failed_on.empty() && job.fails) {
     attempt.failed_on.push_back(start.tasks.front().worker);
   }
-  runs_[start.job] = job.runs;
+  run_times_[start.job] = job.run_time;
   attempts_[{start.job, start.attempt}] = attempt;
 }
 
 std::vector<ReplayAttempt> ReplayPlatform::LoseWorker(const std::string& worker, Duration lease,
                                                       Time now) {
-  std::vector<ReplayAttempt> hit;
+  std::vector<ReplayAttempt> affected;
   for (auto& [key, attempt] : attempts_) {
     const ReplayAttempt before = attempt;
     std::erase_if(attempt.tasks,
                   [&worker](const TaskOnWorker& task) { return task.worker == worker; });
     if (attempt.tasks.size() == before.tasks.size()) continue;
-    hit.push_back(before);
-    attempt.ends = now + lease;
+    affected.push_back(before);
+    attempt.end_time = now + lease;
     attempt.end = AttemptEnd::kWorkerLost;
     attempt.saves = false;
   }
-  return hit;
+  return affected;
 }
 
 void ReplayPlatform::StopBy(const AttemptKey& key, Time at, AttemptEnd end, bool saves) {
   const auto found = attempts_.find(key);
-  if (found == attempts_.end() || found->second.ends <= at) return;
-  found->second.ends = at;
+  if (found == attempts_.end() || found->second.end_time <= at) return;
+  found->second.end_time = at;
   found->second.end = end;
   found->second.saves = saves;
 }
 
-std::vector<ReplayAttempt> ReplayPlatform::TakeEnded(const std::string& zone, Time now) {
+std::vector<ReplayAttempt> ReplayPlatform::RemoveEnded(const std::string& zone, Time now) {
   std::vector<ReplayAttempt> ended;
   for (auto next = attempts_.begin(); next != attempts_.end();) {
     const ReplayAttempt& attempt = next->second;
-    if (attempt.zone != zone || attempt.ends > now) {
+    if (attempt.zone != zone || attempt.end_time > now) {
       ++next;
       continue;
     }
-    if (attempt.saves) kept_[attempt.job] = attempt.kept + (attempt.ends - attempt.started);
+    if (attempt.saves) saved_[attempt.job] = attempt.saved + (attempt.end_time - attempt.started);
     ended.push_back(attempt);
     next = attempts_.erase(next);
   }
   return ended;
 }
 
-std::optional<Time> ReplayPlatform::NextEnd() const {
+std::optional<Time> ReplayPlatform::NextEndTime() const {
   std::optional<Time> next;
   for (const auto& [job, attempt] : attempts_) {
-    if (!next || attempt.ends < *next) next = attempt.ends;
+    if (!next || attempt.end_time < *next) next = attempt.end_time;
   }
   return next;
 }
 
 double ReplayPlatform::ProgressOf(const ReplayAttempt& attempt, Time now) const {
-  const double runs = Seconds(runs_.at(attempt.job));
-  if (runs <= 0) return 1;
-  const Duration ran =
-      std::clamp<Duration>(now - attempt.started, Duration::zero(), attempt.ends - attempt.started);
-  return std::min(1.0, Seconds(attempt.kept + ran) / runs);
+  const double run_time = Seconds(run_times_.at(attempt.job));
+  if (run_time <= 0) return 1;
+  const Duration ran = std::clamp<Duration>(now - attempt.started, Duration::zero(),
+                                            attempt.end_time - attempt.started);
+  return std::min(1.0, Seconds(attempt.saved + ran) / run_time);
 }
 
-Duration ReplayPlatform::Kept(const std::string& job) const {
-  const auto found = kept_.find(job);
-  return found == kept_.end() ? Duration::zero() : found->second;
+Duration ReplayPlatform::SavedWork(const std::string& job) const {
+  const auto found = saved_.find(job);
+  return found == saved_.end() ? Duration::zero() : found->second;
 }
 
 }  // namespace turmericshift
--- a/servers/replay/replay_platform.h
+++ b/servers/replay/replay_platform.h
@@ -39,9 +39,9 @@
   bool borrowed = false;
   Time started{};
   // Work kept from earlier attempts.
-  Duration kept{};
+  Duration saved{};
   // When it ends, and how.
-  Time ends{};
+  Time end_time{};
   AttemptEnd end = AttemptEnd::kDone;
   // The work is saved at its end.
   bool saves = false;
@@ -64,7 +64,7 @@
   const ReplayAttempt* Attempt(const AttemptKey& key) const;
 
   // Why an agent would refuse the start; "" if none does.
-  std::string RefusalOf(const StartDecision& start, const JobSpec& spec) const;
+  std::string StartRefusal(const StartDecision& start, const JobSpec& spec) const;
   void Start(const std::string& zone, const StartDecision& start, const TracedJob& job, Time now);
   // The attempt ends at `at` at the latest, as `end`; its work is saved if `saves`.
   void StopBy(const AttemptKey& key, Time at, AttemptEnd end, bool saves);
@@ -73,14 +73,14 @@
   // Returns the attempts that lost a member, as they were.
   std::vector<ReplayAttempt> LoseWorker(const std::string& worker, Duration lease, Time now);
   // Attempts of the zone that have ended by `now`, removed, in order of job.
-  std::vector<ReplayAttempt> TakeEnded(const std::string& zone, Time now);
+  std::vector<ReplayAttempt> RemoveEnded(const std::string& zone, Time now);
   // When the next attempt ends; none if none runs.
-  std::optional<Time> NextEnd() const;
+  std::optional<Time> NextEndTime() const;
 
   // Share of the job's work that is done at `now`, 0 to 1.
   double ProgressOf(const ReplayAttempt& attempt, Time now) const;
   // Work saved by earlier attempts.
-  Duration Kept(const std::string& job) const;
+  Duration SavedWork(const std::string& job) const;
 
  private:
   bool RunsAt(const std::string& worker, const std::string& job) const;
@@ -89,8 +89,8 @@
   const Duration fails_after_;
   std::map<std::string, ReplayWorker> workers_;
   std::map<AttemptKey, ReplayAttempt> attempts_;
-  std::map<std::string, Duration> kept_;
-  std::map<std::string, Duration> runs_;
+  std::map<std::string, Duration> saved_;
+  std::map<std::string, Duration> run_times_;
 };
 
 }  // namespace turmericshift
--- a/servers/replay/replay_step.cc
+++ b/servers/replay/replay_step.cc
@@ -12,20 +12,20 @@
 using Kind = HistoryEventKind;
 
 // Policies may act on time alone, such as aging, so a zone where nothing happens decides too.
-constexpr Duration kIdlePeriod = std::chrono::seconds(30);
-constexpr Duration kProgressPeriod = std::chrono::seconds(30);
+constexpr Duration kIdleDecisionInterval = std::chrono::seconds(30);
+constexpr Duration kProgressInterval = std::chrono::seconds(30);
 // As planners do it: so few at a time that a zone that comes back is filled step by step.
-constexpr Duration kMovePeriod = std::chrono::seconds(5);
-constexpr int kMaxMovesAtOnce = 4;
+constexpr Duration kMoveInterval = std::chrono::seconds(5);
+constexpr int kMaxMovesPerInterval = 4;
 
 }  // namespace
 
-void Replayer::Adopt(const std::string& name, Zone* zone) {
+void Replayer::StartPlanner(const std::string& name, Zone* zone) {
   zone->planner =
       std::make_unique<ZonePlanner>(name, PlacementPolicyRegistry::Instance().Create(policy_));
   zone->planner->SetEnvironment(config_.current()->environment);
   const Sequence epoch = next_sequence_;
-  Record(PlannerClaimed{FreshId(), name, "entry-" + std::to_string(epoch), zone->epoch});
+  Record(PlannerClaimed{NewRecordId(), name, "entry-" + std::to_string(epoch), zone->epoch});
   zone->epoch = epoch;
   for (const auto& [worker_name, worker] : platform_->workers()) {
     if (worker.zone != name || !worker.up) continue;
@@ -36,44 +36,44 @@
     if (job.cancel_asked) zone->planner->CancelAsked(job.id);
   }
   for (const auto& [key, attempt] : platform_->attempts()) {
-    if (attempt.zone != name || attempt.ends <= now_) continue;
+    if (attempt.zone != name || attempt.end_time <= now_) continue;
     zone->planner->FoundRunning(*job_fold_.Find(key.job), key.attempt, attempt.tasks,
                                 attempt.borrowed, now_);
   }
-  zone->dirty = true;
+  zone->needs_decision = true;
 }
 
 void Replayer::Step(const std::string& name, Zone* zone) {
   if (!HasPlanner(*zone)) return;
-  FollowAttempts(name, zone);
-  if (!zone->dirty && now_ < zone->next_decision) return;
+  ProcessEndedAttempts(name, zone);
+  if (!zone->needs_decision && now_ < zone->next_decision) return;
   EndCancelled(name, zone);
   ReportProgress(zone);
   const Plan plan = zone->planner->Decide(now_);
-  zone->dirty = !plan.starts.empty() || !plan.stops.empty();
-  zone->next_decision = now_ + kIdlePeriod;
-  CarryOut(name, plan, zone);
+  zone->needs_decision = !plan.starts.empty() || !plan.stops.empty();
+  zone->next_decision = now_ + kIdleDecisionInterval;
+  ApplyPlan(name, plan, zone);
   MoveWaiting(name, zone);
   UpdateClaims(name, zone);
 }
 
-void Replayer::FollowAttempts(const std::string& name, Zone* zone) {
-  for (const ReplayAttempt& attempt : platform_->TakeEnded(name, now_ - trace_.report_lag)) {
+void Replayer::ProcessEndedAttempts(const std::string& name, Zone* zone) {
+  for (const ReplayAttempt& attempt : platform_->RemoveEnded(name, now_ - trace_.report_lag)) {
     recorder_.WriteMembers(
         attempt.end == AttemptEnd::kDone ? Kind::kGangForgotten : Kind::kGangStopped, attempt,
-        attempt.ends);
-    FollowEnd(attempt, zone);
-    zone->dirty = true;
+        attempt.end_time);
+    ProcessAttemptEnd(attempt, zone);
+    zone->needs_decision = true;
   }
 }
 
-void Replayer::FollowEnd(const ReplayAttempt& attempt, Zone* zone) {
+void Replayer::ProcessAttemptEnd(const ReplayAttempt& attempt, Zone* zone) {
   AttemptEnd end = attempt.end;
-  if (end == AttemptEnd::kStopped && !attempt.saves) CountLost(attempt);
+  if (end == AttemptEnd::kStopped && !attempt.saves) CountLostWork(attempt);
   if (end == AttemptEnd::kFailed &&
       zone->planner->AttemptFailedOn(attempt.job, attempt.failed_on, now_) ==
           FailureVerdict::kTryElsewhere) {
-    CountLost(attempt);
+    CountLostWork(attempt);
     end = AttemptEnd::kStopped;
   }
   if (end == AttemptEnd::kDone) {
@@ -84,33 +84,34 @@
     EndJob(attempt.zone, attempt.job, attempt.attempt, JobState::kCancelled, "by the caller");
     end = AttemptEnd::kFailed;
   } else if (attempt.saves) {
-    zone->planner->Checkpointed(attempt.job, FormatDuration(platform_->Kept(attempt.job)), now_);
+    zone->planner->Checkpointed(attempt.job, FormatDuration(platform_->SavedWork(attempt.job)),
+                                now_);
   }
   zone->planner->AttemptEnded(attempt.job, attempt.attempt, end, now_);
   ForgetLostWorkers(zone);
 }
 
-void Replayer::CountLost(const ReplayAttempt& attempt) {
-  const double lost = attempt.accelerators() * Seconds(attempt.ends - attempt.started);
-  jobs_.at(attempt.job).lost += lost;
-  integrals_.Lost(lost);
+void Replayer::CountLostWork(const ReplayAttempt& attempt) {
+  const double lost_work = attempt.accelerators() * Seconds(attempt.end_time - attempt.started);
+  jobs_.at(attempt.job).lost_work += lost_work;
+  integrals_.AddLostWork(lost_work);
 }
 
 void Replayer::ForgetLostWorkers(Zone* zone) {
   const ZoneView& view = zone->planner->view();
-  std::set<std::string> lost;
+  std::set<std::string> lost_workers;
   for (const WorkerView& worker : view.workers) {
-    if (!platform_->Worker(worker.name).up) lost.insert(worker.name);
+    if (!platform_->Worker(worker.name).up) lost_workers.insert(worker.name);
   }
   for (const RunningJob& job : view.running) {
-    for (const TaskOnWorker& task : job.tasks) lost.erase(task.worker);
+    for (const TaskOnWorker& task : job.tasks) lost_workers.erase(task.worker);
   }
-  for (const std::string& worker : lost) zone->planner->WorkerLost(worker, now_);
+  for (const std::string& worker : lost_workers) zone->planner->WorkerLost(worker, now_);
 }
 
 void Replayer::ReportProgress(Zone* zone) {
   if (now_ < zone->next_progress) return;
-  zone->next_progress = now_ + kProgressPeriod;
+  zone->next_progress = now_ + kProgressInterval;
   const std::vector<RunningJob> running = zone->planner->view().running;
   for (const RunningJob& job : running) {
     const ReplayAttempt* attempt = platform_->Attempt({job.id, job.attempt});
@@ -132,14 +133,14 @@
 
 void Replayer::MoveWaiting(const std::string& name, Zone* zone) {
   if (log_down_ || now_ < zone->next_move) return;
-  zone->next_move = now_ + kMovePeriod;
+  zone->next_move = now_ + kMoveInterval;
   const auto environment = config_.current()->environment;
   int moves = 0;
   const std::vector<WaitingJob> waiting = zone->planner->view().waiting;
   for (const WaitingJob& job : waiting) {
     const std::string to = BetterZone(*environment, *feasibility_, job.spec, name, loads_);
     if (to.empty() || job.cancel_asked) continue;
-    if (!Record(JobMoved{FreshId(), job.id, name, to, zone->epoch, job.checkpoint}).accepted) {
+    if (!Record(JobMoved{NewRecordId(), job.id, name, to, zone->epoch, job.checkpoint}).accepted) {
       continue;
     }
     loads_[name].Remove(job.spec);
@@ -148,12 +149,12 @@
     zone->planner->JobGone(job.id);
     Zone& next = RequireZone(to);
     next.planner->JobAccepted(*job_fold_.Find(job.id), now_);
-    next.dirty = true;
-    if (++moves >= kMaxMovesAtOnce) return;
+    next.needs_decision = true;
+    if (++moves >= kMaxMovesPerInterval) return;
   }
 }
 
-void Replayer::CarryOut(const std::string& name, const Plan& plan, Zone* zone) {
+void Replayer::ApplyPlan(const std::string& name, const Plan& plan, Zone* zone) {
   for (const StopDecision& stop : plan.stops) Stop(stop, name);
   for (const StartDecision& start : plan.starts) Start(name, start, zone);
   for (const RefuseDecision& refusal : plan.refusals) {
@@ -166,7 +167,7 @@
   const ReplayAttempt* attempt = platform_->Attempt({stop.job, stop.attempt});
   if (attempt == nullptr) return;
   ++stops_[stop.reason];
-  if (stop.reason == StopReason::kReclaim) ++jobs_.at(stop.job).reclaimed;
+  if (stop.reason == StopReason::kReclaim) ++jobs_.at(stop.job).reclaims;
   recorder_.Write(Kind::kJobStopped,
                   {{"job", stop.job},
                    {"workspace", attempt->spec.workspace},
@@ -174,13 +175,14 @@
                    {"zone", zone},
                    {"reason", StopReasonName(stop.reason)}},
                   now_);
-  const bool saves = stop.checkpoint && attempt->spec.checkpoints;
-  platform_->StopBy({stop.job, stop.attempt}, now_ + trace_.stop_time, AttemptEnd::kStopped, saves);
+  const bool saves_work = stop.checkpoint && attempt->spec.checkpoints;
+  platform_->StopBy({stop.job, stop.attempt}, now_ + trace_.stop_time, AttemptEnd::kStopped,
+                    saves_work);
 }
 
 void Replayer::Start(const std::string& name, const StartDecision& start, Zone* zone) {
   ReplayJob& job = jobs_.at(start.job);
-  const std::string refusal = platform_->RefusalOf(start, job.job.spec);
+  const std::string refusal = platform_->StartRefusal(start, job.job.spec);
   if (!refusal.empty()) {
     ++refused_starts_;
     zone->planner->AttemptEnded(start.job, start.attempt, AttemptEnd::kNotStarted, now_);
@@ -204,7 +206,7 @@
                    {"zone", name},
                    {"tasks", start.tasks.size()},
                    {"borrowed", start.borrowed},
-                   {"waited_ms", 1000 * Seconds(SinceStart() - job.asked)}},
+                   {"waited_ms", 1000 * Seconds(SinceStart() - job.submitted)}},
                   now_);
 }
 
--- a/servers/replay/replay_test.cc
+++ b/servers/replay/replay_test.cc
@@ -18,9 +18,9 @@
     "\n";
 
 std::string Submit(const std::string& at, const std::string& key, int tasks,
-                   const std::string& runs) {
-  return R"({"event":"submit","at":")" + at + R"(","runs":")" + runs + R"(","job":{"key":")" + key +
-         R"(","workspace":"w","accelerators":4,"tasks":)" + std::to_string(tasks) + "}}\n";
+                   const std::string& run_time) {
+  return R"({"event":"submit","at":")" + at + R"(","runs":")" + run_time + R"(","job":{"key":")" +
+         key + R"(","workspace":"w","accelerators":4,"tasks":)" + std::to_string(tasks) + "}}\n";
 }
 
 // Starts each waiting job as the test says.
@@ -98,7 +98,7 @@
   }
 }
 
-TEST(TraceTest, BadLinesAreNamed) {
+TEST(TraceTest, ErrorsNameTheLine) {
   const std::string header = kHeader;
   EXPECT_EQ(ErrorOf(header), "");
   EXPECT_NE(ErrorOf("").find("test:1: the header"), std::string::npos);
@@ -112,7 +112,7 @@
             std::string::npos);
 }
 
-TEST(TraceTest, TimesAreSumsOfTheirParts) {
+TEST(TraceTest, TimesAreSumsOfDurations) {
   const Trace trace =
       ParseTrace("test", std::string(kHeader) + R"({"event":"log_down","at":"1h30min5s"})");
   EXPECT_EQ(trace.events.front().at, std::chrono::seconds(5405));
@@ -122,11 +122,11 @@
 // library chose the numbers, a trace that passes here would fail elsewhere.
 TEST(TraceTest, GeneratedNumbersAreTheSameEverywhere) {
   TraceRandom random(1);
-  EXPECT_DOUBLE_EQ(random.Share(), 0.5665615751722809);
-  EXPECT_DOUBLE_EQ(random.Share(), 0.7457817572627011);
+  EXPECT_DOUBLE_EQ(random.UniformReal(), 0.5665615751722809);
+  EXPECT_DOUBLE_EQ(random.UniformReal(), 0.7457817572627011);
 }
 
-TEST(ReplayTest, JobsRunForTheirTrueTimeInTheRoomThereIs) {
+TEST(ReplayTest, JobsRunForTheirTrueTimeWithinCapacity) {
   const ReplayResult result = ReplayOf(
       kHeader + Submit("1s", "a", 2, "10min") + Submit("2s", "b", 1, "5min"), FirstFreeWorker());
   const ReplayJob& first = result.jobs.at("w/a");
@@ -137,7 +137,7 @@
   EXPECT_EQ(second.state, JobState::kDone);
 }
 
-TEST(ReplayTest, EventsThatDoNotFitTheDocumentAreNamed) {
+TEST(ReplayTest, ErrorsNameEventsThatDoNotFitTheDocument) {
   try {
     ReplayOf(std::string(kHeader) + R"({"event":"worker_down","at":"1s","worker":"z-9"})",
              FirstFreeWorker());
@@ -147,7 +147,7 @@
   }
 }
 
-TEST(ReplayTest, TwoRunsGiveTheSameLines) {
+TEST(ReplayTest, ReplayIsDeterministic) {
   const std::string text =
       std::string(kHeader) +
       R"({"event":"generate","at":"0s","until":"40min","count":30,"prefix":"g","runs":["1min","9min"],"off_by":4,"job":{"workspace":"w","accelerators":4}})";
@@ -156,7 +156,7 @@
 
 // The log is away for ten minutes. Whoever submits meanwhile is told "not run" and comes back; what
 // ends meanwhile is recorded later, and nothing is lost.
-TEST(ReplayTest, WorkGoesOnThroughALogOutage) {
+TEST(ReplayTest, JobsSurviveALogOutage) {
   const ReplayResult result =
       ReplayOf(kHeader + Submit("1s", "a", 2, "5min") + Submit("6min", "b", 1, "1min") +
                    R"({"event":"log_down","at":"1min"}
@@ -170,7 +170,7 @@
 
 // An entry dies and another takes its zone over. The job that runs must be found, not started
 // again.
-TEST(ReplayTest, ASuccessorFindsWhatRuns) {
+TEST(ReplayTest, ANewPlannerFindsRunningJobs) {
   const ReplayResult result = ReplayOf(
       kHeader + Submit("1s", "a", 1, "5min") + R"({"event":"entry_lost","at":"1min","zone":"z"})",
       FirstFreeWorker());
@@ -180,7 +180,7 @@
 
 // One of two workers fails all that it starts. The job must be tried on the other, and only a job
 // that fails wherever it runs has failed.
-TEST(ReplayTest, AWorkerThatFailsEverythingDoesNotFailItsJobs) {
+TEST(ReplayTest, AFailingWorkerDoesNotFailItsJobs) {
   const ReplayResult result = ReplayOf(
       std::string(kHeader) + R"({"event":"worker_fails_all","at":"0s","worker":"z-0"})" + "\n" +
           Submit("1s", "a", 1, "5min") +
@@ -193,7 +193,7 @@
 
 // A gang loses one of its two workers. The other member runs until its lease is over, so a second
 // attempt before that would do the work twice.
-TEST(ReplayTest, AGangThatLostAWorkerWaitsForItsLease) {
+TEST(ReplayTest, AGangThatLostAWorkerRestartsAfterTheLease) {
   const std::string text = kHeader + Submit("1s", "a", 2, "20min") +
                            R"({"event":"worker_down","at":"5min","worker":"z-0"}
 {"event":"worker_up","at":"5min1s","worker":"z-0"}
@@ -204,7 +204,7 @@
   EXPECT_TRUE(Holds(text + R"({"expect":"no_two_attempts_at_once"})", FirstUsableWorker()));
 }
 
-TEST(ReplayTest, CancelledJobsEndWaitingOrRunning) {
+TEST(ReplayTest, WaitingAndRunningJobsAreCancelled) {
   const ReplayResult result =
       ReplayOf(kHeader + Submit("1s", "a", 2, "5min") + Submit("2s", "b", 1, "5min") +
                    R"({"event":"cancel_wave","at":"1min","prefix":"w/"})",
@@ -215,7 +215,7 @@
 
 // A policy starts one member of two. The job would compute nothing and hold its room for ever, so
 // the planner drops the start, and the trace shows that the job never ran.
-TEST(ReplayTest, APolicyThatStartsPartOfAGangGetsNothingThrough) {
+TEST(ReplayTest, PlannerDropsAPartialGang) {
   const std::string part = Register("test_part", [](const WaitingJob&, const ZoneView&) {
     return std::vector<TaskOnWorker>{{0, "z-0", 15}};
   });
@@ -229,13 +229,13 @@
 
 // The same fault behind the planner's back, as a broken planner would make it: the replay's own
 // lines must show it.
-TEST(ReplayTest, AGangInPartIsSeenInTheRecordedLines) {
+TEST(ReplayTest, RecordedLinesShowAPartialGang) {
   const Trace trace = ParseTrace("test", kHeader);
   ReplayPlatform platform(ParseEnvironment("test", trace.document), trace);
   TracedJob job;
   job.spec.tasks = 2;
   job.spec.shape.accelerators = 4;
-  job.runs = std::chrono::minutes(50);
+  job.run_time = std::chrono::minutes(50);
   const Time start(std::chrono::hours(1));
   platform.Start("z", {"w/a", 1, false, {{0, "z-0", 15}}}, job, start);
   ReplayRecorder recorder(start);
@@ -250,7 +250,7 @@
 }
 
 // A policy that never comes to some job looks good on every mean.
-TEST(ReplayTest, APolicyThatForgetsAJobIsCaught) {
+TEST(ReplayTest, AForgottenJobViolatesExpectations) {
   const std::string idle = Register(
       "test_idle", [](const WaitingJob&, const ZoneView&) { return std::vector<TaskOnWorker>(); });
   const std::string job = kHeader + Submit("1s", "a", 1, "5min");
@@ -263,23 +263,23 @@
 }
 
 // A planner that has just taken over gives accelerators away that are in use. The workers refuse.
-TEST(ReplayTest, RoomGivenTwiceIsRefused) {
+TEST(ReplayTest, StartsOnOccupiedRoomAreRefused) {
   const Trace trace = ParseTrace("test", kHeader);
   ReplayPlatform platform(ParseEnvironment("test", trace.document), trace);
   TracedJob job;
   job.spec.shape.accelerators = 4;
-  job.runs = std::chrono::minutes(5);
+  job.run_time = std::chrono::minutes(5);
   const StartDecision first = {"w/a", 1, false, {{0, "z-0", 15}}};
-  EXPECT_EQ(platform.RefusalOf(first, job.spec), "");
+  EXPECT_EQ(platform.StartRefusal(first, job.spec), "");
   platform.Start("z", first, job, Time(std::chrono::hours(1)));
-  EXPECT_NE(platform.RefusalOf({"w/b", 1, false, {{0, "z-0", 1}}}, job.spec), "");
-  EXPECT_NE(platform.RefusalOf({"w/a", 2, false, {{0, "z-0", 15}}}, job.spec), "");
-  EXPECT_NE(platform.RefusalOf({"w/c", 1, false, {{0, "z-1", 3}, {1, "z-1", 6}}}, job.spec), "");
-  EXPECT_NE(platform.RefusalOf({"w/d", 1, false, {{0, "z-1", 31}}}, job.spec), "");
-  EXPECT_EQ(platform.RefusalOf({"w/e", 1, false, {{0, "z-1", 15}}}, job.spec), "");
+  EXPECT_NE(platform.StartRefusal({"w/b", 1, false, {{0, "z-0", 1}}}, job.spec), "");
+  EXPECT_NE(platform.StartRefusal({"w/a", 2, false, {{0, "z-0", 15}}}, job.spec), "");
+  EXPECT_NE(platform.StartRefusal({"w/c", 1, false, {{0, "z-1", 3}, {1, "z-1", 6}}}, job.spec), "");
+  EXPECT_NE(platform.StartRefusal({"w/d", 1, false, {{0, "z-1", 31}}}, job.spec), "");
+  EXPECT_EQ(platform.StartRefusal({"w/e", 1, false, {{0, "z-1", 15}}}, job.spec), "");
 }
 
-TEST(GuaranteeOracleTest, CoversJobsInOrderWhileTheCellsLast) {
+TEST(GuaranteeOracleTest, CoversJobsInOrderUntilTheCellsAreUsed) {
   const Trace trace = ParseTrace("test", kHeader);
   ZoneView view;
   view.zone = "z";
--- a/servers/replay/replayer.cc
+++ b/servers/replay/replayer.cc
@@ -33,7 +33,7 @@
   Publish(trace.document);
   platform_ = std::make_unique<ReplayPlatform>(*config_.current()->environment, trace_);
   for (const auto& [name, spec] : config_.current()->environment->zones) {
-    Adopt(name, &zones_[name]);
+    StartPlanner(name, &zones_[name]);
   }
 }
 
@@ -44,9 +44,9 @@
       const TraceEvent event = events_.front();
       events_.pop_front();
       if (NeedsLog(event)) {
-        waiting_events_.push_back(event);
+        deferred_events_.push_back(event);
       } else {
-        ApplyNamed(event);
+        ApplyWithLocation(event);
       }
     }
     for (auto& [name, zone] : zones_) Step(name, &zone);
@@ -76,10 +76,10 @@
 Time Replayer::NextTime() const {
   Time next = start_ + trace_.until;
   if (!events_.empty()) next = std::min(next, start_ + events_.front().at);
-  if (const auto end = platform_->NextEnd()) next = std::min(next, *end + trace_.report_lag);
+  if (const auto end = platform_->NextEndTime()) next = std::min(next, *end + trace_.report_lag);
   for (const auto& [name, zone] : zones_) {
-    next = std::min(next, std::max(zone.next_decision, zone.planned_from));
-    if (zone.dirty && HasPlanner(zone)) next = std::min(next, now_ + trace_.tick);
+    next = std::min(next, std::max(zone.next_decision, zone.planner_from));
+    if (zone.needs_decision && HasPlanner(zone)) next = std::min(next, now_ + trace_.tick);
   }
   // Up to the grid, and always on.
   const int64_t ticks = (next - start_ + trace_.tick - Duration(1)) / trace_.tick;
@@ -89,14 +89,14 @@
 void Replayer::Integrate(Time until) {
   std::vector<const ZoneView*> views;
   for (const auto& [name, zone] : zones_) views.push_back(&zone.planner->view());
-  integrals_.Add(views, *platform_, wanted_accelerators_, until - now_);
+  integrals_.Add(views, *platform_, requested_accelerators_, until - now_);
 }
 
 bool Replayer::NeedsLog(const TraceEvent& event) const {
   return log_down_ && IsLogEvent(event.kind);
 }
 
-void Replayer::ApplyNamed(const TraceEvent& event) {
+void Replayer::ApplyWithLocation(const TraceEvent& event) {
   try {
     Apply(event);
   } catch (const Error& error) {
@@ -119,7 +119,7 @@
       worker.up = true;
       Zone& zone = RequireZone(worker.zone);
       zone.planner->WorkerUp(worker.name, worker.rack, worker.capacity);
-      zone.dirty = true;
+      zone.needs_decision = true;
       return;
     }
     case TraceEventKind::kWorkerFailsAll:
@@ -134,8 +134,8 @@
       return;
     case TraceEventKind::kLogUp: {
       log_down_ = false;
-      for (const JobEnded& ended : std::exchange(unrecorded_, {})) RecordEnd(ended);
-      for (const TraceEvent& waiting : std::exchange(waiting_events_, {})) Apply(waiting);
+      for (const JobEnded& ended : std::exchange(unrecorded_ends_, {})) RecordEnd(ended);
+      for (const TraceEvent& waiting : std::exchange(deferred_events_, {})) Apply(waiting);
       return;
     }
     case TraceEventKind::kEntryLost:
@@ -149,7 +149,7 @@
   return job_fold_.Apply(record, next_sequence_++);
 }
 
-void Replayer::Submit(const TracedJob& job, Duration asked) {
+void Replayer::Submit(const TracedJob& job, Duration submitted) {
   const std::string id = JobId(job.spec.workspace, job.spec.key);
   if (config_.current()->environment->FindWorkspace(job.spec.workspace) == nullptr) {
     throw Error(ErrorKind::kInvalidInput, "the document has no workspace of job '" + id + "'");
@@ -159,13 +159,13 @@
     ReplayJob& refused = jobs_[id];
     refused.id = id;
     refused.job = job;
-    refused.asked = asked;
+    refused.submitted = submitted;
     refused.ended = SinceStart();
     refused.state = JobState::kImpossible;
     return;
   }
   JobSubmitted record;
-  record.id = FreshId();
+  record.id = NewRecordId();
   record.spec = job.spec;
   record.wall_ms = duration_cast<std::chrono::milliseconds>(SinceStart()).count();
   const std::shared_ptr<const ConfigVersion> config = config_.current();
@@ -173,10 +173,10 @@
   record.zone = ChooseZone(*config->environment, *feasibility_, job.spec, loads_);
   if (record.zone.empty()) {
     // Refused as not run; the caller comes back.
-    TraceEvent again;
-    again.at = asked;
-    again.job = job;
-    waiting_events_.push_back(again);
+    TraceEvent retry;
+    retry.at = submitted;
+    retry.job = job;
+    deferred_events_.push_back(retry);
     return;
   }
   if (!Record(record).accepted) return;
@@ -184,21 +184,21 @@
   replay_job.id = id;
   replay_job.job = job;
   replay_job.zone = record.zone;
-  replay_job.asked = asked;
+  replay_job.submitted = submitted;
   loads_[record.zone].Add(job.spec);
-  wanted_accelerators_ += replay_job.accelerators();
+  requested_accelerators_ += replay_job.accelerators();
   recorder_.Write(Kind::kJobAccepted,
                   {{"job", id}, {"workspace", job.spec.workspace}, {"zone", record.zone}}, now_);
   Zone& zone = RequireZone(record.zone);
   zone.planner->JobAccepted(*job_fold_.Find(id), now_);
-  zone.dirty = true;
+  zone.needs_decision = true;
 }
 
 void Replayer::Cancel(const std::string& job) {
-  if (!Record(JobCancelled{FreshId(), job}).accepted) return;
+  if (!Record(JobCancelled{NewRecordId(), job}).accepted) return;
   Zone& zone = RequireZone(job_fold_.Find(job)->zone);
   zone.planner->CancelAsked(job);
-  zone.dirty = true;
+  zone.needs_decision = true;
 }
 
 void Replayer::CancelWave(const TraceEvent& event) {
@@ -219,28 +219,28 @@
   for (const ReplayAttempt& attempt : platform_->LoseWorker(worker, lease, now_)) {
     recorder_.WriteMembers(Kind::kGangStopped, attempt, now_, worker);
     ReplayJob& job = jobs_.at(attempt.job);
-    const double lost = attempt.accelerators() * Seconds(now_ - attempt.started);
-    job.lost += lost;
-    integrals_.Lost(lost);
+    const double lost_work = attempt.accelerators() * Seconds(now_ - attempt.started);
+    job.lost_work += lost_work;
+    integrals_.AddLostWork(lost_work);
   }
   Zone& zone = RequireZone(state.zone);
   // Its attempts are ended with proof before the worker is given up.
   zone.planner->WorkerUsable(worker, false);
   ForgetLostWorkers(&zone);
-  zone.dirty = true;
+  zone.needs_decision = true;
 }
 
 void Replayer::LoseEntry(const std::string& name) {
   Zone& zone = RequireZone(name);
-  zone.planned_from = now_ + trace_.takeover;
-  Adopt(name, &zone);
+  zone.planner_from = now_ + trace_.takeover;
+  StartPlanner(name, &zone);
 }
 
 void Replayer::SetZone(const std::string& zone, bool in) {
   RequireZone(zone);
   integrals_.ZoneChanged(now_);
   ZoneChanged record;
-  record.id = FreshId();
+  record.id = NewRecordId();
   record.zone = zone;
   record.in = in;
   ApplyConfig(record);
@@ -248,7 +248,7 @@
 
 void Replayer::Publish(const std::string& text) {
   ConfigPublished record;
-  record.id = FreshId();
+  record.id = NewRecordId();
   record.parent = config_.current() ? config_.current()->version : 0;
   record.version = record.parent + 1;
   record.text = text;
@@ -269,16 +269,16 @@
                   now_);
   for (auto& [name, zone] : zones_) {
     if (zone.planner) zone.planner->SetEnvironment(current->environment);
-    zone.dirty = true;
+    zone.needs_decision = true;
   }
   // Submissions that no zone would take may find one now.
-  for (const TraceEvent& waiting : std::exchange(waiting_events_, {})) Apply(waiting);
+  for (const TraceEvent& waiting : std::exchange(deferred_events_, {})) Apply(waiting);
 }
 
 void Replayer::EndJob(const std::string& zone, const std::string& job, int64_t attempt,
                       JobState state, const std::string& reason) {
   JobEnded ended;
-  ended.id = FreshId();
+  ended.id = NewRecordId();
   ended.job = job;
   ended.attempt = attempt;
   ended.state = state;
@@ -286,7 +286,7 @@
   ended.epoch = RequireZone(zone).epoch;
   if (log_down_) {
     // The result stays with its agents until it can be recorded.
-    unrecorded_.push_back(ended);
+    unrecorded_ends_.push_back(ended);
   } else {
     RecordEnd(ended);
   }
@@ -298,14 +298,14 @@
   job.state = ended.state;
   job.ended = SinceStart();
   loads_[job.zone].Remove(job.job.spec);
-  wanted_accelerators_ -= job.accelerators();
+  requested_accelerators_ -= job.accelerators();
   recorder_.Write(Kind::kJobEnded,
                   {{"job", ended.job},
                    {"workspace", job.job.spec.workspace},
                    {"attempt", ended.attempt},
                    {"state", JobStateName(ended.state)},
                    {"declared_ms", 1000 * Seconds(job.job.spec.declared_run_time)},
-                   {"took_ms", 1000 * Seconds(*job.ended - job.asked)}},
+                   {"took_ms", 1000 * Seconds(*job.ended - job.submitted)}},
                   now_);
 }
 
--- a/servers/replay/replayer.h
+++ b/servers/replay/replayer.h
@@ -43,9 +43,9 @@
     std::unique_ptr<ZonePlanner> planner;
     Sequence epoch = kNoSequence;
     // The time from which it has a planner.
-    Time planned_from{};
+    Time planner_from{};
     // Something changed since the last decision.
-    bool dirty = true;
+    bool needs_decision = true;
     Time next_decision{};
     Time next_progress{};
     Time next_move{};
@@ -54,9 +54,9 @@
   };
 
   // Applies it; errors name the trace's line.
-  void ApplyNamed(const TraceEvent& event);
+  void ApplyWithLocation(const TraceEvent& event);
   void Apply(const TraceEvent& event);
-  void Submit(const TracedJob& job, Duration asked);
+  void Submit(const TracedJob& job, Duration submitted);
   void Cancel(const std::string& job);
   void CancelWave(const TraceEvent& event);
   void LoseWorker(const std::string& worker);
@@ -74,20 +74,20 @@
   void RecordEnd(const JobEnded& ended);
 
   Zone& RequireZone(const std::string& name);
-  bool HasPlanner(const Zone& zone) const { return now_ >= zone.planned_from; }
-  void Adopt(const std::string& name, Zone* zone);
+  bool HasPlanner(const Zone& zone) const { return now_ >= zone.planner_from; }
+  void StartPlanner(const std::string& name, Zone* zone);
   void Step(const std::string& name, Zone* zone);
-  void FollowAttempts(const std::string& name, Zone* zone);
-  void FollowEnd(const ReplayAttempt& attempt, Zone* zone);
+  void ProcessEndedAttempts(const std::string& name, Zone* zone);
+  void ProcessAttemptEnd(const ReplayAttempt& attempt, Zone* zone);
   // Gives up the workers that are down and that no attempt needs any more.
   void ForgetLostWorkers(Zone* zone);
   // The attempt's work since its start is thrown away.
-  void CountLost(const ReplayAttempt& attempt);
+  void CountLostWork(const ReplayAttempt& attempt);
   void ReportProgress(Zone* zone);
   void EndCancelled(const std::string& name, Zone* zone);
   // Hands waiting jobs over to zones that are better for them, some at a time.
   void MoveWaiting(const std::string& name, Zone* zone);
-  void CarryOut(const std::string& name, const Plan& plan, Zone* zone);
+  void ApplyPlan(const std::string& name, const Plan& plan, Zone* zone);
   void Start(const std::string& name, const StartDecision& start, Zone* zone);
   void Stop(const StopDecision& stop, const std::string& zone);
   void UpdateClaims(const std::string& name, Zone* zone);
@@ -96,7 +96,7 @@
   Time NextTime() const;
   void Integrate(Time until);
   Duration SinceStart() const { return now_ - start_; }
-  std::string FreshId() { return std::string("r").append(std::to_string(next_sequence_)); }
+  std::string NewRecordId() { return std::string("r").append(std::to_string(next_sequence_)); }
 
   const Trace trace_;
   const std::string policy_;
@@ -108,8 +108,8 @@
   bool log_down_ = false;
   std::deque<TraceEvent> events_;
   // Held back while the log is down.
-  std::vector<TraceEvent> waiting_events_;
-  std::vector<JobEnded> unrecorded_;
+  std::vector<TraceEvent> deferred_events_;
+  std::vector<JobEnded> unrecorded_ends_;
   std::unique_ptr<ReplayPlatform> platform_;
   ReplayRecorder recorder_;
   TimeIntegrals integrals_;
@@ -119,7 +119,7 @@
   ZoneLoads loads_;
   // Of the newest document.
   std::unique_ptr<Feasibility> feasibility_;
-  int wanted_accelerators_ = 0;
+  int requested_accelerators_ = 0;
   int refused_starts_ = 0;
   std::map<StopReason, int> stops_;
 };
--- a/servers/replay/trace.cc
+++ b/servers/replay/trace.cc
@@ -26,7 +26,7 @@
 constexpr int kFormat = 1;
 constexpr int kMaxGenerated = 100000;
 
-[[noreturn]] void Refuse(const std::string& message) {
+[[noreturn]] void ThrowInvalid(const std::string& message) {
   throw Error(ErrorKind::kInvalidInput, message);
 }
 
@@ -34,7 +34,7 @@
 class Fields {
  public:
   explicit Fields(const nlohmann::json& json) : json_(json) {
-    if (!json.is_object()) Refuse("expected a JSON object");
+    if (!json.is_object()) ThrowInvalid("expected a JSON object");
   }
 
   bool Has(const char* field) {
@@ -43,16 +43,16 @@
   }
   template <typename Value>
   Value Get(const char* field) {
-    if (!Has(field)) Refuse(std::string("'") + field + "' is missing");
+    if (!Has(field)) ThrowInvalid(std::string("'") + field + "' is missing");
     return json_.at(field).get<Value>();
   }
   template <typename Value>
-  Value Get(const char* field, const Value& otherwise) {
-    return Has(field) ? json_.at(field).get<Value>() : otherwise;
+  Value Get(const char* field, const Value& default_value) {
+    return Has(field) ? json_.at(field).get<Value>() : default_value;
   }
   Duration Time(const char* field);
-  Duration Time(const char* field, Duration otherwise) {
-    return Has(field) ? Time(field) : otherwise;
+  Duration Time(const char* field, Duration default_value) {
+    return Has(field) ? Time(field) : default_value;
   }
   // A number, or a duration as seconds.
   std::optional<double> Bound(const char* field) {
@@ -61,12 +61,12 @@
     return json_.at(field).get<double>();
   }
   const nlohmann::json& Object(const char* field) {
-    if (!Has(field)) Refuse(std::string("'") + field + "' is missing");
+    if (!Has(field)) ThrowInvalid(std::string("'") + field + "' is missing");
     return json_.at(field);
   }
   void RequireAllKnown() const {
     for (const auto& [field, value] : json_.items()) {
-      if (known_.count(field) == 0) Refuse("unknown field '" + field + "'");
+      if (known_.count(field) == 0) ThrowInvalid("unknown field '" + field + "'");
     }
   }
 
@@ -86,7 +86,7 @@
     sum += ParseDuration(text.substr(begin, end - begin));
     begin = end;
   }
-  if (text.empty()) Refuse("a time is empty");
+  if (text.empty()) ThrowInvalid("a time is empty");
   return sum;
 }
 
@@ -113,14 +113,14 @@
   if (fields->Has("document_text")) return fields->Get<std::string>("document_text");
   const auto path = fields->Get<std::string>("document");
   std::ifstream file(path);
-  if (!file) Refuse("can't read document " + path);
+  if (!file) ThrowInvalid("can't read document " + path);
   std::ostringstream text;
   text << file.rdbuf();
   return text.str();
 }
 
 void ReadHeader(Fields* fields, Trace* trace) {
-  if (fields->Get<int>("trace") != kFormat) Refuse("'trace' must be 1");
+  if (fields->Get<int>("trace") != kFormat) ThrowInvalid("'trace' must be 1");
   trace->why = fields->Get<std::string>("why", "");
   trace->document = ReadDocument(fields);
   trace->seed = fields->Get<uint64_t>("seed", trace->seed);
@@ -130,7 +130,7 @@
   trace->takeover = fields->Time("takeover", trace->takeover);
   trace->stop_time = fields->Time("stop_time", trace->stop_time);
   trace->fails_after = fields->Time("fails_after", trace->fails_after);
-  if (trace->tick <= Duration::zero()) Refuse("'tick' must be above 0s");
+  if (trace->tick <= Duration::zero()) ThrowInvalid("'tick' must be above 0s");
   ParseEnvironment("document", trace->document);
 }
 
@@ -145,26 +145,26 @@
   nlohmann::json job = fields->Object("job");
   if (job.is_object()) job["key"] = rule.prefix;
   rule.spec = ReadJob(job);
-  const auto runs = fields->Get<std::vector<std::string>>("runs");
-  if (runs.size() != 2) Refuse("'runs' must hold the shortest and the longest run time");
-  rule.shortest = ParseOffset(runs[0]);
-  rule.longest = ParseOffset(runs[1]);
+  const auto run_range = fields->Get<std::vector<std::string>>("runs");
+  if (run_range.size() != 2) ThrowInvalid("'runs' must hold the shortest and the longest run time");
+  rule.shortest = ParseOffset(run_range[0]);
+  rule.longest = ParseOffset(run_range[1]);
   rule.off_by = fields->Get<double>("off_by", 1);
   rule.fails = fields->Get<double>("fails", 0);
   if (fields->Has("peak")) rule.peak = fields->Time("peak");
   rule.peak_width = fields->Time("peak_width", rule.peak_width);
-  if (rule.count < 0 || rule.count > kMaxGenerated) Refuse("'count' is out of range");
-  if (rule.until < rule.from) Refuse("'until' is before 'at'");
+  if (rule.count < 0 || rule.count > kMaxGenerated) ThrowInvalid("'count' is out of range");
+  if (rule.until < rule.from) ThrowInvalid("'until' is before 'at'");
   if (rule.shortest <= Duration::zero() || rule.longest < rule.shortest) {
-    Refuse("'runs' must be above 0s, the shortest first");
+    ThrowInvalid("'runs' must be above 0s, the shortest first");
   }
-  if (rule.off_by < 1) Refuse("'off_by' must be at least 1");
+  if (rule.off_by < 1) ThrowInvalid("'off_by' must be at least 1");
   return rule;
 }
 
 TraceEventKind KindFromName(const std::string& name) {
   const auto* const found = std::find(kNames.begin(), kNames.end(), name);
-  if (found == kNames.end()) Refuse("unknown event '" + name + "'");
+  if (found == kNames.end()) ThrowInvalid("unknown event '" + name + "'");
   return static_cast<TraceEventKind>(found - kNames.begin());
 }
 
@@ -200,7 +200,7 @@
   if (event.kind == TraceEventKind::kPublish) event.subject = ReadDocument(fields);
   if (event.kind == TraceEventKind::kSubmit) {
     event.job.spec = ReadJob(fields->Object("job"));
-    event.job.runs = fields->Time("runs", event.job.spec.declared_run_time);
+    event.job.run_time = fields->Time("runs", event.job.spec.declared_run_time);
     event.job.fails = fields->Get<bool>("fails", false);
   }
   return event;
@@ -238,10 +238,10 @@
       try {
         ReadLine(line);
       } catch (const std::exception& error) {
-        Refuse(trace_.name + ":" + std::to_string(number_) + ": " + error.what());
+        ThrowInvalid(trace_.name + ":" + std::to_string(number_) + ": " + error.what());
       }
     }
-    if (!header_seen_) Refuse(trace_.name + ":1: the header is missing");
+    if (!header_seen_) ThrowInvalid(trace_.name + ":1: the header is missing");
     std::stable_sort(
         trace_.events.begin(), trace_.events.end(),
         [](const TraceEvent& left, const TraceEvent& right) { return left.at < right.at; });
--- a/servers/replay/trace.h
+++ b/servers/replay/trace.h
@@ -32,7 +32,7 @@
 struct TracedJob {
   JobSpec spec;
   // How long it runs when nothing stops it.
-  Duration runs{};
+  Duration run_time{};
   // Fails at the end of its run.
   bool fails = false;
 };
--- a/servers/replay/trace_generator.cc
+++ b/servers/replay/trace_generator.cc
@@ -9,11 +9,11 @@
 constexpr double kPeakShare = 0.5;
 
 Duration Arrival(const GenerateRule& rule, TraceRandom* random) {
-  const bool in_peak = rule.peak && random->Share() < kPeakShare;
-  if (!in_peak) return FromSeconds(random->Between(Seconds(rule.from), Seconds(rule.until)));
+  const bool in_peak = rule.peak && random->UniformReal() < kPeakShare;
+  if (!in_peak) return FromSeconds(random->UniformBetween(Seconds(rule.from), Seconds(rule.until)));
   const double half = Seconds(rule.peak_width) / 2;
-  const double middle = Seconds(*rule.peak);
-  return FromSeconds(std::max(0.0, random->Between(middle - half, middle + half)));
+  const double center = Seconds(*rule.peak);
+  return FromSeconds(std::max(0.0, random->UniformBetween(center - half, center + half)));
 }
 
 Duration WholeSeconds(double seconds) {
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-double TraceRandom::Share() {
+double TraceRandom::UniformReal() {
   // SplitMix64 (Steele, Lea, Flood, OOPSLA 2014).
   state_ += 0x9e3779b97f4a7c15ULL;
   uint64_t mixed = state_;
@@ -32,8 +32,8 @@
   return static_cast<double>(mixed >> 11) * 0x1.0p-53;
 }
 
-double TraceRandom::LogBetween(double low, double high) {
-  return std::exp(Between(std::log(low), std::log(high)));
+double TraceRandom::LogUniformBetween(double low, double high) {
+  return std::exp(UniformBetween(std::log(low), std::log(high)));
 }
 
 std::vector<TraceEvent> Generate(const GenerateRule& rule, TraceRandom* random) {
@@ -43,11 +43,12 @@
     event.at = Arrival(rule, random);
     event.job.spec = rule.spec;
     event.job.spec.key = rule.prefix + std::to_string(number);
-    const double runs = random->LogBetween(Seconds(rule.shortest), Seconds(rule.longest));
-    event.job.runs = WholeSeconds(runs);
+    const double run_time =
+        random->LogUniformBetween(Seconds(rule.shortest), Seconds(rule.longest));
+    event.job.run_time = WholeSeconds(run_time);
     event.job.spec.declared_run_time =
-        WholeSeconds(runs * random->LogBetween(1 / rule.off_by, rule.off_by));
-    event.job.fails = random->Share() < rule.fails;
+        WholeSeconds(run_time * random->LogUniformBetween(1 / rule.off_by, rule.off_by));
+    event.job.fails = random->UniformReal() < rule.fails;
     events.push_back(std::move(event));
   }
   return events;
--- a/servers/replay/trace_generator.h
+++ b/servers/replay/trace_generator.h
@@ -15,10 +15,10 @@
   explicit TraceRandom(uint64_t seed) : state_(seed) {}
 
   // Uniform in [0, 1).
-  double Share();
-  double Between(double low, double high) { return low + (high - low) * Share(); }
-  // Between, uniform in the logarithm; both bounds above 0.
-  double LogBetween(double low, double high);
+  double UniformReal();
+  double UniformBetween(double low, double high) { return low + (high - low) * UniformReal(); }
+  // UniformBetween, uniform in the logarithm; both bounds above 0.
+  double LogUniformBetween(double low, double high);
 
  private:
   uint64_t state_;
