--- a/modules/placement/best_fit.h
+++ b/modules/placement/best_fit.h
@@ -1,5 +1,5 @@
-// A baseline: jobs in order of arrival, each on the fullest workers that still have room; the first
-// job that does not fit holds up the rest.
+// A baseline policy: starts jobs in order of arrival, each on the fullest workers that have room.
+// The first job that does not fit blocks all later jobs.
 #pragma once
 
 #include "servers/planner/placement_policy.h"
--- a/modules/placement/cell_policy.cc
+++ b/modules/placement/cell_policy.cc
@@ -10,29 +10,31 @@
 namespace turmericshift {
 namespace {
 
-// Gangs of this many accelerators and more get workers reserved.
+// Gangs with at least this many accelerators get workers reserved.
 constexpr int kLargeGang = 8;
 constexpr double kReserveWorkersAfterSeconds = 60;
 constexpr double kReserveCapAfterSeconds = 600;
 constexpr size_t kMaxReservations = 4;
-// Other work may use reserved workers if it is expected to end within this share of the time until
-// they are free: estimates are often far off.
+// Other jobs may backfill reserved workers if they are expected to end within this share of the
+// time until the workers are free, because estimates are often far off.
 constexpr double kBackfillShare = 0.5;
-// What stopping with a checkpoint and starting again costs each accelerator.
+// The cost of a checkpointed stop and the restart, in seconds for each accelerator.
 constexpr double kCheckpointSeconds = 60;
-// Work that was started this recently goes last, so that it is not stopped again and again.
+// Recently started jobs are the last choice for a stop, so that they are not stopped again and
+// again.
 constexpr double kRecentStartSeconds = 300;
 constexpr double kRecentStartFactor = 4;
 constexpr double kUrgentPenalty = 1e9;
 constexpr double kSparedCost = 1e12;
-// Moving work together pays only if it costs less than this share of the wait that it saves.
+// Defragmentation pays off only if its cost is below this share of the wait that it saves.
 constexpr double kMaxDefragmentCostShare = 0.5;
 constexpr int kMaxMoves = 3;
 constexpr double kNever = std::numeric_limits<double>::infinity();
 
 int AcceleratorsOf(const JobSpec& spec) { return spec.shape.accelerators * spec.tasks; }
 
-// Jobs of one kind fail to be placed together.
+// Jobs with equal keys have the same chance of placement: if one of them could not be placed, the
+// others can't be placed either.
 using PlacementKey = std::tuple<int, int, int64_t, int, int, Adjacency, bool>;
 
 PlacementKey PlacementKeyOf(const JobSpec& spec, int workspace) {
@@ -48,10 +50,12 @@
   double priority;
 };
 
-// How a job may come by its workspace's cells.
+// The stages in which guarantees are served. kFree: only free cells. kReclaim: jobs that can't run
+// on lent room, or are urgent, may preempt lent work. kAnywhere: the other jobs start on lent room
+// or preempt lent work.
 enum class GuaranteeStage { kFree, kReclaim, kAnywhere };
 
-// One pass over the waiting jobs.
+// One scheduling pass over the waiting jobs.
 class SchedulingPass {
  public:
   SchedulingPass(const ZoneView& view, const RunTimeEstimator& estimator, Time now,
@@ -70,8 +74,8 @@
     std::vector<const Candidate*> open;
     open.reserve(candidates.size());
     for (const Candidate& candidate : candidates) open.push_back(&candidate);
-    // Every guarantee is served before any room is lent: those that find their cells free, then
-    // those that must have room back, then those that may run on lent room as well.
+    // Every guarantee is served before any room is lent: jobs whose cells are free first, then jobs
+    // that have to reclaim room, then jobs that may also run on lent room.
     for (const GuaranteeStage stage :
          {GuaranteeStage::kFree, GuaranteeStage::kReclaim, GuaranteeStage::kAnywhere}) {
       std::erase_if(open, [&](const Candidate* each) { return ServeGuarantee(*each, stage); });
@@ -102,8 +106,9 @@
     return {!candidate.job->spec.urgent, !candidate.guaranteed, -candidate.priority};
   }
 
-  // Grows with the wait measured in the job's own length, so that short work goes first and long
-  // work is not forgotten; falls with what the workspace already has.
+  // Grows with the ratio of the wait to the job's remaining run time, so that short jobs go first
+  // and long jobs do not starve. Falls with the accelerators that the workspace already uses
+  // relative to its guarantee.
   double Priority(const Candidate& candidate) const {
     const double waited = Seconds(now_ - candidate.job->accepted);
     const double ratio = (waited + candidate.remaining_seconds) / candidate.remaining_seconds;
@@ -112,8 +117,8 @@
     return ratio / (1 + share);
   }
 
-  // A gang that its workspace's cap keeps waiting would never start if shorter work of the
-  // workspace kept using the cap up.
+  // Reserves the caps of workspaces for large gangs: a gang that waits for its workspace's cap
+  // would never start if shorter jobs of the workspace kept using the cap up.
   void ReserveCaps(const std::vector<Candidate>& candidates) {
     for (const Candidate& candidate : candidates) {
       const bool waited = Seconds(now_ - candidate.job->accepted) > kReserveCapAfterSeconds;
@@ -135,7 +140,7 @@
            room_.AcceleratorCap(candidate.workspace);
   }
 
-  // Returns whether the job starts within its workspace's cells or waits for them to come free.
+  // Returns true if the job starts within its workspace's cells or waits for them to become free.
   bool ServeGuarantee(const Candidate& candidate, GuaranteeStage stage) {
     const WaitingJob& job = *candidate.job;
     const int guaranteed = room_.GuaranteedAccelerators(candidate.workspace);
@@ -148,7 +153,8 @@
     return false;
   }
 
-  // Lent work of a workspace at its cap must not keep it from its own guarantee: the cheapest goes.
+  // Stops the cheapest lent work of a workspace that is at its cap, so that this work does not keep
+  // the workspace from its own guarantee.
   void StopOwnLentWorkOverCap(const Candidate& candidate) {
     int excess = room_.AcceleratorsUsed(candidate.workspace) + AcceleratorsOf(candidate.job->spec) -
                  room_.AcceleratorCap(candidate.workspace);
@@ -171,11 +177,12 @@
     }
   }
 
-  // Starts the job on room that is lent to it.
+  // Starts the job on lent room, or records why it waits.
   void StartLentOrWait(const Candidate& candidate) {
     const WaitingJob& job = *candidate.job;
     if (MustYieldCap(candidate)) {
-      return Wait(job, "its workspace's accelerator cap is kept for a gang that has waited longer");
+      return Wait(job,
+                  "its workspace's accelerator cap is reserved for a gang that has waited longer");
     }
     const PlacementKey key = PlacementKeyOf(job.spec, candidate.workspace);
     const auto failed = failed_keys_.find(key);
@@ -186,7 +193,8 @@
     }
     if (TryStartLent(candidate)) return;
     if (AcceleratorsOf(job.spec) >= kLargeGang) ReserveWorkers(candidate);
-    // What short work may use of reserved workers depends on its length, so it is not remembered.
+    // A failure is not remembered while reservations exist: whether a job may backfill reserved
+    // workers depends on its run time, which is not part of the key.
     if (reservations_.empty()) failed_keys_.emplace(key, AdmitRefusalText(AdmitRefusal::kNoRoom));
     Wait(job, AdmitRefusalText(AdmitRefusal::kNoRoom));
   }
@@ -197,28 +205,28 @@
     if (stage == GuaranteeStage::kFree) {
       return !over_cap && TryStartBound(job, PlaceInCells(&room_, view_, job.spec, cost_, false));
     }
-    // What a workspace runs already is as good as what it wants to run: only work that has no other
-    // way stops other work of its own workspace.
-    const bool can_borrow = CanBeStopped(job.spec) && !job.spec.urgent;
-    if (can_borrow != (stage == GuaranteeStage::kAnywhere)) return false;
-    // Free room elsewhere is better than having room back from other work.
-    if (can_borrow && !over_cap && TryStartLent(candidate)) return true;
-    spared_workspace_ = can_borrow ? &job.spec.workspace : nullptr;
+    // A workspace's running jobs are worth as much as its waiting jobs, so only a job that is
+    // urgent or can't be stopped may preempt jobs of its own workspace.
+    const bool deferrable = CanBeStopped(job.spec) && !job.spec.urgent;
+    if (deferrable != (stage == GuaranteeStage::kAnywhere)) return false;
+    // Free room elsewhere is preferred to preempting other jobs.
+    if (deferrable && !over_cap && TryStartLent(candidate)) return true;
+    spared_workspace_ = deferrable ? &job.spec.workspace : nullptr;
     if (over_cap && spared_workspace_ != nullptr) return false;
     const std::optional<CellPlacement> placement =
         PlaceInCells(&room_, view_, job.spec, cost_, true);
     if (!placement) return false;
     if (over_cap) StopOwnLentWorkOverCap(candidate);
     for (const int victim : placement->victims) {
-      // The cells are bound in this pass, so the room is kept until some of that work ends.
+      // The cells are bound in this pass, so the room stays reserved until some of that work ends.
       if (!IsSpared(victim)) continue;
-      Wait(job, "its workspace's other work holds its guaranteed room");
+      Wait(job, "other jobs of its workspace use the guaranteed room");
       return true;
     }
     if (!over_cap && TryStartBound(job, placement)) return true;
     for (const int victim : placement->victims) Stop(victim, StopReason::kReclaim);
     room_.Reserve(job.spec, placement->tasks);
-    Wait(job, "its guaranteed room is being had back from borrowed work");
+    Wait(job, "its guaranteed room is being reclaimed from borrowing jobs");
     return true;
   }
 
@@ -269,7 +277,8 @@
     return cost;
   }
 
-  // Reservations of jobs that still wait, on workers that are still there.
+  // Keeps the reservations of jobs that still wait and whose workers are all still usable; drops
+  // the others.
   void RefreshReservations(const std::vector<Candidate>& candidates) {
     std::set<std::string> waiting;
     for (const Candidate& candidate : candidates) waiting.insert(candidate.job->id);
@@ -304,7 +313,8 @@
     return ready;
   }
 
-  // Reserves for a large gang the workers that are expected to be free first, and keeps them.
+  // Reserves for a large gang the workers that are expected to be free first. An existing
+  // reservation is kept.
   void ReserveWorkers(const Candidate& candidate) {
     const WaitingJob& job = *candidate.job;
     const double waited = Seconds(now_ - job.accepted);
@@ -340,7 +350,8 @@
     }
   }
 
-  // Enough workers for the job, soonest free first; of one rack where it must stay in one.
+  // Returns enough workers for the job, those that are free earliest; all in one rack if the job
+  // requires it.
   std::vector<int> EarliestFreeWorkers(const JobSpec& spec) const {
     std::vector<int> best;
     double least_seconds = kNever;
@@ -376,8 +387,8 @@
     return {group->begin(), group->begin() + static_cast<std::ptrdiff_t>(needed)};
   }
 
-  // Stops checkpointable lent work on the gang's workers when that costs less than the wait it
-  // saves; the moved work goes on elsewhere, on workers that are broken already.
+  // Stops checkpointable lent work on the gang's workers if that costs less than the wait it saves.
+  // The stopped jobs restart elsewhere, on workers that are already partly used.
   void Defragment(const Candidate& candidate, const std::vector<int>& workers, double ready) {
     double cost = 0;
     int moved = 0;
@@ -400,7 +411,8 @@
       if (worker.usable) free += std::popcount(worker.free_accelerators);
     }
     const int needed = AcceleratorsOf(candidate.job->spec);
-    // What is moved must find room beside the gang, or the gang merely takes its place.
+    // The moved jobs must find room besides the gang's; otherwise the gang would only displace
+    // them.
     if (free < needed || moved > needed) return;
     const double saved = ready * needed;
     if (cost > saved * kMaxDefragmentCostShare) return;
@@ -423,15 +435,17 @@
   Plan plan_;
   StopCost cost_;
   std::map<PlacementKey, std::string> failed_keys_;
-  // By workspace, the priority of the gang that waits for its cap.
+  // By workspace index, the priority of the gang for which the workspace's accelerator cap is
+  // reserved.
   std::map<int, double> cap_reservations_;
   std::vector<bool> stopped_;
-  // Its work is not to be stopped for the job that is looked at.
+  // While set, running jobs of this workspace must not be stopped for the current candidate.
   const std::string* spared_workspace_ = nullptr;
   Reservations& reservations_;
-  // The job that gathers each worker, if any.
+  // For each worker, the id of the job it is reserved for, or null.
   std::vector<const std::string*> reserved_by_;
-  // Work may be put on the worker only if it is gone by then, in seconds from now.
+  // Seconds from now until each reserved worker is expected to be free. Other jobs must end before
+  // that time.
   std::vector<double> reserved_until_;
   std::vector<double> drain_seconds_;
   std::vector<std::vector<int>> jobs_on_;
@@ -448,11 +462,12 @@
 Plan CellPolicy::DrainZone(const ZoneView& view, Time now) {
   if (!out_since_) out_since_ = now;
   Plan plan;
-  // Stopped at once, work would wait for room in zones that are full just then, while its own
-  // workers stand idle; much of it ends by itself before the zone has to be empty.
+  // Jobs that are stopped immediately would wait for room in zones that are full at that time,
+  // while their own workers are idle. Many of them end by themselves before the zone has to be
+  // empty.
   if (now - *out_since_ < view.environment->bounds.zone_drain) return plan;
   for (const RunningJob& job : view.running) {
-    // Work that can't be checkpointed would be lost whole; it may finish here.
+    // Jobs that can't be checkpointed would lose all their work, so they may finish here.
     if (job.stopping || !job.spec.checkpoints) continue;
     plan.stops.push_back({job.id, job.attempt, true, StopReason::kZoneOut});
   }
--- a/modules/placement/cell_policy.h
+++ b/modules/placement/cell_policy.h
@@ -1,7 +1,8 @@
-// The policy by guaranteed cells. Work within its workspace's guarantee goes first and may have
-// lent room back; other work runs on lent room, shortest expected first with aging and fairness
-// between workspaces. A large gang that has waited gets workers reserved; smaller work fills them
-// meanwhile only if it is expected to be gone in time.
+// The placement policy based on guaranteed cells. Jobs within the guarantee of their workspace are
+// placed first and may reclaim lent room. Other jobs run on lent room: shortest expected run time
+// first, with aging and with fairness between workspaces. A large gang that has waited long enough
+// gets workers reserved; until they are free, smaller jobs backfill them if they are expected to
+// end in time.
 #pragma once
 
 #include <map>
@@ -23,13 +24,14 @@
   void Learn(const JobSpec& spec, Duration run_time, Time now) override;
 
  private:
-  // What has to leave a zone that is out.
+  // Returns the stops for a zone that operators have taken out.
   Plan DrainZone(const ZoneView& view, Time now);
 
   RunTimeEstimator estimator_;
-  // Since when this policy has seen its zone out. A planner that takes over counts anew.
+  // When this policy first saw its zone out. Not replicated: a planner that takes over starts
+  // counting anew.
   std::optional<Time> out_since_;
-  // Workers that a waiting large gang gathers, by its id.
+  // The names of the workers that are reserved for each waiting large gang, by job id.
   Reservations reservations_;
 };
 
--- a/modules/placement/cell_policy_test.cc
+++ b/modules/placement/cell_policy_test.cc
@@ -7,8 +7,8 @@
 namespace turmericshift {
 namespace {
 
-// Operators take a zone out at the peak. Were its work stopped at once it would wait for room in
-// zones that are full, and the plans that were nearly done would come late.
+// Operators take a zone out at the peak. If its jobs were stopped immediately, they would wait for
+// room in full zones, and plans that were nearly done would miss their due times.
 TEST(CellPolicyTest, JobsInAZoneThatIsOutRunUntilTheDrainTimeEnds) {
   Environment environment = SmallEnvironment(2, 8, {2});
   environment.bounds.zone_drain = std::chrono::minutes(10);
--- a/modules/placement/decision_time_suite.cc
+++ b/modules/placement/decision_time_suite.cc
@@ -13,7 +13,7 @@
 constexpr int64_t kGibibyte = int64_t{1} << 30;
 constexpr TaskShape kWorker = {128, 256 * kGibibyte, 8};
 constexpr int kWorkersPerRack = 3;
-// Share of the zone that is guaranteed, in whole workers.
+// The share of the zone's workers that is guaranteed, rounded down to whole workers.
 constexpr double kGuaranteedShare = 0.7;
 constexpr int kDecisions = 300;
 constexpr int kChangesPerDecision = 3;
@@ -65,7 +65,7 @@
     }
   }
 
-  // Seconds of each decision.
+  // Returns the duration of each decision in seconds.
   std::vector<double> Measure() {
     Fill();
     std::vector<double> seconds;
@@ -83,7 +83,7 @@
 
  private:
   void Fill() {
-    // More jobs than fit: some always wait.
+    // Submits more jobs than fit, so that some are always waiting.
     int tasks = 0;
     while (tasks < size_.tasks * 5 / 4) tasks += Submit();
     Decide();
@@ -92,7 +92,8 @@
 
   int RandomBelow(int limit) { return static_cast<int>(random_() % static_cast<uint64_t>(limit)); }
 
-  // Four fifths of all tasks need no accelerator. Returns the tasks submitted.
+  // Submits a random job and returns the number of its tasks. Four fifths of all tasks need no
+  // accelerator.
   int Submit() {
     JobRecord job;
     job.id = "job-" + std::to_string(++jobs_);
--- a/modules/placement/decision_time_suite.h
+++ b/modules/placement/decision_time_suite.h
@@ -1,5 +1,5 @@
-// How long one decision of a zone's planner takes, at today's size and at the long-run size, under
-// a steady change of jobs.
+// Benchmark of the time that a zone's planner takes for one decision under a steady change of jobs,
+// at today's size of a zone and at the size planned for the long run.
 #pragma once
 
 #include "core/bench_suite.h"
--- a/modules/placement/first_fit.cc
+++ b/modules/placement/first_fit.cc
@@ -29,7 +29,8 @@
   return true;
 }
 
-// Places all tasks among workers adjacent to `first`, taking room from `workers`.
+// Places all tasks on workers adjacent to `first` and takes their room from `workers`. If they
+// don't fit, changes nothing and returns none.
 std::optional<std::vector<TaskOnWorker>> PlaceNear(size_t first, const JobSpec& spec,
                                                    std::vector<WorkerView>* workers) {
   std::vector<WorkerView> trial = *workers;
--- a/modules/placement/placement_property_test.cc
+++ b/modules/placement/placement_property_test.cc
@@ -1,5 +1,6 @@
-// Whatever the cluster, the document and the order of events: guarantees stay within reach, gangs
-// start whole, room is given once, nothing starts while the zone is out, every wait has a reason.
+// Invariants for any cluster, document and order of events: guarantees can be met, gangs start
+// whole, no room is given twice, nothing starts while the zone is out, and every waiting job has a
+// reason.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -17,7 +18,7 @@
 
 enum class Fault { kNone, kPartialGang, kSameRoomTwice, kIgnoresZone, kNeverBorrows };
 
-// Starts what comes first, with one fault that the checks must see.
+// A first-fit policy with one fault that the checks must detect.
 class FaultyPolicy : public PlacementPolicy {
  public:
   explicit FaultyPolicy(Fault fault) : fault_(fault) {}
@@ -39,7 +40,7 @@
   const Fault fault_;
 };
 
-// Drives a planner by generated events.
+// Drives a planner with generated events.
 class Harness {
  public:
   Harness(const Environment& environment, std::unique_ptr<PlacementPolicy> policy)
@@ -63,7 +64,7 @@
     }
   }
 
-  // Decides, checks what was decided, and lets what was stopped end.
+  // Makes a decision, checks its invariants, and ends the attempts that it stops.
   void DecideAndStop() {
     const ZoneView before = planner_->view();
     const Plan plan = planner_->Decide(now_);
@@ -76,8 +77,8 @@
     }
   }
 
-  // Each workspace asks for all that it is still owed; all of it must run once what was stopped has
-  // ended, with nothing else ending.
+  // Submits jobs for all unbound cells of every workspace. All of them must start once the stopped
+  // attempts have ended, although no other job ends.
   void ClaimAll() {
     for (int round = 0; round < kSettleRounds; ++round) DecideAndStop();
     ZoneRoom room(planner_->view());
@@ -144,8 +145,8 @@
   }));
 }
 
-// Others use a workspace's guaranteed room when the workspace comes to claim it; it must not find
-// that the room can't be had back.
+// Jobs of other workspaces run on a workspace's guaranteed room when the workspace claims it.
+// Guards against guaranteed room that can't be reclaimed.
 TEST(PlacementPropertyTest, EveryGuaranteeCanBeClaimed) {
   EXPECT_TRUE(rc::check([] {
     Harness run(AnyEnvironment(), std::make_unique<CellPolicy>());
@@ -157,9 +158,9 @@
   }));
 }
 
-// Work without accelerators holds a cell all the same. When its block was worked out anew at each
-// decision it slid under work that was started later, and a workspace waited for its guarantee for
-// good. Then lent work took the room that had been had back for a claim, again and again.
+// Jobs without accelerators hold a cell as well. When their block was recomputed at each decision,
+// it moved under jobs that had started later, and a workspace waited for its guarantee forever. In
+// another fault, lent work repeatedly took the room that had been reclaimed for a claim.
 TEST(PlacementPropertyTest, WorkWithoutAcceleratorsKeepsItsBlock) {
   EXPECT_TRUE(rc::check([] {
     constexpr int kLentJobWithoutAccelerators = 7050;
@@ -173,7 +174,7 @@
   }));
 }
 
-// The planner's own check must hold against any policy, also a broken one.
+// The planner's own check of plans must reject invalid plans of any policy, even a broken one.
 TEST(PlacementPropertyTest, PlannerRejectsFaultyPlans) {
   EXPECT_TRUE(rc::check([] {
     const Fault fault = *rc::gen::element(Fault::kPartialGang, Fault::kSameRoomTwice,
@@ -188,7 +189,7 @@
   }));
 }
 
-// Each fault must be seen by the checks above when the planner does not stand between.
+// The checks above must detect each fault when the planner does not filter the plan.
 class InjectedFaultTest : public testing::TestWithParam<std::pair<Fault, std::string>> {};
 
 TEST_P(InjectedFaultTest, IsDetected) {
@@ -196,7 +197,8 @@
   Environment environment = SmallEnvironment(2, 8, {3});
   environment.zones[kTestZone].in = fault != Fault::kIgnoresZone;
   Harness run(environment, std::make_unique<FirstFit>());
-  // ws1 holds no guarantee, so what it runs without the mark of lent work takes ws0's worker.
+  // ws1 has no guarantee, so a job of ws1 that is not marked as borrowed takes the worker that is
+  // guaranteed to ws0.
   for (int job = 0; job < 2; ++job) run.Submit(TestSpec("ws1", 4, 2, 1));
   const ZoneView& view = run.planner().view();
   EXPECT_EQ(PlanProblem(view, FaultyPolicy(fault).Decide(view, Time{})), problem);
@@ -204,10 +206,10 @@
 
 INSTANTIATE_TEST_SUITE_P(
     All, InjectedFaultTest,
-    testing::Values(std::pair(Fault::kPartialGang, "a gang in part"),
-                    std::pair(Fault::kSameRoomTwice, "room given twice"),
-                    std::pair(Fault::kIgnoresZone, "a start while the zone is out"),
-                    std::pair(Fault::kNeverBorrows, "a guarantee is out of reach")));
+    testing::Values(std::pair(Fault::kPartialGang, "starts part of a gang"),
+                    std::pair(Fault::kSameRoomTwice, "gives room twice"),
+                    std::pair(Fault::kIgnoresZone, "starts a job while the zone is out"),
+                    std::pair(Fault::kNeverBorrows, "makes a guarantee impossible to meet")));
 
 }  // namespace
 }  // namespace turmericshift
--- a/modules/placement/placement_suite.cc
+++ b/modules/placement/placement_suite.cc
@@ -25,7 +25,7 @@
 constexpr double kDeclaredTimeErrorFactor = 4;
 constexpr int64_t kGibibyte = int64_t{1} << 30;
 
-// Which workspace of a deployment does which part of the day.
+// The workspaces of a deployment that submit each kind of job, and the zone that is taken out.
 struct Deployment {
   std::string name;
   std::string urgent_workspace;
@@ -100,7 +100,7 @@
 Trace TraceOf(const Deployment& deployment, uint64_t seed, bool zone_leaves) {
   const std::string path = "examples/" + deployment.name + "/environment.ini";
   std::ifstream file(path);
-  if (!file) throw Error(ErrorKind::kInvalidInput, "can't read " + path + "; run in the source");
+  if (!file) throw Error(ErrorKind::kInvalidInput, "can't read " + path + "; run at source root");
   std::ostringstream text;
   text << file.rdbuf();
   Trace trace;
@@ -151,7 +151,7 @@
   throw Error(ErrorKind::kInternal, "the replay has no measure " + name);
 }
 
-// Over all runs of one policy.
+// Aggregates all runs of one policy.
 class Collector {
  public:
   void AddDay(const ReplayResult& result) {
--- a/modules/placement/placement_suite.h
+++ b/modules/placement/placement_suite.h
@@ -1,6 +1,7 @@
-// A generated day of both deployments, with its evening peak, bursts and declared times off by up
-// to 4, and the same day with a zone that leaves and returns, replayed in passed-in time against
-// the decision code: the default policy against the better of the two baselines.
+// Benchmark of the default placement policy against the better of the two baselines. Replays, in
+// simulated time and with the decision code of production, a generated day of both deployments with
+// an evening peak, bursts and declared run times that are off by up to a factor of 4; and the same
+// day with a zone that is taken out and returns.
 #pragma once
 
 #include "core/bench_suite.h"
--- a/modules/placement/placement_test_support.h
+++ b/modules/placement/placement_test_support.h
@@ -1,4 +1,4 @@
-// Generated clusters and what must hold of every plan, for the property tests of placement.
+// Generated clusters, and the invariants of every plan, for the property tests of placement.
 #pragma once
 
 #include <memory>
@@ -11,19 +11,20 @@
 
 inline constexpr const char* kTestZone = "zone-a";
 
-// One zone and some workspaces with guarantees that fit in it; the same for the same numbers.
+// Returns an environment with one zone, and workspaces whose guarantees fit in it. Deterministic.
 Environment SmallEnvironment(int workers, int accelerators, const std::vector<int>& cells);
 
-// A planner of that zone with all its workers up.
+// Returns a planner of kTestZone with all workers up.
 std::unique_ptr<ZonePlanner> PlannerWithWorkers(const Environment& environment,
                                                 std::unique_ptr<PlacementPolicy> policy);
 
 JobRecord TestJob(int number, const JobSpec& spec);
-// A job of some shape that the numbers choose.
+// Returns a job whose shape and properties are derived from the numbers.
 JobSpec TestSpec(const std::string& workspace, int size, int tasks, int flags);
 
-// What is wrong with `plan` for that view: a gang in part, room given twice, a start while the zone
-// is out, a start that puts a guarantee out of reach. "" if nothing is.
+// Describes how `plan` violates an invariant in `view`: it starts part of a gang, gives room twice,
+// starts a job while the zone is out, or makes a guarantee impossible to meet. Returns "" if it
+// violates none.
 std::string PlanProblem(const ZoneView& view, const Plan& plan);
 
 }  // namespace turmericshift
--- a/modules/placement/placement_test_support_test.cc
+++ b/modules/placement/placement_test_support_test.cc
@@ -20,11 +20,11 @@
   for (const StartDecision& start : plan.starts) {
     const auto job = std::find_if(view.waiting.begin(), view.waiting.end(),
                                   [&](const WaitingJob& each) { return each.id == start.job; });
-    if (job == view.waiting.end()) return "starts a job that does not wait";
+    if (job == view.waiting.end()) return "starts a job that is not waiting";
     std::set<int> members;
     for (const TaskOnWorker& task : start.tasks) members.insert(task.task);
     const auto whole = static_cast<size_t>(job->spec.tasks);
-    if (members.size() != whole || start.tasks.size() != whole) return "a gang in part";
+    if (members.size() != whole || start.tasks.size() != whole) return "starts part of a gang";
     for (const TaskOnWorker& task : start.tasks) {
       WorkerView& worker = workers[task.worker];
       const bool free = worker.usable && (task.accelerators & ~worker.free_accelerators) == 0;
@@ -33,7 +33,7 @@
       worker.free_memory_bytes -= job->spec.shape.memory_bytes;
       const bool right_count = std::popcount(task.accelerators) == job->spec.shape.accelerators;
       if (!free || !right_count || worker.free_processors < 0 || worker.free_memory_bytes < 0) {
-        return "room given twice";
+        return "gives room twice";
       }
     }
   }
@@ -50,10 +50,11 @@
     running.spec = job->spec;
     running.borrowed = start.borrowed;
     running.tasks = start.tasks;
-    if (start.borrowed && !CanBeStopped(job->spec)) return "can't be had back";
+    if (start.borrowed && !CanBeStopped(job->spec)) return "borrows room but can't be stopped";
     after.running.push_back(running);
   }
-  return GuaranteesHold(view) && !GuaranteesHold(after) ? "a guarantee is out of reach" : "";
+  return GuaranteesHold(view) && !GuaranteesHold(after) ? "makes a guarantee impossible to meet"
+                                                        : "";
 }
 
 }  // namespace
@@ -111,7 +112,7 @@
 }
 
 std::string PlanProblem(const ZoneView& view, const Plan& plan) {
-  if (!view.in && !plan.starts.empty()) return "a start while the zone is out";
+  if (!view.in && !plan.starts.empty()) return "starts a job while the zone is out";
   const std::string room = RoomProblem(view, plan);
   return room.empty() ? GuaranteeProblem(view, plan) : room;
 }
--- a/modules/placement/register_types.h
+++ b/modules/placement/register_types.h
@@ -2,7 +2,7 @@
 
 namespace turmericshift {
 
-// Adds the placement policies to their registry.
+// Registers the placement policies and their benchmark suites.
 void RegisterPlacementTypes();
 
 }  // namespace turmericshift
--- a/modules/placement/run_time_estimator.cc
+++ b/modules/placement/run_time_estimator.cc
@@ -6,14 +6,16 @@
 namespace turmericshift {
 namespace {
 
-// Weight of one more run once many have been seen.
+// The minimum weight of a new run in the average, once many runs have been observed.
 constexpr double kNewestWeight = 0.1;
-// One run says little; the declared time keeps the weight of this many.
+// The declared time counts as this many observed runs, because a single run is weak evidence.
 constexpr int kDeclaredWeight = 2;
-// From here on the task's own reports say more than any estimate.
+// From this progress on, the progress that the attempt has reported predicts its end better than
+// the estimate.
 constexpr double kMinReportedProgress = 0.05;
 constexpr double kMinSeconds = 1;
-// A job that has outrun its estimate is expected to run on for as long as it has, by this share.
+// A job that has exceeded its estimate is expected to run on for at least this share of the time it
+// has run.
 constexpr double kOverrunShare = 0.5;
 
 }  // namespace
--- a/modules/placement/run_time_estimator.h
+++ b/modules/placement/run_time_estimator.h
@@ -1,5 +1,5 @@
-// Run times learned from what was seen, because declared ones are often far off. An estimate only
-// orders work; no promise rests on it.
+// Estimates run times from the observed ones, because declared run times are often far off.
+// Estimates only affect the order of jobs; no guarantee depends on them.
 #pragma once
 
 #include <map>
@@ -12,14 +12,14 @@
 class RunTimeEstimator {
  public:
   void Learn(const JobSpec& spec, Duration run_time);
-  // Seconds that a whole run takes.
+  // The expected duration of a complete run, in seconds.
   double TotalSeconds(const JobSpec& spec) const;
   double RemainingSeconds(const WaitingJob& job) const;
   double RemainingSeconds(const RunningJob& job, Time now) const;
 
  private:
   struct RunTimeRatio {
-    // Mean of the logarithm of actual by declared, newer runs weighing more.
+    // Moving average of log(actual / declared run time), in which newer runs weigh more.
     double mean_log = 0;
     int runs = 0;
   };
--- a/modules/placement/task_placer.cc
+++ b/modules/placement/task_placer.cc
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr int kMaxAccelerators = 32;
-// Less than any stop, so that it only decides between free sites.
+// Lower than the cost of any stop, so that it only matters in the choice between free sites.
 constexpr double kSoftReservedCost = 1;
 
 uint32_t LowestBits(uint32_t mask, int count) {
@@ -22,7 +22,7 @@
   return chosen;
 }
 
-// From the smallest and fullest aligned block that still has `count` free.
+// Takes `count` accelerators from the smallest and fullest aligned block that has enough free ones.
 uint32_t ChooseBits(const CellSizes& sizes, uint32_t free, int count) {
   if (count == 0) return 0;
   for (const CellLevel level :
@@ -54,7 +54,7 @@
   return std::max(0, fit);
 }
 
-// Fullest workers first.
+// Orders `candidates` by the number of free accelerators, the fullest workers first.
 std::vector<int> FullestFirst(const ZoneRoom& room, const std::vector<int>& candidates) {
   std::array<std::vector<int>, kMaxAccelerators + 1> buckets;
   for (const int worker : candidates) {
@@ -79,7 +79,7 @@
   }
 }
 
-// All tasks among `candidates`, or none.
+// Places all tasks on `candidates`, or returns none.
 std::optional<std::vector<TaskOnWorker>> PlaceAmong(const ZoneRoom& room, const JobSpec& spec,
                                                     const std::vector<int>& candidates) {
   int total = 0;
@@ -121,18 +121,18 @@
   return free;
 }
 
-// A block in which some of the job's units could run.
+// An aligned block of a worker's accelerators in which one or more of the job's units could run.
 struct Site {
   int worker = 0;
   CellLevel level = CellLevel::kAccelerator;
   uint32_t block = 0;
-  // What may be used of it.
+  // The accelerators of the block that the job may use.
   uint32_t mask = 0;
   TaskShape room;
-  // Already bound to the workspace.
+  // The block is already bound to the workspace.
   bool bound = false;
   double cost = 0;
-  // Size of the largest block that binding this one would break.
+  // The size of the largest unheld block that is broken up if this block is bound.
   int broken_block_size = 0;
 };
 
@@ -153,7 +153,8 @@
     for (int worker = 0; worker < static_cast<int>(room_->workers().size()); ++worker) {
       if (room_->workers()[worker].usable) AddSites(worker, *least);
     }
-    // Least lost first; where that would break room that other guarantees need, tightest first.
+    // The first pass prefers sites where the least work is lost. If that breaks up room that other
+    // guarantees need, the second pass prefers the tightest fit.
     for (const bool tightest : {false, true}) {
       Sort(tightest);
       for (const std::vector<Site>& group : SiteGroups()) {
@@ -188,7 +189,7 @@
 
   void AddSite(Site site) {
     const RoomWorker& worker = room_->workers()[site.worker];
-    // A unit that fits beside the lent work stops none of it.
+    // A unit that fits in the block's free accelerators preempts no lent work.
     if (std::popcount(worker.free_accelerators & site.mask) < unit_.accelerators) {
       for (const LentTask& lent : worker.lent) {
         if ((lent.mask & site.mask) != 0) site.cost += Cost(lent.job);
@@ -217,7 +218,8 @@
     });
   }
 
-  // The sites of each rack for jobs that must stay in one, else all.
+  // Groups the sites by rack if the job must stay within one rack; otherwise returns all sites as
+  // one group.
   std::vector<std::vector<Site>> SiteGroups() const {
     if (spec_.adjacency != Adjacency::kSameRack) return {sites_};
     std::vector<std::vector<Site>> groups(room_->racks().size());
@@ -252,7 +254,7 @@
       TaskShape& sum = needed[site.worker];
       sum.processors += more.processors;
       sum.memory_bytes += more.memory_bytes;
-      // A rack's cell is bound once, on whichever of its workers comes first.
+      // A rack's cell is bound only once, at the first of its workers.
       if (!site.bound) ++used;
     }
     if (placed < unit_count_) return std::nullopt;
@@ -271,7 +273,7 @@
     }
   }
 
-  // Free ones first, then those of lent work that costs least.
+  // Chooses free accelerators first, then those of the lent work that is cheapest to stop.
   uint32_t CheapestBits(int index, uint32_t mask) const {
     const RoomWorker& worker = room_->workers()[index];
     const int count = spec_.shape.accelerators;
@@ -304,7 +306,8 @@
     return {victims.begin(), victims.end()};
   }
 
-  // Lent work may hold more processors and memory than its accelerators' part.
+  // Adds further victims if the processors or memory do not suffice: lent work may use more of them
+  // than the part that belongs to its accelerators.
   void AddVictimsForShape(int index, const TaskShape& shape, std::set<int>* victims) const {
     const RoomWorker& worker = room_->workers()[index];
     int processors = worker.free_processors;
--- a/modules/placement/task_placer.h
+++ b/modules/placement/task_placer.h
@@ -1,5 +1,5 @@
-// Puts the tasks of one job on workers: on free room as tightly as they fit, or within guaranteed
-// cells with the least lent work in the way.
+// Places the tasks of one job on workers: either on free room with the tightest fit, or within
+// guaranteed cells with the least lost work.
 #pragma once
 
 #include <functional>
@@ -10,23 +10,27 @@
 
 namespace turmericshift {
 
-// Whether a job may be put on the worker.
+// Returns true if the job may be placed on the worker.
 using WorkerFilter = std::function<bool(int worker)>;
-// Work that is lost, in accelerator seconds, if the running job of that index is stopped now.
+// Returns the work, in accelerator-seconds, that is lost if the running job of this index is
+// stopped now.
 using StopCost = std::function<double(int job)>;
 
-// Tightest fit on free room, small work on workers that are already broken.
+// Places the job on free room by best fit: on the fullest workers first, and in the smallest free
+// block of each, so that small jobs do not break up empty workers. Returns none if the job does not
+// fit.
 std::optional<std::vector<TaskOnWorker>> PlaceBestFit(const ZoneRoom& room, const JobSpec& spec,
                                                       const WorkerFilter& allowed);
 
 struct CellPlacement {
   std::vector<TaskOnWorker> tasks;
-  // Indices of running jobs on lent room that must stop first; none: the room is free now.
+  // Indices of the running jobs on lent room that must be stopped first. Empty if the room is free
+  // now.
   std::vector<int> victims;
 };
 
-// Within cells of the job's workspace, bound in `room` if found. None if its cells can't hold the
-// job, or not without stopping other work when `may_stop` is false.
+// Places the job within the cells of its workspace and binds them in `room`. Returns none if the
+// cells can't hold the job, or if that needs other jobs to be stopped and `may_stop` is false.
 std::optional<CellPlacement> PlaceInCells(ZoneRoom* room, const ZoneView& view, const JobSpec& spec,
                                           const StopCost& cost, bool may_stop);
 
