--- a/modules/routing/baselines.h
+++ b/modules/routing/baselines.h
@@ -1,4 +1,4 @@
-// The two policies that others are measured against.
+// The baseline policies that other routing policies are compared with.
 #pragma once
 
 #include <atomic>
@@ -7,7 +7,7 @@
 
 namespace turmericshift {
 
-// One after the other, whatever their load.
+// Takes the targets in turn, regardless of their load.
 class RoundRobin : public RoutingPolicy {
  public:
   size_t Choose(const std::vector<TargetCandidate>& candidates, const std::string& own_zone,
@@ -17,7 +17,8 @@
   std::atomic<size_t> next_{0};
 };
 
-// The least busy of all. Entries that share a stale view all take the same one.
+// Chooses the least loaded target. Entries that share the same stale load data all choose the same
+// target.
 class LeastLoaded : public RoutingPolicy {
  public:
   size_t Choose(const std::vector<TargetCandidate>& candidates, const std::string& own_zone,
--- a/modules/routing/register_types.h
+++ b/modules/routing/register_types.h
@@ -2,7 +2,7 @@
 
 namespace turmericshift {
 
-// Adds the routing policies to their registry.
+// Registers the routing policies.
 void RegisterRoutingTypes();
 
 }  // namespace turmericshift
--- a/modules/routing/routing_test.cc
+++ b/modules/routing/routing_test.cc
@@ -39,7 +39,8 @@
   EXPECT_EQ(TimesChosen(&policy, busy, 2), kRounds);
 }
 
-// One target answers ten times slower than its neighbour and is no busier.
+// One target is ten times slower than its neighbour but no busier; a policy that looks only at load
+// would keep using it.
 TEST(RoutingTest, TwoChoicesAvoidsASlowTarget) {
   TwoChoices policy(1);
   policy.Observe("a", std::chrono::milliseconds(100), true, Time{});
--- a/modules/routing/two_choices.cc
+++ b/modules/routing/two_choices.cc
@@ -6,9 +6,9 @@
 namespace {
 
 constexpr double kNewestWeight = 0.2;
-// There and back between availability zones; 1.5 ms one way in the larger of today's deployments.
+// The round trip between availability zones: 1.5 ms one way in the larger of today's deployments.
 constexpr double kZoneRoundTripSeconds = 0.003;
-// Of a target that has not answered yet.
+// The assumed latency of a target that has not answered yet.
 constexpr double kInitialLatencySeconds = 0.001;
 
 }  // namespace
--- a/modules/routing/two_choices.h
+++ b/modules/routing/two_choices.h
@@ -1,6 +1,6 @@
-// Power of two choices (Mitzenmacher): of two targets picked at random, the one with the lower
-// expected time. Its own zone's pick is taken unless another zone's is faster by more than the way
-// there costs.
+// Power of two choices (Mitzenmacher): of two targets picked at random, takes the one with the
+// lower expected response time. The pick from the entry's own zone is used unless the pick from
+// another zone is faster by more than the round trip between zones.
 #pragma once
 
 #include <map>
@@ -19,15 +19,15 @@
   void Observe(const std::string& agent, Duration latency, bool success, Time now) override;
 
  private:
-  // The better of two picks among `places`, which is not empty.
+  // Returns the better of two random picks from `indices`, which must not be empty.
   size_t PickBetter(const std::vector<TargetCandidate>& candidates,
                     const std::vector<size_t>& indices);
-  // Expected time of a request sent there now, in seconds.
+  // The expected time of a request that is sent to the target now, in seconds.
   double Score(const TargetCandidate& candidate) const;
 
   std::mutex mutex_;
   std::mt19937_64 random_;
-  // Moving average of each target's answers, in seconds.
+  // The moving average of each target's latency by agent, in seconds.
   std::map<std::string, double> latency_;
 };
 
