--- a/servers/replay/expectation_check.cc
+++ b/servers/replay/expectation_check.cc
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr size_t kContextEvents = 8;
-// Releases and ends are told with the report's lag.
+// Additional slack, because releases and ends are reported with a lag.
 constexpr Duration kReportMargin = std::chrono::seconds(1);
 
 std::string FormatNumber(double value) {
@@ -78,7 +78,7 @@
   return checked;
 }
 
-// The contradicting events and those that came shortly before the last of them.
+// Returns the evidence, with the events shortly before its last event.
 std::vector<HistoryEvent> WithContext(const std::vector<HistoryEvent>& evidence,
                                       const History& history) {
   if (evidence.empty()) return {};
--- a/servers/replay/expectation_check.h
+++ b/servers/replay/expectation_check.h
@@ -1,4 +1,4 @@
-// Holds the outcome of a replay against what the trace states.
+// Checks the outcome of a replay against the expectations in its trace.
 #pragma once
 
 #include <string>
@@ -13,20 +13,20 @@
 struct ExpectationResult {
   Expectation expectation;
   bool holds = true;
-  // What was found.
+  // The value or the facts that were found, for reports.
   std::string found;
-  // The events around a violation.
+  // The history events around a violation.
   std::vector<HistoryEvent> evidence;
 };
 
-// The bounds of a replay's checks, from the document and the trace.
+// Returns the bounds for the history checks of a replay, derived from the document and the trace.
 HistoryBounds BoundsOf(const Trace& trace, const Bounds& bounds);
 
-// In the order of the trace. Throws Error(kInvalidInput), with the line, for an unknown promise,
-// measure or job.
+// Returns the results in the order of the trace. Throws Error(kInvalidInput), with the line, for an
+// unknown promise, measure or job.
 std::vector<ExpectationResult> CheckExpectations(const Trace& trace, const ReplayResult& result);
 
-// "fragmentation below 0.2", for reports.
+// Formats an expectation for reports, such as "fragmentation below 0.2".
 std::string DescribeExpectation(const Expectation& expectation);
 
 }  // namespace turmericshift
--- a/servers/replay/guarantee_oracle.cc
+++ b/servers/replay/guarantee_oracle.cc
@@ -6,7 +6,7 @@
 namespace turmericshift {
 namespace {
 
-// Cells of a workspace by their free accelerators; a rack counts as its workers.
+// The cells of a workspace by their free accelerators. A rack is counted as its workers.
 class CellTable {
  public:
   CellTable(const std::vector<CellCount>& cells, const AvailabilityZoneSpec& zone) : zone_(zone) {
@@ -18,11 +18,12 @@
     }
   }
 
-  // Takes the job's room; false, with the books as they were, if it does not fit.
+  // Takes the job's room. Returns false and changes nothing if the job does not fit.
   bool Take(const JobSpec& spec) {
     const int task_size = SizeOf(spec.shape);
     const bool same_worker = spec.adjacency == Adjacency::kSameWorker;
-    // Whether cells are neighbours is not told by the document.
+    // The document does not say which cells are in the same rack, so such gangs never count as
+    // covered.
     if (spec.adjacency == Adjacency::kSameRack && spec.tasks > 1) return false;
     std::vector<int> trial = free_;
     const int pieces = same_worker ? 1 : spec.tasks;
@@ -35,7 +36,8 @@
   }
 
  private:
-  // Accelerators of the smallest cell whose part of a worker holds the task.
+  // The number of accelerators of the smallest cell whose share of the worker's resources holds the
+  // task.
   int SizeOf(const TaskShape& shape) const {
     const TaskShape& worker = zone_.worker;
     int size = 1;
@@ -49,11 +51,11 @@
   }
 
   static bool TakePiece(int size, std::vector<int>* cells) {
-    // Best fit: the smallest cell that holds it.
+    // Best fit: takes the smallest cell that holds the piece.
     std::sort(cells->begin(), cells->end());
     const auto cell = std::lower_bound(cells->begin(), cells->end(), size);
     if (cell == cells->end()) return false;
-    // What is left splits into halves down to the piece's size.
+    // The rest of the cell is split into halves, down to the size of the piece.
     int rest = *cell;
     cells->erase(cell);
     while (rest / 2 >= size) {
--- a/servers/replay/guarantee_oracle.h
+++ b/servers/replay/guarantee_oracle.h
@@ -1,6 +1,6 @@
-// Which waiting jobs their workspace's guarantee covers, worked out from the document and the room
-// in use alone, without the policy's own books: a promise is not checked by what it is kept with.
-// It errs on the side of fewer claims.
+// Determines which waiting jobs are covered by their workspace's guarantee. Uses only the document
+// and the resources in use, not the accounting of the policy, so that the policy's accounting is
+// not checked against itself. In doubt, a job counts as not covered.
 #pragma once
 
 #include <set>
@@ -11,11 +11,12 @@
 
 namespace turmericshift {
 
-// Accelerators that one cell has in the zone.
+// Returns the number of accelerators of one cell in the zone.
 int CellAccelerators(CellLevel level, const AvailabilityZoneSpec& zone);
 
-// Ids of the waiting jobs of `view` that, in order of arrival and together with all that their
-// workspaces run there, fit in `cells`: the cells that the zone hosts for that workspace.
+// Returns the ids of the waiting jobs of `view` that fit in `cells`, taken in order of arrival and
+// together with all running jobs of the workspace. `cells`: the cells that the zone hosts for the
+// workspace.
 std::set<std::string> CoveredJobs(const ZoneView& view, const std::string& workspace,
                                   const std::vector<CellCount>& cells);
 
--- a/servers/replay/replay_measures.cc
+++ b/servers/replay/replay_measures.cc
@@ -7,8 +7,8 @@
 namespace turmericshift {
 namespace {
 
-// Work counts towards a zone change until this long after the last one: what was held up by it is
-// caught up by then or is lost.
+// Work counts towards a zone change until this long after the last change. Work that the change
+// delayed is caught up by that time or is lost.
 constexpr Duration kZoneChangeWindow = std::chrono::minutes(30);
 constexpr double kPercentile = 0.95;
 
@@ -25,7 +25,8 @@
   return std::max(slots, 0);
 }
 
-// Name of the group of workers within which all members must be.
+// Returns the name of the worker's group. All members of a job with this adjacency must be in one
+// group.
 std::string GroupOf(const WorkerView& worker, Adjacency adjacency) {
   if (adjacency == Adjacency::kSameWorker) return worker.name;
   return adjacency == Adjacency::kSameRack ? worker.rack : "";
@@ -110,7 +111,7 @@
   }
   double running = 0;
   for (const auto& [key, attempt] : platform.attempts()) running += attempt.accelerators();
-  // What still runs in a zone that is out counts as done but was not asked for.
+  // Work that still runs in a zone that is out counts as done but not as attainable.
   const double attainable = std::min<double>(capacity, requested_accelerators);
   all_.done += running * seconds;
   all_.attainable += attainable * seconds;
--- a/servers/replay/replay_measures.h
+++ b/servers/replay/replay_measures.h
@@ -1,5 +1,5 @@
-// The measures of a replay: job completion time, fragmentation, work done while zones leave and
-// return, and what explains them.
+// The measures of a replay: job completion time, fragmentation, the work done while zones are out
+// and come back, and further figures that explain these.
 #pragma once
 
 #include <map>
@@ -11,47 +11,48 @@
 
 namespace turmericshift {
 
-// What became of one job of the trace.
+// The outcome of one job of the trace.
 struct ReplayJob {
   std::string id;
   TracedJob job;
   std::string zone;
-  // All since the trace's start. `asked` is the first try, also while the log was down.
+  // Times since the start of the trace. `submitted` is the first attempt to submit, even if the log
+  // was down then.
   Duration submitted{};
   std::optional<Duration> started;
   std::optional<Duration> ended;
   JobState state = JobState::kWaiting;
   int attempts = 0;
-  // Attempts that were stopped to give a guarantee back.
+  // The number of attempts that were preempted to meet a guarantee.
   int reclaims = 0;
-  // Accelerator-seconds of work that was done and thrown away.
+  // Work that was done and lost, in accelerator-seconds.
   double lost_work = 0;
 
   int accelerators() const { return job.spec.shape.accelerators * job.spec.tasks; }
 };
 
-// One measure by name; times are in seconds.
+// One named measure. Times are in seconds.
 struct Measure {
   std::string name;
   double value = 0;
 };
 
-// Sums over time that need the state between two events.
+// Integrals over time of the state between events.
 class TimeIntegrals {
  public:
-  // The state held for `span`, ending before the next change. `requested_accelerators`: of all jobs
+  // Adds a period of length `span` without changes. `requested_accelerators`: the sum over all jobs
   // that have not ended.
   void Add(const std::vector<const ZoneView*>& zones, const ReplayPlatform& platform,
            int requested_accelerators, Duration span);
-  // From the first zone that leaves until some time after the last return, work counts for the
-  // zone-change measure.
+  // Records that a zone left or returned. Work counts for the zone-change measure from the first
+  // zone that leaves until some time after the last return.
   void ZoneChanged(Time now);
   void AddLostWork(double accelerator_seconds);
   void SetTime(Time now) { now_ = now; }
 
   double fragmentation() const;
   double work_share() const;
-  // Absent when no zone changed.
+  // None if no zone changed.
   std::optional<double> zone_change_work_share() const;
 
  private:
@@ -69,15 +70,16 @@
   Work zone_change_;
 };
 
-// Free accelerators of the zone, and those of them that neither a waiting job nor a gang on one
-// whole worker can use.
+// The free accelerators of a zone, and how many of them are unusable: neither a waiting job nor a
+// gang on one whole worker can use them.
 struct FreeRoom {
   int free = 0;
   int unusable = 0;
 };
 FreeRoom FreeRoomOf(const ZoneView& zone);
 
-// All measures, in the order of the report; `workspace` "" for all jobs.
+// Returns all measures in the order of the report, for the jobs of `workspace` or for all jobs if
+// it is "".
 std::vector<Measure> MeasuresOf(const std::map<std::string, ReplayJob>& jobs,
                                 const std::string& workspace);
 
--- a/servers/replay/replay_platform.cc
+++ b/servers/replay/replay_platform.cc
@@ -32,12 +32,12 @@
 }
 
 std::string ReplayPlatform::StartRefusal(const StartDecision& start, const JobSpec& spec) const {
-  if (attempts_.count({start.job, start.attempt}) != 0) return "that attempt was seen before";
+  if (attempts_.count({start.job, start.attempt}) != 0) return "the attempt was started before";
   for (const TaskOnWorker& task : start.tasks) {
-    if (RunsAt(task.worker, start.job)) return "another attempt of the job is at " + task.worker;
+    if (RunsAt(task.worker, start.job)) return "another attempt of the job runs at " + task.worker;
     const auto worker = workers_.find(task.worker);
-    if (worker == workers_.end() || !worker->second.up) return task.worker + " is not there";
-    if (!HasRoom(worker->second, start, spec)) return "the room is taken at " + task.worker;
+    if (worker == workers_.end() || !worker->second.up) return task.worker + " is not available";
+    if (!HasRoom(worker->second, start, spec)) return "not enough free resources at " + task.worker;
   }
   return "";
 }
@@ -92,7 +92,7 @@
     attempt.end = AttemptEnd::kFailed;
     attempt.failed_on.push_back(task.worker);
   }
-  // A job at fault fails wherever it runs.
+  // A faulty job fails on any worker.
   if (attempt.failed_on.empty() && job.fails) {
     attempt.failed_on.push_back(start.tasks.front().worker);
   }
--- a/servers/replay/replay_platform.h
+++ b/servers/replay/replay_platform.h
@@ -1,5 +1,6 @@
-// What stands beyond the decisions in a replay: workers with their room, and attempts that run for
-// their true time. Holds only what the trace's events say; no network, no machines.
+// Simulates the cluster that carries out the decisions in a replay: workers with their resources,
+// and attempts that run for their true time. The state changes only by the trace's events and the
+// decisions; no network, no machines.
 #pragma once
 
 #include <map>
@@ -21,7 +22,7 @@
   bool fails_all = false;
 };
 
-// Names one attempt of one job.
+// Identifies one attempt of one job.
 struct AttemptKey {
   std::string job;
   int64_t attempt = 0;
@@ -34,18 +35,18 @@
   std::string zone;
   JobSpec spec;
   int64_t attempt = 0;
-  // Members that run; those on a lost worker are gone.
+  // The members that run. Members on a lost worker are removed.
   std::vector<TaskOnWorker> tasks;
   bool borrowed = false;
   Time started{};
-  // Work kept from earlier attempts.
+  // The work saved by earlier attempts.
   Duration saved{};
-  // When it ends, and how.
+  // When and how the attempt ends.
   Time end_time{};
   AttemptEnd end = AttemptEnd::kDone;
-  // The work is saved at its end.
+  // The attempt saves its work when it ends.
   bool saves = false;
-  // Workers at which a task fails, for kFailed.
+  // The workers on which a task fails, if `end` is kFailed.
   std::vector<std::string> failed_on;
 
   int accelerators() const { return spec.shape.accelerators * static_cast<int>(tasks.size()); }
@@ -53,33 +54,34 @@
 
 class ReplayPlatform {
  public:
-  // The workers of `environment`, all up: "ZONE-0", "ZONE-1"... in racks "ZONE-r0"...
+  // Creates the workers of `environment`, all up: "ZONE-0", "ZONE-1"... in racks "ZONE-r0"...
   ReplayPlatform(const Environment& environment, const Trace& trace);
 
-  // Throws Error(kInvalidInput) for a worker that the document does not have.
+  // Throws Error(kInvalidInput) if the document does not have the worker.
   ReplayWorker& Worker(const std::string& name);
   const std::map<std::string, ReplayWorker>& workers() const { return workers_; }
   const std::map<AttemptKey, ReplayAttempt>& attempts() const { return attempts_; }
-  // Null if it does not run.
+  // Returns null if the attempt does not run.
   const ReplayAttempt* Attempt(const AttemptKey& key) const;
 
-  // Why an agent would refuse the start; "" if none does.
+  // Returns why an agent would refuse the start, or "" if all agents would accept it.
   std::string StartRefusal(const StartDecision& start, const JobSpec& spec) const;
   void Start(const std::string& zone, const StartDecision& start, const TracedJob& job, Time now);
-  // The attempt ends at `at` at the latest, as `end`; its work is saved if `saves`.
+  // Makes the attempt end at `at` as `end`, unless it ends earlier anyway. Its work is saved if
+  // `saves`.
   void StopBy(const AttemptKey& key, Time at, AttemptEnd end, bool saves);
-  // What ran there is gone. Whether it still runs can't be known before its `lease` has run out, so
-  // its gangs end then.
-  // Returns the attempts that lost a member, as they were.
+  // Removes the members that run on the worker. The planner can't know whether they still run
+  // before their `lease` has expired, so the affected attempts end at that time. Returns these
+  // attempts as they were before.
   std::vector<ReplayAttempt> LoseWorker(const std::string& worker, Duration lease, Time now);
-  // Attempts of the zone that have ended by `now`, removed, in order of job.
+  // Removes and returns the attempts of the zone that have ended by `now`, in order of job.
   std::vector<ReplayAttempt> RemoveEnded(const std::string& zone, Time now);
-  // When the next attempt ends; none if none runs.
+  // Returns when the next attempt ends, or none if no attempt runs.
   std::optional<Time> NextEndTime() const;
 
-  // Share of the job's work that is done at `now`, 0 to 1.
+  // Returns the share of the job's work that is done at `now`, from 0 to 1.
   double ProgressOf(const ReplayAttempt& attempt, Time now) const;
-  // Work saved by earlier attempts.
+  // Returns the work that earlier attempts have saved.
   Duration SavedWork(const std::string& job) const;
 
  private:
--- a/servers/replay/replay_recorder.h
+++ b/servers/replay/replay_recorder.h
@@ -1,5 +1,5 @@
-// Writes what happened in a replay as the daemons' JSON log lines, in the trace's time, so that the
-// checks of histories and the burn report read a replay as they read a production log.
+// Records the events of a replay as JSON log lines in the daemons' format, with the trace's time,
+// so that history checks and the burn report read a replay in the same way as a production log.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -13,11 +13,11 @@
 
 class ReplayRecorder {
  public:
-  // Times count from `start`.
+  // Recorded times are relative to `start`.
   explicit ReplayRecorder(Time start) : start_(start) {}
 
   void Write(HistoryEventKind kind, nlohmann::json fields, Time now);
-  // One line for each worker that holds members of the attempt, or only for `only_worker`.
+  // Writes one line for each worker that runs members of the attempt, or only for `only_worker`.
   void WriteMembers(HistoryEventKind kind, const ReplayAttempt& attempt, Time now,
                     const std::string& only_worker = "");
 
--- a/servers/replay/replay_step.cc
+++ b/servers/replay/replay_step.cc
@@ -1,4 +1,4 @@
-// The steps of one zone's planning in a replay, in the order of ZonePlannerService::Step.
+// The planning steps of one zone in a replay, in the order of ZonePlannerService::Step.
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
@@ -11,10 +11,11 @@
 
 using Kind = HistoryEventKind;
 
-// Policies may act on time alone, such as aging, so a zone where nothing happens decides too.
+// Policies may act on time alone, such as by aging, so decisions are also made in zones without any
+// change.
 constexpr Duration kIdleDecisionInterval = std::chrono::seconds(30);
 constexpr Duration kProgressInterval = std::chrono::seconds(30);
-// As planners do it: so few at a time that a zone that comes back is filled step by step.
+// Matches the planners: few moves at a time, so that a zone that comes back fills gradually.
 constexpr Duration kMoveInterval = std::chrono::seconds(5);
 constexpr int kMaxMovesPerInterval = 4;
 
@@ -213,7 +214,8 @@
 void Replayer::UpdateClaims(const std::string& name, Zone* zone) {
   const ZoneView& view = zone->planner->view();
   std::set<std::string> covered;
-  // With a worker short the zone may not hold all that it promised; nobody can be blamed then.
+  // If a worker is down, the zone may be unable to meet all its guarantees, so no claim is
+  // recorded.
   if (AllWorkersUp(name)) {
     for (const auto& [workspace, spec] : view.environment->workspaces) {
       covered.merge(CoveredJobs(view, workspace, view.split->Share(name, workspace).cells));
--- a/servers/replay/replay_test.cc
+++ b/servers/replay/replay_test.cc
@@ -23,7 +23,7 @@
          key + R"(","workspace":"w","accelerators":4,"tasks":)" + std::to_string(tasks) + "}}\n";
 }
 
-// Starts each waiting job as the test says.
+// Starts each waiting job on the workers that the test's script returns.
 class ScriptedPolicy : public PlacementPolicy {
  public:
   using Script = std::function<std::vector<TaskOnWorker>(const WaitingJob&, const ZoneView&)>;
@@ -48,7 +48,7 @@
   return name;
 }
 
-// The first waiting job, a task on each worker that is quite free.
+// Starts the first waiting job, with one task on each worker whose accelerators are all free.
 std::string FirstFreeWorker() {
   return Register("test_first_free", [](const WaitingJob& job, const ZoneView& view) {
     std::vector<TaskOnWorker> tasks;
@@ -64,7 +64,7 @@
   });
 }
 
-// The same among the workers that are not held out.
+// As FirstFreeWorker(), but only on usable workers.
 std::string FirstUsableWorker() {
   return Register("test_first_usable", [](const WaitingJob& job, const ZoneView& view) {
     std::vector<TaskOnWorker> tasks;
@@ -118,8 +118,8 @@
   EXPECT_EQ(trace.events.front().at, std::chrono::seconds(5405));
 }
 
-// The figures come from a second implementation. A day is generated from a seed. If the machine's
-// library chose the numbers, a trace that passes here would fail elsewhere.
+// The expected values come from a second implementation. If the platform's library chose the
+// numbers, a trace that passes here would fail elsewhere.
 TEST(TraceTest, GeneratedNumbersAreTheSameEverywhere) {
   TraceRandom random(1);
   EXPECT_DOUBLE_EQ(random.UniformReal(), 0.5665615751722809);
@@ -154,8 +154,8 @@
   EXPECT_EQ(ReplayOf(text, FirstFreeWorker()).lines, ReplayOf(text, FirstFreeWorker()).lines);
 }
 
-// The log is away for ten minutes. Whoever submits meanwhile is told "not run" and comes back; what
-// ends meanwhile is recorded later, and nothing is lost.
+// The log is down for ten minutes. Submissions during that time are refused as "not run" and
+// retried, ends are recorded later, and no job is lost.
 TEST(ReplayTest, JobsSurviveALogOutage) {
   const ReplayResult result =
       ReplayOf(kHeader + Submit("1s", "a", 2, "5min") + Submit("6min", "b", 1, "1min") +
@@ -168,7 +168,7 @@
   EXPECT_GE(*result.jobs.at("w/b").started, std::chrono::minutes(11));
 }
 
-// An entry dies and another takes its zone over. The job that runs must be found, not started
+// An entry dies and another one takes over its zone. The running job must be found, not started
 // again.
 TEST(ReplayTest, ANewPlannerFindsRunningJobs) {
   const ReplayResult result = ReplayOf(
@@ -178,8 +178,8 @@
   EXPECT_EQ(result.jobs.at("w/a").state, JobState::kDone);
 }
 
-// One of two workers fails all that it starts. The job must be tried on the other, and only a job
-// that fails wherever it runs has failed.
+// One of two workers fails all tasks that it starts. A job must be retried on the other worker, and
+// only a job that fails on every worker has failed.
 TEST(ReplayTest, AFailingWorkerDoesNotFailItsJobs) {
   const ReplayResult result = ReplayOf(
       std::string(kHeader) + R"({"event":"worker_fails_all","at":"0s","worker":"z-0"})" + "\n" +
@@ -191,7 +191,7 @@
   EXPECT_EQ(result.jobs.at("w/b").state, JobState::kFailed);
 }
 
-// A gang loses one of its two workers. The other member runs until its lease is over, so a second
+// A gang loses one of its two workers. The other member runs until its lease expires, so a second
 // attempt before that would do the work twice.
 TEST(ReplayTest, AGangThatLostAWorkerRestartsAfterTheLease) {
   const std::string text = kHeader + Submit("1s", "a", 2, "20min") +
@@ -213,8 +213,8 @@
   EXPECT_EQ(result.jobs.at("w/b").state, JobState::kCancelled);
 }
 
-// A policy starts one member of two. The job would compute nothing and hold its room for ever, so
-// the planner drops the start, and the trace shows that the job never ran.
+// A policy starts one member of two. The job would compute nothing and use its room forever, so the
+// planner must drop the start, and the trace must show that the job never ran.
 TEST(ReplayTest, PlannerDropsAPartialGang) {
   const std::string part = Register("test_part", [](const WaitingJob&, const ZoneView&) {
     return std::vector<TaskOnWorker>{{0, "z-0", 15}};
@@ -227,8 +227,7 @@
   EXPECT_FALSE(Holds(text + started, part));
 }
 
-// The same fault behind the planner's back, as a broken planner would make it: the replay's own
-// lines must show it.
+// A broken planner releases a partial gang. The lines that the replay records must show it.
 TEST(ReplayTest, RecordedLinesShowAPartialGang) {
   const Trace trace = ParseTrace("test", kHeader);
   ReplayPlatform platform(ParseEnvironment("test", trace.document), trace);
@@ -249,7 +248,7 @@
   EXPECT_EQ(result.verdict, CheckVerdict::kViolated);
 }
 
-// A policy that never comes to some job looks good on every mean.
+// A policy that never starts some job looks good on every mean.
 TEST(ReplayTest, AForgottenJobViolatesExpectations) {
   const std::string idle = Register(
       "test_idle", [](const WaitingJob&, const ZoneView&) { return std::vector<TaskOnWorker>(); });
@@ -262,7 +261,7 @@
   EXPECT_FALSE(Holds(job + open, idle));
 }
 
-// A planner that has just taken over gives accelerators away that are in use. The workers refuse.
+// A planner that has just taken over assigns accelerators that are in use. The workers must refuse.
 TEST(ReplayTest, StartsOnOccupiedRoomAreRefused) {
   const Trace trace = ParseTrace("test", kHeader);
   ReplayPlatform platform(ParseEnvironment("test", trace.document), trace);
@@ -298,7 +297,7 @@
   running.spec = job.spec;
   view.running.push_back(running);
   EXPECT_EQ(CoveredJobs(view, "w", cells), (std::set<std::string>{"a"}));
-  // More than the guarantee runs: nothing is left to claim.
+  // More than the guarantee is running, so nothing is left to claim.
   view.running.push_back(running);
   view.running.push_back(running);
   EXPECT_TRUE(CoveredJobs(view, "w", cells).empty());
--- a/servers/replay/replayer.cc
+++ b/servers/replay/replayer.cc
@@ -12,7 +12,7 @@
 
 using Kind = HistoryEventKind;
 
-// Away from the clock's zero, which stands for "never" in some views.
+// Not near the clock's zero, which means "never" in some views.
 constexpr Duration kStart = std::chrono::hours(1000);
 
 bool IsLogEvent(TraceEventKind kind) {
@@ -81,7 +81,7 @@
     next = std::min(next, std::max(zone.next_decision, zone.planner_from));
     if (zone.needs_decision && HasPlanner(zone)) next = std::min(next, now_ + trace_.tick);
   }
-  // Up to the grid, and always on.
+  // Rounds up to a multiple of the tick, and always advances by at least one tick.
   const int64_t ticks = (next - start_ + trace_.tick - Duration(1)) / trace_.tick;
   return std::max(start_ + ticks * trace_.tick, now_ + trace_.tick);
 }
@@ -155,7 +155,7 @@
     throw Error(ErrorKind::kInvalidInput, "the document has no workspace of job '" + id + "'");
   }
   if (feasibility_->Anywhere(job.spec)) {
-    // Refused at once, as entries do it.
+    // The job is refused immediately, as entries do.
     ReplayJob& refused = jobs_[id];
     refused.id = id;
     refused.job = job;
@@ -172,7 +172,7 @@
   record.config_version = config->version;
   record.zone = ChooseZone(*config->environment, *feasibility_, job.spec, loads_);
   if (record.zone.empty()) {
-    // Refused as not run; the caller comes back.
+    // Entries refuse such a submission as not run, and the caller retries later.
     TraceEvent retry;
     retry.at = submitted;
     retry.job = job;
@@ -224,7 +224,7 @@
     integrals_.AddLostWork(lost_work);
   }
   Zone& zone = RequireZone(state.zone);
-  // Its attempts are ended with proof before the worker is given up.
+  // The worker is removed only after its attempts have provably ended.
   zone.planner->WorkerUsable(worker, false);
   ForgetLostWorkers(&zone);
   zone.needs_decision = true;
@@ -271,7 +271,7 @@
     if (zone.planner) zone.planner->SetEnvironment(current->environment);
     zone.needs_decision = true;
   }
-  // Submissions that no zone would take may find one now.
+  // Submissions that no zone accepted may be accepted under the new document.
   for (const TraceEvent& waiting : std::exchange(deferred_events_, {})) Apply(waiting);
 }
 
--- a/servers/replay/replayer.h
+++ b/servers/replay/replayer.h
@@ -1,5 +1,6 @@
-// Runs a trace against the decision code of production: the folds of the log, the zone choice and
-// the planner of each zone, all in the trace's own time. Two runs give the same lines.
+// Runs a trace against the decision code of production: the state machines fed by the log, the
+// choice of zones and the planner of each zone, all in simulated time. Replays are deterministic:
+// two runs record the same lines.
 #pragma once
 
 #include <deque>
@@ -24,36 +25,36 @@
   std::map<std::string, ReplayJob> jobs;
   std::vector<Measure> measures;
   Bounds bounds;
-  // The history, as log lines and read back.
+  // The history, as log lines and in parsed form.
   std::vector<std::string> lines;
   History history;
 };
 
 class Replayer {
  public:
-  // `policy` is a placement policy's name.
+  // `policy` is the name of a placement policy.
   Replayer(const Trace& trace, const std::string& policy);
 
-  // Throws Error(kInvalidInput) for an event that does not fit the document.
+  // Throws Error(kInvalidInput) if an event does not fit the document.
   ReplayResult Run();
 
  private:
-  // One zone's planning.
+  // The planning state of one zone.
   struct Zone {
     std::unique_ptr<ZonePlanner> planner;
     Sequence epoch = kNoSequence;
-    // The time from which it has a planner.
+    // The zone has no planner before this time.
     Time planner_from{};
-    // Something changed since the last decision.
+    // The state has changed since the last decision.
     bool needs_decision = true;
     Time next_decision{};
     Time next_progress{};
     Time next_move{};
-    // Jobs whose guarantee was claimed.
+    // The jobs for which a claim on the guarantee is recorded.
     std::set<std::string> claims;
   };
 
-  // Applies it; errors name the trace's line.
+  // Applies the event. Errors name its line in the trace.
   void ApplyWithLocation(const TraceEvent& event);
   void Apply(const TraceEvent& event);
   void Submit(const TracedJob& job, Duration submitted);
@@ -63,9 +64,11 @@
   void LoseEntry(const std::string& zone);
   void SetZone(const std::string& zone, bool in);
   void Publish(const std::string& text);
-  // A document or a zone change; throws Error(kInvalidInput) if the fold refuses it.
+  // Applies a document or a zone change. Throws Error(kInvalidInput) if the replicated state
+  // rejects the record.
   void ApplyConfig(const turmericshift::Record& record);
-  // Events that need the log wait until it is back.
+  // Returns true if the event needs the log and the log is down. Such events are deferred until the
+  // log is up.
   bool NeedsLog(const TraceEvent& event) const;
 
   FoldVerdict Record(const turmericshift::Record& record);
@@ -79,13 +82,13 @@
   void Step(const std::string& name, Zone* zone);
   void ProcessEndedAttempts(const std::string& name, Zone* zone);
   void ProcessAttemptEnd(const ReplayAttempt& attempt, Zone* zone);
-  // Gives up the workers that are down and that no attempt needs any more.
+  // Removes the workers that are down and that no attempt uses any more.
   void ForgetLostWorkers(Zone* zone);
-  // The attempt's work since its start is thrown away.
+  // Counts the work of the attempt since its start as lost.
   void CountLostWork(const ReplayAttempt& attempt);
   void ReportProgress(Zone* zone);
   void EndCancelled(const std::string& name, Zone* zone);
-  // Hands waiting jobs over to zones that are better for them, some at a time.
+  // Moves a limited number of waiting jobs to zones that suit them better.
   void MoveWaiting(const std::string& name, Zone* zone);
   void ApplyPlan(const std::string& name, const Plan& plan, Zone* zone);
   void Start(const std::string& name, const StartDecision& start, Zone* zone);
@@ -107,7 +110,7 @@
   Sequence next_sequence_ = 1;
   bool log_down_ = false;
   std::deque<TraceEvent> events_;
-  // Held back while the log is down.
+  // Events that wait for the log, and submissions that no zone accepts at present.
   std::vector<TraceEvent> deferred_events_;
   std::vector<JobEnded> unrecorded_ends_;
   std::unique_ptr<ReplayPlatform> platform_;
@@ -115,9 +118,9 @@
   TimeIntegrals integrals_;
   std::map<std::string, Zone> zones_;
   std::map<std::string, ReplayJob> jobs_;
-  // Of jobs that have not ended: those of each zone, and what all ask for.
+  // The loads of the zones, counting only jobs that have not ended.
   ZoneLoads loads_;
-  // Of the newest document.
+  // Feasibility under the newest document.
   std::unique_ptr<Feasibility> feasibility_;
   int requested_accelerators_ = 0;
   int refused_starts_ = 0;
--- a/servers/replay/synthetic_document.h
+++ b/servers/replay/synthetic_document.h
@@ -1,5 +1,5 @@
-// An environment document of a stated size, for traces and benchmarks of clusters that are too
-// large to write down.
+// Generates environment documents of a given size, for traces and benchmarks of clusters that are
+// too large to write by hand.
 #pragma once
 
 #include <string>
@@ -7,14 +7,14 @@
 namespace turmericshift {
 
 struct DocumentSize {
-  // Zones are "zone-0", "zone-1" and so on; all alike.
+  // Zones are named "zone-0", "zone-1" and so on, and are all alike.
   int zones = 1;
   int workers_per_zone = 1;
   int workers_per_rack = 16;
   int processors = 128;
   std::string memory = "512GiB";
   int accelerators = 8;
-  // Workspaces are "team-0", "team-1" and so on; all alike.
+  // Workspaces are named "team-0", "team-1" and so on, and are all alike.
   int workspaces = 1;
   std::string guarantee = "1 worker";
   int accelerator_cap = 0;
--- a/servers/replay/trace.cc
+++ b/servers/replay/trace.cc
@@ -30,7 +30,8 @@
   throw Error(ErrorKind::kInvalidInput, message);
 }
 
-// One JSON object of the file; every field must be asked for.
+// Reads one JSON object of the file and records which fields were read, so that RequireAllKnown()
+// can reject unknown ones.
 class Fields {
  public:
   explicit Fields(const nlohmann::json& json) : json_(json) {
@@ -54,7 +55,7 @@
   Duration Time(const char* field, Duration default_value) {
     return Has(field) ? Time(field) : default_value;
   }
-  // A number, or a duration as seconds.
+  // Reads a number, or a duration as seconds.
   std::optional<double> Bound(const char* field) {
     if (!Has(field)) return std::nullopt;
     if (json_.at(field).is_string()) return Seconds(Time(field));
@@ -75,7 +76,7 @@
   std::set<std::string> known_;
 };
 
-// "20h30min" is the sum of its parts.
+// Parses a sum of durations such as "20h30min".
 Duration ParseOffset(const std::string& text) {
   Duration sum{};
   size_t begin = 0;
@@ -86,7 +87,7 @@
     sum += ParseDuration(text.substr(begin, end - begin));
     begin = end;
   }
-  if (text.empty()) ThrowInvalid("a time is empty");
+  if (text.empty()) ThrowInvalid("a time is empty; expected a sum of durations such as 20h30min");
   return sum;
 }
 
@@ -168,7 +169,7 @@
   return static_cast<TraceEventKind>(found - kNames.begin());
 }
 
-// The field that names what the event is about; null if it needs none.
+// Returns the field that names the subject of the event, or null if the event has no subject.
 const char* SubjectField(TraceEventKind kind) {
   switch (kind) {
     case TraceEventKind::kCancel:
--- a/servers/replay/trace.h
+++ b/servers/replay/trace.h
@@ -1,5 +1,5 @@
-// A recorded or hand-written trace: a cluster, what happened to it and when, and what must come of
-// it. docs/TRACES.md specifies the file format.
+// A recorded or hand-written trace: a cluster, the events in it with their times, and the expected
+// outcome. docs/TRACES.md specifies the file format.
 #pragma once
 
 #include <optional>
@@ -28,37 +28,37 @@
 };
 const char* TraceEventName(TraceEventKind kind);
 
-// A job and the truth about it, which no decision sees.
+// A job, together with its actual behaviour, which the decision code does not see.
 struct TracedJob {
   JobSpec spec;
-  // How long it runs when nothing stops it.
+  // The true run time if nothing stops the job.
   Duration run_time{};
-  // Fails at the end of its run.
+  // The job fails at the end of its run.
   bool fails = false;
 };
 
 struct TraceEvent {
-  // Since the trace's start.
+  // Time since the start of the trace.
   Duration at{};
   TraceEventKind kind = TraceEventKind::kSubmit;
-  // Where it was read.
+  // The line of the trace that contains the event.
   int line = 0;
   // Set for kSubmit.
   TracedJob job;
-  // Job id, prefix of job ids, worker, zone, or the text of a document.
+  // Job id, prefix of job ids, worker, zone, or the text of a document, depending on `kind`.
   std::string subject;
-  // For kCancelWave: the share of the open jobs with that prefix.
+  // For kCancelWave: the share of the open jobs with the prefix to cancel.
   double share = 1;
 };
 
-// What must hold at the end. Either a promise or measure by name, or facts about one job.
+// A condition to check at the end: either a promise or measure by name, or facts about one job.
 struct Expectation {
   int line = 0;
   std::string name;
   // Bounds of a measure; times are in seconds.
   std::optional<double> below;
   std::optional<double> above;
-  // The measure over the jobs of one workspace only.
+  // Restricts the measure to the jobs of this workspace, unless "".
   std::string workspace;
   // Facts about one job; empty strings and absent values are not checked.
   std::string job;
@@ -70,29 +70,29 @@
 
 struct Trace {
   std::string name;
-  // Why it matters, for people.
+  // The purpose of the trace, for readers.
   std::string why;
   std::string document;
   uint64_t seed = 1;
-  // Decisions are taken at multiples of this.
+  // Decisions are made at multiples of this interval.
   Duration tick = std::chrono::seconds(1);
-  // The trace ends here even if jobs are open.
+  // The replay ends at this time, even if jobs are open.
   Duration until = std::chrono::hours(24);
-  // An end or a progress is known to the planner this much later.
+  // The planner learns of ends and progress with this delay.
   Duration report_lag = std::chrono::seconds(1);
   // A zone has no planner for this long after its entry was lost.
   Duration takeover = std::chrono::seconds(5);
-  // A task takes this long to save its work and stop.
+  // The time that a task takes to save its work and stop.
   Duration stop_time = std::chrono::seconds(2);
-  // A worker that fails everything does so this long after the start.
+  // The time after its start at which a task fails on a worker with `fails_all`.
   Duration fails_after = std::chrono::seconds(5);
-  // In order of time; generated ones included.
+  // In order of time, including generated events.
   std::vector<TraceEvent> events;
   std::vector<Expectation> expectations;
 };
 
-// Reads a trace; paths of documents are taken from the working directory.
-// Throws Error(kInvalidInput) as "NAME:LINE: what is wrong".
+// Parses a trace. Paths of documents are relative to the working directory. Throws
+// Error(kInvalidInput) as "NAME:LINE: what is wrong".
 Trace ParseTrace(const std::string& name, const std::string& text);
 
 }  // namespace turmericshift
--- a/servers/replay/trace_generator.h
+++ b/servers/replay/trace_generator.h
@@ -1,4 +1,5 @@
-// Expands a `generate` line into submissions, the same for the same seed on every machine.
+// Expands a `generate` line into submissions. The result depends only on the seed, also across
+// platforms.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +10,8 @@
 
 namespace turmericshift {
 
-// Numbers from a seed. The library's distributions differ between implementations; these do not.
+// A seeded random generator whose numbers are the same on all platforms, unlike those of the
+// standard library's distributions.
 class TraceRandom {
  public:
   explicit TraceRandom(uint64_t seed) : state_(seed) {}
@@ -17,7 +19,7 @@
   // Uniform in [0, 1).
   double UniformReal();
   double UniformBetween(double low, double high) { return low + (high - low) * UniformReal(); }
-  // UniformBetween, uniform in the logarithm; both bounds above 0.
+  // Uniform in the logarithm. Both bounds must be above 0.
   double LogUniformBetween(double low, double high);
 
  private:
@@ -31,14 +33,14 @@
   // Keys are "PREFIX1", "PREFIX2" and so on.
   std::string prefix;
   JobSpec spec;
-  // True run times lie between these, uniform in the logarithm.
+  // Range of the true run times, which are distributed uniformly in the logarithm.
   Duration shortest{};
   Duration longest{};
-  // Declared times are off by up to this factor, either way.
+  // Declared run times are wrong by up to this factor in either direction.
   double off_by = 1;
-  // This share of the jobs fails.
+  // The share of the jobs that fail.
   double fails = 0;
-  // With a peak, half of the jobs arrive within `peak_width` around `peak`.
+  // If there is a peak, half of the jobs arrive within `peak_width` centered on `peak`.
   std::optional<Duration> peak;
   Duration peak_width = std::chrono::hours(1);
 };
