--- a/servers/pool/pool_planner.cc
+++ b/servers/pool/pool_planner.cc
@@ -7,7 +7,7 @@
 
 namespace turmericshift::pool {
 
-PoolPlanner::PoolPlanner(const PlannerOptions& options, int64_t epoch, const JobBook& book,
+PoolPlanner::PoolPlanner(const PlannerOptions& options, int64_t epoch, const JobTable& book,
                          const std::set<std::string>& nodes, Time now)
     : options_(options),
       epoch_(epoch),
@@ -99,23 +99,23 @@
   if (MayStart(now)) orders.start_window = options_.start_window;
   for (const auto& [id, run] : worker.live) {
     if (run.phase == RunPhase::kStopping) orders.stops.push_back(id);
-    if (run.phase != RunPhase::kOrdered || run.released_by > outbox_.kept()) continue;
+    if (run.phase != RunPhase::kOrdered || run.start_after > outbox_.durable()) continue;
     orders.starts.push_back({id, run.payload, run.checkpoint, run.ticket});
   }
   return orders;
 }
 
 void PoolPlanner::NoteKept() {
-  while (!releases_.empty() && releases_.begin()->first <= outbox_.kept()) {
+  while (!releases_.empty() && releases_.begin()->first <= outbox_.durable()) {
     NoteNews(&workers_[releases_.begin()->second]);
     releases_.erase(releases_.begin());
   }
-  while (!unkept_.empty() && *unkept_.begin() <= outbox_.kept()) {
+  while (!unkept_.empty() && *unkept_.begin() <= outbox_.durable()) {
     unkept_.erase(unkept_.begin());
     changed_ = true;
   }
   for (auto& [node, worker] : workers_) {
-    while (!worker.ends.empty() && worker.ends.front().ticket <= outbox_.kept()) {
+    while (!worker.ends.empty() && worker.ends.front().ticket <= outbox_.durable()) {
       worker.ends_kept = worker.ends.front().number;
       worker.ends.pop_front();
       NoteNews(&worker);
--- a/servers/pool/pool_planner.h
+++ b/servers/pool/pool_planner.h
@@ -15,9 +15,9 @@
 #include <utility>
 #include <vector>
 
-#include "servers/pool/advice_book.h"
-#include "servers/pool/job_appraiser.h"
-#include "servers/pool/job_book.h"
+#include "servers/pool/advice_cache.h"
+#include "servers/pool/job_estimator.h"
+#include "servers/pool/job_table.h"
 #include "servers/pool/mechanism.h"
 #include "servers/pool/outbox.h"
 #include "servers/pool/placer.h"
@@ -27,8 +27,8 @@
 #include "servers/pool/reclaimer.h"
 #include "servers/pool/room_forecast.h"
 #include "servers/pool/urgent_reserve.h"
-#include "servers/pool/worker_judge.h"
-#include "servers/pool/worker_roster.h"
+#include "servers/pool/worker_health_tracker.h"
+#include "servers/pool/worker_state.h"
 
 namespace turmericshift::pool {
 
@@ -88,7 +88,7 @@
  public:
   // `book`: everything in the work topic when the duty was claimed. `nodes`: agents that may have
   // something running.
-  PoolPlanner(const PlannerOptions& options, int64_t epoch, const JobBook& book,
+  PoolPlanner(const PlannerOptions& options, int64_t epoch, const JobTable& book,
               const std::set<std::string>& nodes, Time now);
 
   int64_t epoch() const { return epoch_; }
@@ -130,7 +130,7 @@
   void NoteKept();
 
   // What the advice service should be asked now, and its answers.
-  AdviceBook& advice() { return advice_; }
+  AdviceCache& advice() { return advice_; }
   // Advice has come in that bears on placing.
   void NoteAdvice() { changed_ = true; }
 
@@ -311,13 +311,13 @@
   const size_t listed_;
   // Of them, those that must be heard before inherited work is started.
   std::set<std::string> unheard_;
-  AdviceBook advice_;
+  AdviceCache advice_;
   Time inherited_safe_at_{};
   std::shared_ptr<const OperatorState> operators_ = std::make_shared<OperatorState>();
   std::optional<Time> operators_read_;
   std::optional<Time> confirmed_;
-  WorkerJudge judge_;
-  JobAppraiser appraiser_;
+  WorkerHealthTracker judge_;
+  JobEstimator appraiser_;
   std::map<UnitKey, Reservation> reservations_;
   int64_t starts_ = 0;
   // Something that bears on placing has changed since the last round.
--- a/servers/pool/pool_planner_holding.cc
+++ b/servers/pool/pool_planner_holding.cc
@@ -46,7 +46,7 @@
   if (!made) return ends;
   for (const auto& [id, run] : worker.live) {
     Room room = run.need;
-    if (run.fills) room.processor_millis = 0;
+    if (run.best_effort) room.processor_millis = 0;
     const bool stopping = run.phase == RunPhase::kStopping;
     ends.push_back(
         {room, stopping ? Duration::zero() : run.progress.Left(run.estimate, run.since, now)});
--- a/servers/pool/pool_planner_planning.cc
+++ b/servers/pool/pool_planner_planning.cc
@@ -48,12 +48,12 @@
 }
 
 // The share of a pool that is free in whatever there is least of.
-double FreeShare(const Room& free, const Room& whole) {
+double FreeShare(const Room& free, const Room& total) {
   const auto share = [](int64_t part, int64_t all) {
     return all > 0 ? static_cast<double>(part) / static_cast<double>(all) : 0.0;
   };
-  return std::min(share(free.accelerators, whole.accelerators),
-                  share(free.processor_millis, whole.processor_millis));
+  return std::min(share(free.accelerators, total.accelerators),
+                  share(free.processor_millis, total.processor_millis));
 }
 
 }  // namespace
@@ -89,14 +89,14 @@
 void PoolPlanner::LogQueue(const std::vector<Unit>& units, Time now) {
   if (units.empty() || (queue_logged_ && now - *queue_logged_ < kLogQueueEvery)) return;
   queue_logged_ = now;
-  Room whole;
+  Room total;
   Room free;
   int usable = 0;
   for (const auto& [node, worker] : workers_) {
-    if (!worker.usable(now) || judge_.SetAside(node, now)) continue;
+    if (!worker.usable(now) || judge_.IsQuarantined(node, now)) continue;
     if (operators_->zones_out.count(worker.zone) > 0) continue;
     ++usable;
-    whole += worker.facts.capacity;
+    total += worker.facts.capacity;
     free += worker.left;
   }
   std::map<int, int> waiting;
@@ -111,9 +111,9 @@
             {"late_s", Seconds(lateness_.late())},
             {"starts_under_way", starts_under_way_},
             {"workers", usable},
-            {"accelerators", whole.accelerators},
+            {"accelerators", total.accelerators},
             {"accelerators_free", free.accelerators},
-            {"processor_millis", whole.processor_millis},
+            {"processor_millis", total.processor_millis},
             {"processor_millis_free", free.processor_millis},
             {"epoch", epoch_}});
 }
@@ -152,24 +152,24 @@
     all += worker.facts.capacity;
     all_left += worker.left;
     if (!worker.usable(now)) continue;
-    pool_.whole += worker.facts.capacity;
+    pool_.total += worker.facts.capacity;
     pool_.free += worker.left;
   }
-  idle_ = FreeShare(pool_.free, pool_.whole) > kIdleShare;
+  idle_ = FreeShare(pool_.free, pool_.total) > kIdleShare;
   if (FreeShare(all_left, all) <= kHalfIdleShare) {
     half_idle_since_.reset();
   } else if (!half_idle_since_) {
     half_idle_since_ = now;
   }
   appraiser_.SetCapacity(capacity);
-  appraiser_.BeginJobs();
-  for (const auto& [id, job] : jobs_) appraiser_.NoteJob(job.spec);
+  appraiser_.ResetJobs();
+  for (const auto& [id, job] : jobs_) appraiser_.RecordJob(job.spec);
   urgent_use_.clear();
   urgent_need_.clear();
   Room demand;
   for (const auto& [id, job] : jobs_) {
     if (Terms(job).priority != 0 || IsOver(job.progress.state)) continue;
-    const Room need = WidestNeed(job.spec);
+    const Room need = PeakNeed(job.spec);
     demand += need;
     urgent_need_[job.spec.workspace] += need.accelerators;
     int64_t& use = urgent_use_[job.spec.workspace];
@@ -177,7 +177,7 @@
       use += job.spec.steps[static_cast<size_t>(place.step)].need.accelerators;
     }
   }
-  reserve_.NoteDemand(pool_, demand, now);
+  reserve_.RecordDemand(pool_, demand, now);
 }
 
 void PoolPlanner::ExpireLeases(Time now) {
@@ -207,9 +207,9 @@
                {{"job", id.task.job},
                 {"task", TaskName(id.task)},
                 {"node", node},
-                {"unheard_s", Seconds(now - worker.heard)},
+                {"unheard_s", Seconds(now - worker.last_report)},
                 {"planner_late_s", Seconds(lateness_.late())}});
-      if (lateness_.late() == Duration::zero()) judge_.OrderNotTaken(node, now);
+      if (lateness_.late() == Duration::zero()) judge_.OrderFailed(node, now);
       StopRun(&worker, &run);
       if (gang) StopGang(*job, id);
     }
@@ -219,7 +219,7 @@
 std::vector<PoolPlanner::Unit> PoolPlanner::CollectUnits(int64_t wall_ms, Time now) {
   std::vector<Unit> units;
   for (auto& [id, job] : jobs_) {
-    if (IsOver(job.progress.state) || job.accepted > outbox_.kept()) continue;
+    if (IsOver(job.progress.state) || job.accepted > outbox_.durable()) continue;
     if (job.inherited && !InheritedIsSafe(now)) continue;
     const Schedule& schedule = job.spec.schedule;
     for (int occurrence = 0; occurrence < job.spec.occurrences(); ++occurrence) {
@@ -237,9 +237,9 @@
 }
 
 PoolPlanner::Prospect PoolPlanner::ProspectOf(const Unit& unit, int64_t wall_ms) const {
-  const int64_t over_ms = wall_ms + Millis(unit.timing.rest);
+  const int64_t over_ms = wall_ms + Millis(unit.timing.remaining);
   if (over_ms <= unit.due_ms) return Prospect::kInTime;
-  const int64_t useless_ms = unit.begun_ms + kUselessAfter * (unit.due_ms - unit.begun_ms);
+  const int64_t useless_ms = unit.begun_ms + kUselessFactor * (unit.due_ms - unit.begun_ms);
   if (over_ms > useless_ms) return Prospect::kUseless;
   if (!Uses(Mechanism::kLastCall)) return Prospect::kLate;
   return over_ms + Millis(kLastCall) > useless_ms ? Prospect::kLastCall : Prospect::kLate;
@@ -249,7 +249,7 @@
                               std::vector<Unit>* units) {
   const StepSpec& step = job->spec.steps[static_cast<size_t>(place.step)];
   if (job->progress.step_done(job->spec, place)) return;
-  if (!job->progress.turn_has_come(job->spec, place)) return;
+  if (!job->progress.dependencies_done(job->spec, place)) return;
   Unit unit;
   for (int index = 0; index < step.tasks; ++index) {
     const TaskPlace task = {place.occurrence, place.step, index};
@@ -268,11 +268,11 @@
   unit.job = job;
   unit.place = place;
   unit.priority = terms.priority;
-  unit.begun_ms = BegunMs(job->spec, place.occurrence);
+  unit.begun_ms = ReleaseMs(job->spec, place.occurrence);
   unit.timing = appraiser_.TimingOf(job->spec, terms, place, wall_ms);
   unit.expected = appraiser_.ExpectedTime(job->spec, step);
   unit.due_ms = unit.begun_ms + Millis(terms.target_latency) +
-                Millis(Scaled(unit.timing.chain, terms.stretch));
+                Millis(Scaled(unit.timing.critical_path, terms.stretch));
   unit.prospect = ProspectOf(unit, wall_ms);
   if (terms.priority == 0) {
     const int64_t wanted = step.need.accelerators * static_cast<int64_t>(unit.waiting.size());
@@ -298,21 +298,21 @@
     if (!worker.usable(now) || worker.facts.service != service) continue;
     if (operators_->zones_out.count(worker.zone) > 0) continue;
     if (!step.label.empty() && !Contains(worker.facts.labels, step.label)) continue;
-    if (!empty && judge_.SetAside(node, now)) continue;
+    if (!empty && judge_.IsQuarantined(node, now)) continue;
     if (Terms(*unit.job).advised &&
         !advice_.MayRun({unit.job->spec.id, unit.place}, AdvisedWorkerOf(worker))) {
       continue;
     }
-    if (only_sound && judge_.Doubtful(node, now)) continue;
+    if (only_sound && judge_.IsSuspect(node, now)) continue;
     WorkerRoom room;
     room.node = node;
     room.rack = worker.facts.rack;
     room.free = empty ? worker.facts.capacity : worker.left;
-    room.doubtful = judge_.Doubtful(node, now);
+    room.doubtful = judge_.IsSuspect(node, now);
     room.tenants = empty || !Uses(Mechanism::kLikeWithLike) ? Tenants::kNone : worker.tenants;
     room.most_tasks = static_cast<int>(unit.waiting.size());
-    if (step.most_per_worker > 0) {
-      room.most_tasks = step.most_per_worker - TasksOnWorker(*unit.job, unit.place, node);
+    if (step.max_per_worker > 0) {
+      room.most_tasks = step.max_per_worker - TasksOnWorker(*unit.job, unit.place, node);
     }
     rooms.push_back(room);
   }
@@ -393,14 +393,14 @@
   const StepSpec& step = unit.job->spec.steps[static_cast<size_t>(unit.place.step)];
   if (unit.priority == 0 || !Uses(Mechanism::kUrgentReserve)) return all;
   // Tasks that last serve from their start on, so that none of their waiting is free.
-  if (step.lasting || !CanWait(unit.timing)) return all;
+  if (step.long_running || !CanWait(unit.timing)) return all;
   // A job that stands still for longer beside idle workers counts as forgotten.
   const Time ready_since = *unit.job->steps.at(unit.place).ready_since;
   if (half_idle_since_ && unit.job->runs.empty() &&
       now - std::max(*half_idle_since_, ready_since) > kIdleWait) {
     return all;
   }
-  return reserve_.TasksBeside(pool_, step.need, all, now);
+  return reserve_.TasksOutsideReserve(pool_, step.need, all, now);
 }
 
 int64_t PoolPlanner::GuaranteedFor(const std::string& workspace) const {
@@ -433,7 +433,7 @@
     LiveRun run;
     run.run = {{job->spec.id, place.occurrence, place.step, place.index}, number};
     run.need = step.need;
-    run.fills = step.fills;
+    run.best_effort = step.best_effort;
     run.since = now;
     run.payload = job->spec.payload;
     if (Terms(*job).advised) {
@@ -442,7 +442,7 @@
     }
     const bool away = !step.data_rack.empty() && worker.facts.rack != step.data_rack;
     run.estimate = Scaled(unit.expected, torn || away ? options_.stray_factor : 1.0);
-    run.released_by = job->begun;
+    run.start_after = job->begun;
     const auto saved =
         job->progress.checkpoints.find({place.occurrence, place.step, step.gang ? 0 : index});
     if (saved != job->progress.checkpoints.end()) run.checkpoint = saved->second;
@@ -450,13 +450,13 @@
     if (worker.tenants != Tenants::kUnsaved) {
       worker.tenants = step.checkpoints ? Tenants::kSaved : Tenants::kUnsaved;
     }
-    run.clean = run.checkpoint.empty() && !torn && !away;
+    run.representative = run.checkpoint.empty() && !torn && !away;
     worker.live[run.run] = run;
     worker.left -= run.need;
     pool_.free -= run.need;
-    if (run.fills) worker.left.processor_millis += run.need.processor_millis;
-    if (run.released_by > outbox_.kept()) {
-      releases_.emplace(run.released_by, worker.node);
+    if (run.best_effort) worker.left.processor_millis += run.need.processor_millis;
+    if (run.start_after > outbox_.durable()) {
+      releases_.emplace(run.start_after, worker.node);
     } else {
       NoteNews(&worker);
     }
--- a/servers/pool/pool_planner_reclaiming.cc
+++ b/servers/pool/pool_planner_reclaiming.cc
@@ -31,12 +31,12 @@
 
 }  // namespace
 
-double PoolPlanner::ReclaimLimit(const Unit& unit, const PlaceWish& rest, Time now) const {
-  const std::optional<RoomForecast> forecast = ForecastRoom(rest, FutureRoomsFor(unit, now));
+double PoolPlanner::ReclaimLimit(const Unit& unit, const PlaceWish& remaining, Time now) const {
+  const std::optional<RoomForecast> forecast = ForecastRoom(remaining, FutureRoomsFor(unit, now));
   // Far beyond any time of use, for what never fits.
   const Duration wait = forecast ? forecast->in : Duration(std::chrono::hours(1));
-  const double gain =
-      std::max(0.0, ExpectedShare(unit.timing, stop_takes_) - ExpectedShare(unit.timing, wait));
+  const double gain = std::max(
+      0.0, ExpectedValueShare(unit.timing, stop_takes_) - ExpectedValueShare(unit.timing, wait));
   if (unit.entitled) {
     const Duration waited = now - *unit.job->steps.at(unit.place).ready_since;
     const bool comes_anyway =
@@ -44,7 +44,7 @@
     return comes_anyway ? 0 : kNoLimit;
   }
   return Uses(Mechanism::kBorrowedRoom)
-             ? gain * appraiser_.WorthOf(unit.job->spec, Terms(*unit.job))
+             ? gain * appraiser_.ValueOf(unit.job->spec, Terms(*unit.job))
              : 0;
 }
 
@@ -55,16 +55,16 @@
   JobTiming timing = appraiser_.TimingOf(job.spec, Terms(job), place, wall_ms);
   const Duration whole = appraiser_.ExpectedTime(job.spec, step);
   const Duration left = run.progress.Left(run.estimate, run.since, now);
-  const Duration later = timing.rest - whole;
-  timing.rest = later + left;
-  const double share_now = ExpectedShare(timing, Duration::zero());
-  timing.rest = later + (step.checkpoints ? left + options_.restore : whole);
-  const double share_then = ExpectedShare(timing, stop_takes_ + away);
-  double loss = std::max(0.0, share_now - share_then) * appraiser_.WorthOf(job.spec, Terms(job));
+  const Duration later = timing.remaining - whole;
+  timing.remaining = later + left;
+  const double share_now = ExpectedValueShare(timing, Duration::zero());
+  timing.remaining = later + (step.checkpoints ? left + options_.restore : whole);
+  const double share_then = ExpectedValueShare(timing, stop_takes_ + away);
+  double loss = std::max(0.0, share_now - share_then) * appraiser_.ValueOf(job.spec, Terms(job));
   if (!Uses(Mechanism::kLossOfStopped)) loss = 0;
   // The members of a gang are stopped together and lose it once.
   if (step.gang) loss /= step.tasks;
-  double thrown = Cores(run.need) * LostSeconds(run, step, options_.restore, now);
+  double thrown = CoreEquivalent(run.need) * LostSeconds(run, step, options_.restore, now);
   const auto state = job.steps.find(place);
   if (state != job.steps.end() && Uses(Mechanism::kRepeatPrice)) {
     thrown *= 1 + kAgainFactor * state->second.interrupted;
@@ -111,18 +111,18 @@
   if (lateness_.sheds() && !unit.entitled) return;
   --reclaims_left_;
   state.reclaim_tried = now;
-  PlaceWish rest = wish;
+  PlaceWish remaining = wish;
   if (!wish.step->gang) {
     // What fitted has been started above.
-    rest.tasks = 0;
+    remaining.tasks = 0;
     for (const int index : unit.waiting) {
-      rest.tasks += unit.job->runs.count({unit.place.occurrence, unit.place.step, index}) == 0;
+      remaining.tasks += unit.job->runs.count({unit.place.occurrence, unit.place.step, index}) == 0;
     }
   }
-  const double limit = ReclaimLimit(unit, rest, now);
+  const double limit = ReclaimLimit(unit, remaining, now);
   if (limit <= 0) return;
   const std::optional<ReclaimPlan> plan =
-      ChooseVictims(rest, StartRoomsFor(unit, now), VictimsFor(unit, wall_ms, now));
+      ChooseVictims(remaining, StartRoomsFor(unit, now), VictimsFor(unit, wall_ms, now));
   if (!plan || plan->cost > limit) return;
   for (const RunId& stop : plan->stops) {
     for (auto& [node, worker] : workers_) {
--- a/servers/pool/pool_planner_reports.cc
+++ b/servers/pool/pool_planner_reports.cc
@@ -31,7 +31,7 @@
   lateness_.Returned(report.node, now);
   if (report.wait > Duration::zero()) lateness_.Heard(report.node, now + report.wait);
   worker.zone = report.zone;
-  worker.heard = now;
+  worker.last_report = now;
   // The answer will grant a lease from here on, and a planner before may have granted one just now.
   worker.lease_until = std::max(worker.lease_until, now + options_.lease);
   worker.version_seen = report.orders_seen;
@@ -78,7 +78,7 @@
   worker->sequence = -1;
   NoteNews(worker);
   for (auto& [id, run] : worker->live) {
-    if (run.phase == RunPhase::kOrdered) run.phase = RunPhase::kUnclear;
+    if (run.phase == RunPhase::kOrdered) run.phase = RunPhase::kUncertain;
   }
   return true;
 }
@@ -127,7 +127,7 @@
     known->second.checkpoint = running.checkpoint;
     known->second.progress.Note(running.percent, now);
     const RunPhase phase = known->second.phase;
-    if (phase != RunPhase::kOrdered && phase != RunPhase::kUnclear) continue;
+    if (phase != RunPhase::kOrdered && phase != RunPhase::kUncertain) continue;
     known->second.phase = RunPhase::kRunning;
     Job* job = FindJob(running.run.task.job);
     if (job != nullptr) MarkRunning(job);
@@ -152,7 +152,7 @@
 void PoolPlanner::StopUnclearRuns(WorkerState* worker) {
   if (!worker->facts.reachable) return;
   for (auto& [id, run] : worker->live) {
-    if (run.phase != RunPhase::kUnclear) continue;
+    if (run.phase != RunPhase::kUncertain) continue;
     StopRun(worker, &run);
     Job* job = FindJob(id.task.job);
     const StepSpec* step = job == nullptr ? nullptr : FindStep(*job, id.task);
@@ -174,7 +174,7 @@
                       !job->progress.task_done(place) && job->runs.count(place) == 0;
   if (step != nullptr) {
     live.need = step->need;
-    live.fills = step->fills;
+    live.best_effort = step->best_effort;
     live.estimate = step->estimate;
     live.saved = step->checkpoints;
   }
@@ -213,7 +213,7 @@
   if (result.outcome == StartOutcome::kTicketRefused) {
     advice_.TicketRefused({task.job, {task.occurrence, task.step}}, AdvisedWorkerOf(*worker));
   }
-  if (result.outcome == StartOutcome::kNotRun) judge_.OrderNotTaken(worker->node, now);
+  if (result.outcome == StartOutcome::kNotRun) judge_.OrderFailed(worker->node, now);
   job->steps[{task.occurrence, task.step}].not_before = now + kPauseAfterRefusal;
   if (step != nullptr && step->gang) StopGang(*job, result.run);
   LogEvent(LogLevel::kWarning, "start_not_taken",
@@ -234,7 +234,7 @@
       live != worker->live.end() && live->second.phase == RunPhase::kStopping;
   std::optional<Duration> clean_time;
   if (live != worker->live.end()) {
-    if (live->second.clean) clean_time = now - live->second.since;
+    if (live->second.representative) clean_time = now - live->second.since;
     if (asked_to_stop && end.kind == EndKind::kStopped) NoteStop(live->second, now);
     worker->live.erase(live);
   }
@@ -247,7 +247,7 @@
     ForgetRun(end.run, job);
     if (end.kind == EndKind::kDone) {
       judge_.RunDone(worker->node);
-      if (clean_time) appraiser_.NoteRun(job->spec.queue, step->estimate, *clean_time);
+      if (clean_time) appraiser_.RecordRun(job->spec.queue, step->estimate, *clean_time);
       // A run that was given up when its lease ran out; another has been started since.
       if (!replaced) TakeDone(end, job, wall_ms);
     } else if (end.kind == EndKind::kFailed) {
@@ -285,7 +285,7 @@
 void PoolPlanner::TakeDone(const EndedTask& end, Job* job, int64_t wall_ms) {
   const TaskId& task = end.run.task;
   const StepSpec& step = *FindStep(*job, task);
-  if (step.lasting) return;
+  if (step.long_running) return;
   std::set<int>& done = job->progress.done[{task.occurrence, task.step}];
   if (step.gang) {
     for (int index = 0; index < step.tasks; ++index) done.insert(index);
@@ -305,7 +305,7 @@
   const TaskId& task = end.run.task;
   const StepSpec& step = *FindStep(*job, task);
   // A lasting task is started again however often it fails.
-  if (step.lasting) return;
+  if (step.long_running) return;
   std::set<int64_t>& failed = job->progress.failures[KeptAt(step, task)];
   if (!failed.insert(end.run.number).second) return;
   if (static_cast<int>(failed.size()) >= Terms(*job).max_attempts) {
--- a/servers/pool/pool_planner_test.cc
+++ b/servers/pool/pool_planner_test.cc
@@ -44,8 +44,8 @@
 }
 
 // What the store has of job "j", one task of `estimate`, that has begun.
-JobBook BookOfRunningJob(Duration estimate) {
-  JobBook book;
+JobTable BookOfRunningJob(Duration estimate) {
+  JobTable book;
   book.Apply({"j/j", EncodeSpec(BedJob("j", "batch", "one", BedStep(1, 1, estimate))), 1});
   JobProgress progress;
   progress.state = JobState::kRunning;
@@ -131,7 +131,7 @@
 // there waits; how long depends on whether the planner before is known to grant no more leases.
 TEST(PoolPlanner, WaitsShorterForAMissingAgentOnceThePlannerBeforeIsKnownToBeGone) {
   const PlannerOptions options;
-  const JobBook book = BookOfRunningJob(seconds(2));
+  const JobTable book = BookOfRunningJob(seconds(2));
   const Time now = Time(std::chrono::hours(1));
   PoolPlanner planner(options, 1, book, {"n", "missing"}, now);
   const auto placed_after = [&](Duration waited) {
@@ -207,13 +207,13 @@
 
 // A planner with one worker, to which one task has just been given.
 struct OneWorker {
-  OneWorker() : planner(PlannerOptions(), 1, JobBook(), {}, now) {
+  OneWorker() : planner(PlannerOptions(), 1, JobTable(), {}, now) {
     planner.Confirm(now);
     planner.SetOperatorState(std::make_shared<OperatorState>(BedOperators(0)), now);
     planner.TakeReport(Report("first", 1), 0, now);
     planner.Submit(BedJob("j", "batch", "one", BedStep(1, 1, seconds(2))));
     planner.outbox().Take();
-    planner.outbox().Kept();
+    planner.outbox().MarkDurable();
     planner.Plan(0, now);
   }
 
@@ -336,7 +336,7 @@
 // is kept. Its successor hears the later failure first. Were the earlier one taken for one that is
 // counted already, the task would be run once more than its queue allows.
 TEST(PoolPlanner, CountsFailuresInWhateverOrderTheyAreHeard) {
-  const JobBook book = BookOfRunningJob(seconds(1));
+  const JobTable book = BookOfRunningJob(seconds(1));
   const Time now = Time(std::chrono::hours(1));
   PoolPlanner planner(PlannerOptions(), 1, book, {"n", "m"}, now);
   planner.SetOperatorState(std::make_shared<OperatorState>(BedOperators(0)), now);
