--- a/servers/pool/planner_lateness.h
+++ b/servers/pool/planner_lateness.h
@@ -27,7 +27,7 @@
   // What most agents have been waited for, and those who came back of late as well: if they were
   // read at once, the others are silent by themselves. It falls by no more than a second each
   // second, so that reports which are still being read are not yet taken for missing.
-  Duration late() const { return late_; }
+  Duration lag() const { return late_; }
   // Too late to begin what can be left for a moment.
   bool sheds() const;
   // Whether more may be started beside `under_way` starts that have not been answered.
--- a/servers/pool/planner_lateness_test.cc
+++ b/servers/pool/planner_lateness_test.cc
@@ -22,7 +22,7 @@
 TEST(PlannerLateness, IsNoneWhileThePollsAreAnsweredInTime) {
   PlannerLateness lateness = Holding(20, kNow + milliseconds(300));
   lateness.Update(kNow);
-  EXPECT_EQ(lateness.late(), Duration::zero());
+  EXPECT_EQ(lateness.lag(), Duration::zero());
   EXPECT_FALSE(lateness.sheds());
 }
 
@@ -30,7 +30,7 @@
 TEST(PlannerLateness, SeesThatItStoodStill) {
   PlannerLateness lateness = Holding(20, kNow);
   lateness.Update(kNow + seconds(2));
-  EXPECT_GT(lateness.late(), milliseconds(1800));
+  EXPECT_GT(lateness.lag(), milliseconds(1800));
   EXPECT_TRUE(lateness.sheds());
 }
 
@@ -39,7 +39,7 @@
   PlannerLateness lateness = Holding(20, kNow + seconds(3));
   for (int agent = 0; agent < 4; ++agent) lateness.Answered(Node(agent), kNow);
   lateness.Update(kNow + seconds(2));
-  EXPECT_EQ(lateness.late(), Duration::zero());
+  EXPECT_EQ(lateness.lag(), Duration::zero());
 }
 
 // Half of the pool has gone for good: it must not pass for lateness for ever, or nothing that ran
@@ -48,7 +48,7 @@
   PlannerLateness lateness = Holding(20, kNow + seconds(60));
   for (int agent = 0; agent < 12; ++agent) lateness.Answered(Node(agent), kNow);
   for (int tenth = 1; tenth <= 90; ++tenth) lateness.Update(kNow + milliseconds(100) * tenth);
-  EXPECT_EQ(lateness.late(), Duration::zero());
+  EXPECT_EQ(lateness.lag(), Duration::zero());
 }
 
 // Reports that came during a stall are read one after the other, so that some are still unread when
@@ -57,12 +57,12 @@
   PlannerLateness lateness = Holding(20, kNow);
   const Time end = kNow + seconds(2);
   lateness.Update(end);
-  const Duration stalled = lateness.late();
+  const Duration stalled = lateness.lag();
   for (int agent = 0; agent < 15; ++agent) lateness.Heard(Node(agent), end + milliseconds(500));
   lateness.Update(end + milliseconds(400));
-  EXPECT_EQ(lateness.late(), stalled - milliseconds(400));
+  EXPECT_EQ(lateness.lag(), stalled - milliseconds(400));
   lateness.Update(end + seconds(2));
-  EXPECT_LE(lateness.late(), milliseconds(1600));
+  EXPECT_LE(lateness.lag(), milliseconds(1600));
 }
 
 TEST(PlannerLateness, StartsLessWhileItIsLateAndMoreOnceItIsNot) {
@@ -104,7 +104,7 @@
   lateness.Update(kNow);
   for (int tenth = 1; tenth <= 40; ++tenth) {
     PassWithReturns(&lateness, 12, kNow + milliseconds(100) * tenth, Duration::zero());
-    EXPECT_EQ(lateness.late(), Duration::zero()) << tenth;
+    EXPECT_EQ(lateness.lag(), Duration::zero()) << tenth;
   }
 }
 
@@ -112,7 +112,7 @@
   PlannerLateness lateness = Holding(20, kNow);
   PassWithReturns(&lateness, 0, kNow, seconds(2));
   lateness.Update(kNow + seconds(4));
-  EXPECT_GT(lateness.late(), milliseconds(1700));
+  EXPECT_GT(lateness.lag(), milliseconds(1700));
 }
 
 // After a stall the reports are read one after the other; those that have been read came late.
@@ -124,7 +124,7 @@
     lateness.Heard(Node(agent), end + milliseconds(500));
   }
   lateness.Update(end);
-  EXPECT_GT(lateness.late(), milliseconds(1800));
+  EXPECT_GT(lateness.lag(), milliseconds(1800));
 }
 
 }  // namespace
--- a/servers/pool/planner_service.cc
+++ b/servers/pool/planner_service.cc
@@ -138,8 +138,8 @@
   return question;
 }
 
-void PlannerService::TakeAdvice(const AdviceRequest& question, const AdviceResponse& answer,
-                                Time asked) {
+void PlannerService::HandleAdvice(const AdviceRequest& question, const AdviceResponse& answer,
+                                  Time asked) {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     if (!planner_) return;
@@ -309,7 +309,7 @@
       AnswerPolls(now, &replies);
       intake_.Answer(writing_since_, planner_.get(), now, &replies);
       jobs_.Set(static_cast<double>(planner_->job_count()));
-      late_seconds_.Set(Seconds(planner_->late()));
+      late_seconds_.Set(Seconds(planner_->lag()));
       if (!planner_->outbox().empty()) to_write_.notify_all();
       to_ask_.notify_all();
     }
--- a/servers/pool/pool_load_test.cc
+++ b/servers/pool/pool_load_test.cc
@@ -327,8 +327,8 @@
   bed_.SetPlannerHeldUp(false);
   LoadFor(seconds(6));
   EXPECT_EQ(EndedSince(stalled, EndKind::kStopped), 0);
-  EXPECT_EQ(EndedSince(stalled, EndKind::kLapsed), 0);
-  EXPECT_EQ(EndedSince(stalled, EndKind::kAlone), 0);
+  EXPECT_EQ(EndedSince(stalled, EndKind::kLeaseExpired), 0);
+  EXPECT_EQ(EndedSince(stalled, EndKind::kPartialGang), 0);
   EXPECT_EQ(bed_.planner_late(), Duration::zero());
   EXPECT_EQ(bed_.violations(), std::vector<std::string>());
 }
@@ -344,7 +344,7 @@
   LoadFor(seconds(6));
   EXPECT_EQ(bed_.planner_late(), Duration::zero());
   EXPECT_EQ(EndedSince(calm, EndKind::kStopped), 0);
-  EXPECT_EQ(EndedSince(calm, EndKind::kLapsed), 0);
+  EXPECT_EQ(EndedSince(calm, EndKind::kLeaseExpired), 0);
   EXPECT_EQ(bed_.violations(), std::vector<std::string>());
 }
 
@@ -354,8 +354,8 @@
   const Time replaced = bed_.now();
   bed_.ReplacePlanner();
   LoadFor(seconds(8));
-  EXPECT_EQ(EndedSince(replaced, EndKind::kLapsed), 0);
-  EXPECT_EQ(EndedSince(replaced, EndKind::kAlone), 0);
+  EXPECT_EQ(EndedSince(replaced, EndKind::kLeaseExpired), 0);
+  EXPECT_EQ(EndedSince(replaced, EndKind::kPartialGang), 0);
   EXPECT_EQ(bed_.planner_late(), Duration::zero());
   EXPECT_EQ(bed_.violations(), std::vector<std::string>());
 }
--- a/servers/pool/pool_planner.h
+++ b/servers/pool/pool_planner.h
@@ -119,7 +119,7 @@
   bool changed() const { return changed_; }
   // The agent's poll is answered.
   void NoteAnswered(const std::string& node, Time now) { lateness_.Answered(node, now); }
-  Duration late() const { return lateness_.late(); }
+  Duration lag() const { return lateness_.lag(); }
   // The answer to one of the agent's reports. The lease in it counts from that report on.
   AgentOrders Orders(const std::string& node, Time now);
 
--- a/servers/pool/pool_planner_planning.cc
+++ b/servers/pool/pool_planner_planning.cc
@@ -108,7 +108,7 @@
   }
   LogEvent(LogLevel::kInfo, "queue",
            {{"waiting", steps},
-            {"late_s", Seconds(lateness_.late())},
+            {"late_s", Seconds(lateness_.lag())},
             {"starts_under_way", starts_under_way_},
             {"workers", usable},
             {"accelerators", total.accelerators},
@@ -183,7 +183,7 @@
 void PoolPlanner::ExpireLeases(Time now) {
   for (auto& [node, worker] : workers_) {
     // What a late planner has not read yet is no silence of the agent's.
-    const bool lapsed = now > worker.lease_until + options_.lease_margin + lateness_.late();
+    const bool lapsed = now > worker.lease_until + options_.lease_margin + lateness_.lag();
     if (!worker.known || !lapsed) continue;
     worker.known = false;
     LoseRuns(&worker, "the agent has not been heard for a lease", now);
@@ -191,8 +191,8 @@
 }
 
 Duration PoolPlanner::StartLimit(bool gang) const {
-  if (!gang) return options_.start_limit + lateness_.late();
-  return std::min(options_.gang_start_limit + lateness_.late(), options_.longest_gang_start);
+  if (!gang) return options_.start_limit + lateness_.lag();
+  return std::min(options_.gang_start_limit + lateness_.lag(), options_.longest_gang_start);
 }
 
 void PoolPlanner::TakeBackLateStarts(Time now) {
@@ -208,8 +208,8 @@
                 {"task", TaskName(id.task)},
                 {"node", node},
                 {"unheard_s", Seconds(now - worker.last_report)},
-                {"planner_late_s", Seconds(lateness_.late())}});
-      if (lateness_.late() == Duration::zero()) judge_.OrderFailed(node, now);
+                {"planner_late_s", Seconds(lateness_.lag())}});
+      if (lateness_.lag() == Duration::zero()) judge_.OrderFailed(node, now);
       StopRun(&worker, &run);
       if (gang) StopGang(*job, id);
     }
--- a/servers/pool/pool_planner_reports.cc
+++ b/servers/pool/pool_planner_reports.cc
@@ -36,7 +36,7 @@
   worker.lease_until = std::max(worker.lease_until, now + options_.lease);
   worker.version_seen = report.orders_seen;
   TakeFacts(report, &worker, now);
-  if (report.epoch != epoch_ || report.worker.born_ms != worker.facts.born_ms) return;
+  if (report.epoch != epoch_ || report.worker.start_time_ms != worker.facts.start_time_ms) return;
   unheard_.erase(report.node);
   if (!worker.known) {
     worker.known = true;
@@ -85,15 +85,15 @@
 
 void PoolPlanner::TakeFacts(const AgentReport& report, WorkerState* worker, Time now) {
   const WorkerFacts& facts = report.worker;
-  if (facts.born_ms != worker->facts.born_ms) {
+  if (facts.start_time_ms != worker->facts.start_time_ms) {
     // An agent that has just started does not know its worker yet; nothing has changed there.
-    if (facts.born_ms == 0) return;
-    if (worker->facts.born_ms != 0) LoseRuns(worker, "the worker began a new life", now);
+    if (facts.start_time_ms == 0) return;
+    if (worker->facts.start_time_ms != 0) LoseRuns(worker, "the worker began a new life", now);
     worker->facts = facts;
     changed_ = true;
     worker->ends.clear();
     worker->ends_seen = 0;
-    worker->ends_kept = 0;
+    worker->acked_ends = 0;
     NoteNews(worker);
     judge_.Forget(worker->node);
     LogEvent(LogLevel::kInfo, "worker_reported",
