--- a/servers/pool/agent_state_test.cc
+++ b/servers/pool/agent_state_test.cc
@@ -9,7 +9,7 @@
 
 using std::chrono::milliseconds;
 
-// An agent that knows its worker and obeys planner 1.
+// An agent that knows its worker and follows planner 1.
 struct Agent {
   Agent() : state("n", "a", "first") {
     WorkerAnnouncement announcement;
@@ -42,20 +42,20 @@
     return orders;
   }
 
-  bool Reports(const RunId& run, StartOutcome outcome) {
+  bool ReportsResult(const RunId& run, StartOutcome outcome) {
     const std::vector<StartResult> results = state.Report(Duration::zero(), now).results;
     return std::any_of(results.begin(), results.end(), [&](const StartResult& result) {
       return result.run == run && result.outcome == outcome;
     });
   }
 
-  // The call of a start that has just been ordered.
-  StartCall Prepared(const RunId& run) {
+  // Returns the call for a start that has just been ordered.
+  StartCall PrepareCall(const RunId& run) {
     state.HandleOrders(Orders(), now, now);
-    std::string why;
+    std::string reason;
     const std::optional<StartCall> call =
-        state.PrepareStart({run, "", "", ""}, now + milliseconds(1500), &why, now);
-    EXPECT_TRUE(call) << why;
+        state.PrepareStart({run, "", "", ""}, now + milliseconds(1500), &reason, now);
+    EXPECT_TRUE(call) << reason;
     return call.value_or(StartCall());
   }
 
@@ -65,11 +65,11 @@
 
 const RunId kRun = {{"j", 0, 0, 0}, 7};
 
-// Two looks at the worker are under way at once, as when a planner has just been followed, and the
-// answers overtake each other: the one that was made first is read last. It lists a run that the
-// other has told the end of, and a planner that believed it would take the run for running for
-// good: its task never starts again, and the caller waits for a job that nobody works on.
-TEST(AgentState, HeedsNoListThatIsOlderThanTheOneItHas) {
+// Two holds are in flight, as after a change of planner, and the older answer is read last. It
+// lists a run whose end the newer one has reported. A planner that believed it would consider the
+// run alive forever: its task never starts again and the caller waits for a job that no worker
+// runs.
+TEST(AgentState, IgnoresListOlderThanCurrentOne) {
   Agent agent;
   WorkerLists newer = agent.Lists({});
   newer.clock = 1010;
@@ -81,9 +81,9 @@
   EXPECT_TRUE(agent.state.Report(Duration::zero(), agent.now).running.empty());
 }
 
-// Both answers were made within one millisecond of the worker's clock, so that it does not tell
-// which is the older one; the end does.
-TEST(AgentState, BelievesAnEndBeforeAListOfTheSameMoment) {
+// Both answers carry the same millisecond of the worker's clock, which doesn't tell which one is
+// older. The reported end does.
+TEST(AgentState, PrefersEndOverListWithSameClockValue) {
   Agent agent;
   WorkerLists newer = agent.Lists({});
   newer.ended = {{1, kRun, EndKind::kStopped, ""}};
@@ -92,10 +92,10 @@
   EXPECT_TRUE(agent.state.Report(Duration::zero(), agent.now).running.empty());
 }
 
-// An answer under the planner before is read after one under the planner that followed it. The
-// planner would take the agent for unheard until the next look at the worker, a second later, and
-// start nothing that may still run there meanwhile.
-TEST(AgentState, GoesOnBeingHeardWhenAnAnswerToThePlannerBeforeComesLate) {
+// An answer under the previous planner's epoch is read after one under the new epoch. If it
+// counted, the planner would consider the agent unread until the next hold, a second later, and
+// start nothing that may still run there.
+TEST(AgentState, KeepsEpochWhenAnswerUnderPreviousEpochArrivesLate) {
   Agent agent;
   agent.state.RaiseEpoch(2);
   agent.state.HandleLists(agent.Lists({}), 2, agent.now, agent.now);
@@ -103,11 +103,10 @@
   EXPECT_EQ(agent.state.Report(Duration::zero(), agent.now).epoch, 2);
 }
 
-// The planner takes a start back before the agent was told of it, and repeats the stop with every
-// answer until it hears what became of the run. Looks at the worker take longer than the planner's
-// polls; were each repetition to count as a new stop, no look would ever be late enough to settle
-// it, and the task would never start again.
-TEST(AgentState, SettlesAStopThatIsRepeatedFasterThanTheWorkerIsLookedAt) {
+// The planner withdraws a start before the agent knows of it and repeats the stop with every answer
+// until it knows the result. Holds take longer than the planner's polls; if each repetition counted
+// as a new stop, no hold would be late enough to settle it, and the task would never start again.
+TEST(AgentState, SettlesStopRepeatedFasterThanHoldsAreAnswered) {
   Agent agent;
   AgentOrders orders = agent.Orders();
   orders.stops = {kRun};
@@ -122,14 +121,14 @@
       agent.Hold(hold_sent, {});
       hold_sent = agent.now - milliseconds(10);
     }
-    settled = agent.Reports(kRun, StartOutcome::kNotRun);
+    settled = agent.ReportsResult(kRun, StartOutcome::kNotRun);
   }
   EXPECT_TRUE(settled);
 }
 
-// The worker does not answer a start, and carries it out seconds later or never. Until its lists
-// or a stop have settled it, the agent says neither that it runs nor that it does not.
-TEST(AgentState, SaysNothingOfAStartWithoutAnAnswerUntilItIsSettled) {
+// The worker does not answer a start and carries it out seconds later or never. Until its lists or
+// a stop settle the matter, the agent reports neither that the task runs nor that it does not.
+TEST(AgentState, ReportsNoResultForUnansweredStartUntilSettled) {
   Agent agent;
   AgentOrders orders = agent.Orders();
   orders.starts = {{kRun, "payload", "", ""}};
@@ -139,10 +138,10 @@
   EXPECT_TRUE(agent.state.Report(Duration::zero(), agent.now).results.empty());
   EXPECT_EQ(agent.state.UncertainRuns(), std::vector<RunId>{kRun});
   agent.Hold(agent.now, {{kRun, ""}});
-  EXPECT_TRUE(agent.Reports(kRun, StartOutcome::kStarted));
+  EXPECT_TRUE(agent.ReportsResult(kRun, StartOutcome::kStarted));
 }
 
-TEST(AgentState, CarriesAnOrderOutOnceThoughItIsRepeated) {
+TEST(AgentState, ExecutesRepeatedOrderOnce) {
   Agent agent;
   AgentOrders orders = agent.Orders();
   orders.starts = {{kRun, "payload", "", ""}};
@@ -150,8 +149,8 @@
   EXPECT_TRUE(agent.state.HandleOrders(orders, agent.now, agent.now).starts.empty());
 }
 
-// A planner that has been followed does not know it yet and goes on giving orders.
-TEST(AgentState, ObeysNoOlderPlanner) {
+// A planner that has been succeeded may not know it yet and continues to send orders.
+TEST(AgentState, IgnoresOrdersOfOlderPlanner) {
   Agent agent;
   agent.state.RaiseEpoch(2);
   AgentOrders orders = agent.Orders();
@@ -159,19 +158,19 @@
   EXPECT_TRUE(agent.state.HandleOrders(orders, agent.now, agent.now).starts.empty());
 }
 
-// The VM sleeps between an order and its being carried out, or the planner has been silent since.
-TEST(AgentState, StartsNothingThatIsOutOfDateOrWithoutALease) {
+// The VM was suspended between an order and its execution, or the planner has not answered since.
+TEST(AgentState, RejectsStartThatExpiredOrHasNoLease) {
   Agent agent;
   const StartOrder order = {kRun, "payload", "", ""};
-  std::string why;
-  EXPECT_FALSE(agent.state.PrepareStart(order, agent.now + milliseconds(100), &why, agent.now));
-  EXPECT_EQ(why, "no lease");
+  std::string reason;
+  EXPECT_FALSE(agent.state.PrepareStart(order, agent.now + milliseconds(100), &reason, agent.now));
+  EXPECT_EQ(reason, "no lease");
   agent.state.HandleOrders(agent.Orders(), agent.now, agent.now);
-  EXPECT_TRUE(agent.state.PrepareStart(order, agent.now + milliseconds(100), &why, agent.now));
-  EXPECT_FALSE(agent.state.PrepareStart(order, agent.now, &why, agent.now));
+  EXPECT_TRUE(agent.state.PrepareStart(order, agent.now + milliseconds(100), &reason, agent.now));
+  EXPECT_FALSE(agent.state.PrepareStart(order, agent.now, &reason, agent.now));
 }
 
-TEST(AgentState, StartsNothingOnAWorkerThatLeaves) {
+TEST(AgentState, RejectsStartOnDrainingWorker) {
   Agent agent;
   agent.state.HandleOrders(agent.Orders(), agent.now, agent.now);
   WorkerAnnouncement leaving;
@@ -180,14 +179,14 @@
   leaving.facts.start_time_ms = 1;
   leaving.facts.draining = true;
   agent.state.HandleAnnouncement(leaving);
-  std::string why;
-  EXPECT_FALSE(
-      agent.state.PrepareStart({kRun, "", "", ""}, agent.now + milliseconds(100), &why, agent.now));
+  std::string reason;
+  EXPECT_FALSE(agent.state.PrepareStart({kRun, "", "", ""}, agent.now + milliseconds(100), &reason,
+                                        agent.now));
 }
 
-// A worker refuses connections: it has not got the lease that a call was to bring. Counted as if it
-// had, its tasks would never be taken for over while the agent keeps trying.
-TEST(AgentState, CountsNoLeaseThatAWorkerDidNotGet) {
+// A worker that refuses the connection has not received the lease of the call. If that lease
+// counted, the worker's tasks would never be considered over while the agent keeps trying.
+TEST(AgentState, IgnoresLeaseThatWorkerDidNotReceive) {
   Agent agent;
   agent.state.HandleOrders(agent.Orders(), agent.now, agent.now);
   const HoldCall call = agent.state.NextHold(Duration::zero(), agent.now);
@@ -198,39 +197,39 @@
   EXPECT_GT(agent.state.Report(Duration::zero(), agent.now).lease_left, milliseconds(3900));
 }
 
-// A heartbeat of a life that is over arrives late.
-TEST(AgentState, IgnoresAnAnnouncementOfAFormerLife) {
+// An announcement of a previous incarnation arrives late.
+TEST(AgentState, IgnoresAnnouncementOfPreviousIncarnation) {
   Agent agent;
-  WorkerAnnouncement reborn;
-  reborn.sequence = 1;
-  reborn.facts.id = "i2";
-  reborn.facts.start_time_ms = 2;
-  agent.state.HandleAnnouncement(reborn);
-  WorkerAnnouncement late;
-  late.sequence = 9;
-  late.facts.id = "i";
-  late.facts.start_time_ms = 1;
-  agent.state.HandleAnnouncement(late);
+  WorkerAnnouncement restarted;
+  restarted.sequence = 1;
+  restarted.facts.id = "i2";
+  restarted.facts.start_time_ms = 2;
+  agent.state.HandleAnnouncement(restarted);
+  WorkerAnnouncement delayed;
+  delayed.sequence = 9;
+  delayed.facts.id = "i";
+  delayed.facts.start_time_ms = 1;
+  agent.state.HandleAnnouncement(delayed);
   EXPECT_EQ(agent.state.worker().id, "i2");
 }
 
-// A worker leaves a start unanswered and carries it out two seconds later or more, when the task
-// may have been given to another. The start's own deadline is over by then, so that the worker
-// refuses it; the lease that it would have run on reaches further.
-TEST(AgentState, GivesAStartADeadlineThatALateOneMisses) {
+// A worker leaves a start unanswered and processes it at least two seconds later, when the task may
+// have been given to another worker. By then the start's own lease has expired, so the worker
+// refuses it; the leases of holds reach further.
+TEST(AgentState, LimitsLeaseOfStartSoThatLateStartIsRefused) {
   Agent agent;
-  const StartCall call = agent.Prepared(kRun);
+  const StartCall call = agent.PrepareCall(kRun);
   constexpr WorkerMillis kClock = 1000;
   EXPECT_LT(call.lease_until, kClock + 2000);
   EXPECT_GE(*agent.state.NextHold({}, agent.now).lease_until, kClock + 4000);
 }
 
-// A start is under way to a worker that has just come back from a crash, and a look at it goes
-// unanswered at the same time. Told that no lease is left there, the planner would give the task to
-// another worker while this one begins it.
-TEST(AgentState, CountsTheLeaseOfAStartThatIsStillUnderWay) {
+// A start is in flight to a worker that has just recovered from a crash, and a hold goes unanswered
+// at the same time. If the agent reported that no lease is left, the planner would give the task to
+// another worker while this one starts it.
+TEST(AgentState, CountsLeaseOfStartInFlight) {
   Agent agent;
-  const StartCall call = agent.Prepared(kRun);
+  const StartCall call = agent.PrepareCall(kRun);
   agent.state.NoteLeaseSent(call.lease_until);
   agent.state.WorkerFailed(OrderAnswer::kUnanswered);
   EXPECT_GE(agent.state.Report(Duration::zero(), agent.now).lease_left, milliseconds(1600));
--- a/servers/pool/job_api.cc
+++ b/servers/pool/job_api.cc
@@ -9,22 +9,23 @@
 namespace turmericshift::pool {
 namespace {
 
-// How often a call that waits for a planner looks for one.
-constexpr Duration kLookAgain = std::chrono::milliseconds(60);
-// A planner in another zone answers a connect within milliseconds.
-constexpr Duration kConnectLimit = std::chrono::milliseconds(700);
-// A record is kept and answered for in some 20 ms; with less than this left a try is pointless.
-constexpr Duration kShortestTry = std::chrono::milliseconds(60);
+// Interval between the attempts of a call that waits for a planner.
+constexpr Duration kRetryInterval = std::chrono::milliseconds(60);
+// A planner in another zone answers a connection request within milliseconds.
+constexpr Duration kConnectTimeout = std::chrono::milliseconds(700);
+// A record becomes durable and is acknowledged in some 20 ms; an attempt with less time than this
+// is pointless.
+constexpr Duration kMinAttemptTime = std::chrono::milliseconds(60);
 
 }  // namespace
 
 JobApi::JobApi(const JobApiOptions& options, const WorkView* work, const OperatorView* operators,
-               PlannerGate* local, PlannerRouter* reach, MetricsRegistry* metrics)
+               PlannerGate* local, PlannerRouter* router, MetricsRegistry* metrics)
     : options_(options),
       work_(work),
       operators_(operators),
       local_(local),
-      reach_(reach),
+      router_(router),
       accepted_(metrics->counter("jobs_accepted")),
       refused_(metrics->counter("calls_refused")),
       unknown_(metrics->counter("calls_unknown")),
@@ -32,8 +33,8 @@
 
 bool JobApi::Ready(Time now) const {
   return operators_->state()->config.version > 0 &&
-         operators_->freshness().within(options_.key_limit, now) &&
-         work_->freshness().within(options_.key_limit, now);
+         operators_->freshness().within(options_.key_age_limit, now) &&
+         work_->freshness().within(options_.key_age_limit, now);
 }
 
 JobAnswer JobApi::NotAccepted(const std::string& message) const {
@@ -58,7 +59,7 @@
 }
 
 JobAnswer JobApi::HandleCall(const JobCall& call, Time now) {
-  // Read first, so that the document is at least as new as this says.
+  // Read before the document, which is therefore at least as new as this freshness says.
   const Freshness freshness = operators_->freshness();
   const std::shared_ptr<const OperatorState> state = operators_->state();
   if (state->config.version == 0) return NotAccepted("no configuration has been read yet");
@@ -70,7 +71,7 @@
     return answer;
   }
   if (queue->open) return HandleRouted(call, *queue, "", now);
-  if (!freshness.within(options_.key_limit, now)) {
+  if (!freshness.within(options_.key_age_limit, now)) {
     return NotAccepted("keys can't be checked: the store does not answer");
   }
   const Workspace* workspace = state->config.WorkspaceForKey(call.key);
@@ -93,7 +94,7 @@
       answer.message = "a job's id is missing";
       return answer;
     }
-    if (!work_->freshness().within(options_.view_limit, now)) {
+    if (!work_->freshness().within(options_.view_age_limit, now)) {
       return NotAccepted("the store does not answer");
     }
     JobAnswer answer;
@@ -114,7 +115,8 @@
 
 JobAnswer JobApi::State(const std::string& id, Time now) const {
   JobAnswer answer;
-  // Read first: a view that catches up in between would vouch for what it did not show yet.
+  // Read before the state: if the view caught up in between, its freshness would not apply to the
+  // state read earlier.
   const Freshness freshness = work_->freshness();
   const std::optional<JobState> state = work_->StateOf(id);
   if (state) {
@@ -122,8 +124,8 @@
     answer.state = *state;
     return answer;
   }
-  // Only a view that is fresh enough to know every job may say that there is none.
-  if (!freshness.within(options_.view_limit, now)) {
+  // Only a view that is recent enough to contain every job may report that there is none.
+  if (!freshness.within(options_.view_age_limit, now)) {
     return NotAccepted("the store does not answer");
   }
   answer.kind = JobAnswerKind::kNoSuchJob;
@@ -152,9 +154,9 @@
     LogEvent(LogLevel::kWarning, "job_refused", {{"job", id}, {"reason", error.what()}});
     return answer;
   }
-  answer = AskPlanner([&](PlannerClient* port, Duration limit) { port->Submit(spec, limit); },
-                      [&] { return work_->StateOf(id).has_value(); }, JobAnswerKind::kAccepted,
-                      now + call.timeout - options_.reserve);
+  answer = CallPlanner([&](PlannerClient* client, Duration limit) { client->Submit(spec, limit); },
+                       [&] { return work_->StateOf(id).has_value(); }, JobAnswerKind::kAccepted,
+                       now + call.timeout - options_.response_margin);
   const Time end = LeaseClock().Now();
   submit_seconds_.Record(Seconds(end - now));
   const bool accepted = answer.kind == JobAnswerKind::kAccepted;
@@ -185,12 +187,12 @@
     answer.kind = JobAnswerKind::kCancelled;
     return answer;
   }
-  answer = AskPlanner([&](PlannerClient* port, Duration limit) { port->Cancel(id, limit); },
-                      [&] {
-                        const std::optional<JobState> seen = work_->StateOf(id);
-                        return seen && IsOver(*seen);
-                      },
-                      JobAnswerKind::kCancelled, now + timeout - options_.reserve);
+  answer = CallPlanner([&](PlannerClient* client, Duration limit) { client->Cancel(id, limit); },
+                       [&] {
+                         const std::optional<JobState> seen = work_->StateOf(id);
+                         return seen && IsOver(*seen);
+                       },
+                       JobAnswerKind::kCancelled, now + timeout - options_.response_margin);
   LogEvent(LogLevel::kInfo, "job_cancel",
            {{"job", id},
             {"cancelled", answer.kind == JobAnswerKind::kCancelled},
@@ -198,47 +200,49 @@
   return answer;
 }
 
-std::shared_ptr<PlannerClient> JobApi::Port(Duration limit) {
-  // This entry may have lost the store and been told of a planner that it can't read of.
-  const PlannerRecord read = work_->leadership().planner;
-  const PlannerRecord told = local_->Successor();
-  const PlannerRecord& planner = told.epoch > read.epoch ? told : read;
+std::shared_ptr<PlannerClient> JobApi::ConnectToPlanner(Duration limit) {
+  // This entry may have lost the store and have been told of a newer planner that it cannot read
+  // about.
+  const PlannerRecord recorded = work_->leadership().planner;
+  const PlannerRecord announced = local_->Successor();
+  const PlannerRecord& planner = announced.epoch > recorded.epoch ? announced : recorded;
   if (planner.address.empty()) throw Error(ErrorKind::kUnavailable, Outcome::kNotRun, "no planner");
   if (planner.node == options_.node) return std::make_shared<LocalPlannerClient>(local_);
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    if (port_ && port_epoch_ == planner.epoch) return port_;
+    if (client_ && client_epoch_ == planner.epoch) return client_;
   }
-  std::shared_ptr<PlannerClient> port =
-      reach_->Connect(planner, std::min(limit, kConnectLimit), LeaseClock().Now());
+  std::shared_ptr<PlannerClient> client =
+      router_->Connect(planner, std::min(limit, kConnectTimeout), LeaseClock().Now());
   const std::lock_guard<std::mutex> lock(mutex_);
-  port_ = port;
-  port_epoch_ = planner.epoch;
-  return port;
+  client_ = client;
+  client_epoch_ = planner.epoch;
+  return client;
 }
 
-void JobApi::DropPort(const std::shared_ptr<PlannerClient>& port) {
+void JobApi::DiscardClient(const std::shared_ptr<PlannerClient>& client) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  if (port_ == port) port_.reset();
+  if (client_ == client) client_.reset();
 }
 
-JobAnswer JobApi::AskPlanner(const std::function<void(PlannerClient*, Duration)>& ask,
-                             const std::function<bool()>& known, JobAnswerKind done, Time until) {
+JobAnswer JobApi::CallPlanner(const std::function<void(PlannerClient*, Duration)>& call,
+                              const std::function<bool()>& already_done, JobAnswerKind done,
+                              Time until) {
   JobAnswer answer;
-  bool maybe = false;
+  bool may_have_run = false;
   while (true) {
-    if (known()) {
+    if (already_done()) {
       answer.kind = done;
       answer.message = "";
       return answer;
     }
     const Time now = LeaseClock().Now();
-    const Time end = std::min(until, answer_by_.load());
-    if (end - now < kShortestTry) break;
-    std::shared_ptr<PlannerClient> port;
+    const Time end = std::min(until, answer_deadline_.load());
+    if (end - now < kMinAttemptTime) break;
+    std::shared_ptr<PlannerClient> client;
     try {
-      port = Port(end - now);
-      ask(port.get(), std::min(end - now, options_.try_limit));
+      client = ConnectToPlanner(end - now);
+      call(client.get(), std::min(end - now, options_.attempt_timeout));
       answer.kind = done;
       answer.message = "";
       return answer;
@@ -249,16 +253,16 @@
         return answer;
       }
       const bool not_run = error.outcome() == Outcome::kNotRun;
-      if (!not_run) maybe = true;
-      // The planner is there and can't keep anything now: waiting would not help the caller.
-      if (not_run && !maybe && error.kind() == ErrorKind::kLogUnavailable) {
+      if (!not_run) may_have_run = true;
+      // The planner is reachable but cannot store anything now: waiting would not help the caller.
+      if (not_run && !may_have_run && error.kind() == ErrorKind::kLogUnavailable) {
         return NotAccepted(error.what());
       }
-      if (port) DropPort(port);
+      if (client) DiscardClient(client);
     }
-    std::this_thread::sleep_for(kLookAgain);
+    std::this_thread::sleep_for(kRetryInterval);
   }
-  if (!maybe) return NotAccepted(answer.message);
+  if (!may_have_run) return NotAccepted(answer.message);
   answer.kind = JobAnswerKind::kUnknown;
   return answer;
 }
--- a/servers/pool/job_table_test.cc
+++ b/servers/pool/job_table_test.cc
@@ -1,7 +1,8 @@
+#include "servers/pool/job_table.h"
+
 #include <gtest/gtest.h>
 
 #include "core/error.h"
-#include "servers/pool/job_table.h"
 #include "tests/stand_ins/pool_bed.h"
 
 namespace turmericshift::pool {
@@ -23,7 +24,7 @@
   return spec;
 }
 
-TEST(JobRecords, GiveAJobBackAsItWas) {
+TEST(JobRecords, RoundTripASpec) {
   const JobSpec spec = FullJob();
   const JobSpec read = DecodeSpec(spec.id, EncodeSpec(spec));
   EXPECT_EQ(EncodeSpec(read), EncodeSpec(spec));
@@ -33,7 +34,7 @@
   EXPECT_EQ(read.schedule.interval_ms, 2000);
 }
 
-TEST(JobRecords, GiveProgressBackAsItWas) {
+TEST(JobRecords, RoundTripProgress) {
   JobProgress progress;
   progress.state = JobState::kRunning;
   progress.done[{0, 0}] = {0, 2};
@@ -45,7 +46,7 @@
   EXPECT_EQ(read.failures.at({0, 0, 1}), (std::set<int64_t>{54, 77}));
 }
 
-TEST(JobRecords, RefuseBytesThatAreNoRecord) {
+TEST(JobRecords, RejectMalformedBytes) {
   for (const char* bytes : {"", "{", "[]", "{\"queue\":1}", "null"}) {
     EXPECT_THROW(DecodeSpec("id", bytes), Error) << bytes;
     EXPECT_THROW(DecodeProgress(bytes), Error) << bytes;
@@ -53,35 +54,35 @@
   }
 }
 
-TEST(JobTable, TakesProgressThatComesBeforeItsJob) {
-  JobTable book;
+TEST(JobTable, AppliesProgressThatPrecedesItsJob) {
+  JobTable table;
   JobProgress progress;
   progress.state = JobState::kCompleted;
-  book.Apply({"p/x", EncodeProgress(progress), 7});
-  book.Apply({"j/x", EncodeSpec(FullJob()), 6});
-  ASSERT_NE(book.Find("x"), nullptr);
-  EXPECT_EQ(book.Find("x")->progress.state, JobState::kCompleted);
+  table.Apply({"p/x", EncodeProgress(progress), 7});
+  table.Apply({"j/x", EncodeSpec(FullJob()), 6});
+  ASSERT_NE(table.Find("x"), nullptr);
+  EXPECT_EQ(table.Find("x")->progress.state, JobState::kCompleted);
 }
 
 // Pages of the newest records overlap with the history that is read after them. An older record
-// that is read later must not bring a finished job back to life.
-TEST(JobTable, IgnoresRecordsOlderThanWhatItHas) {
-  JobTable book;
+// that is read later must not reset a finished job to running.
+TEST(JobTable, IgnoresOlderRecords) {
+  JobTable table;
   JobProgress progress;
-  book.Apply({"j/x", EncodeSpec(FullJob()), 1});
+  table.Apply({"j/x", EncodeSpec(FullJob()), 1});
   progress.state = JobState::kCompleted;
-  book.Apply({"p/x", EncodeProgress(progress), 9});
+  table.Apply({"p/x", EncodeProgress(progress), 9});
   progress.state = JobState::kRunning;
-  book.Apply({"p/x", EncodeProgress(progress), 5});
-  EXPECT_EQ(book.Find("x")->progress.state, JobState::kCompleted);
+  table.Apply({"p/x", EncodeProgress(progress), 5});
+  EXPECT_EQ(table.Find("x")->progress.state, JobState::kCompleted);
 }
 
-TEST(JobTable, ForgetsADroppedJob) {
-  JobTable book;
-  book.Apply({"j/x", EncodeSpec(FullJob()), 1});
-  book.Apply({"j/x", "", 2});
-  book.Apply({"p/x", "", 3});
-  EXPECT_EQ(book.Find("x"), nullptr);
+TEST(JobTable, RemovesADeletedJob) {
+  JobTable table;
+  table.Apply({"j/x", EncodeSpec(FullJob()), 1});
+  table.Apply({"j/x", "", 2});
+  table.Apply({"p/x", "", 3});
+  EXPECT_EQ(table.Find("x"), nullptr);
 }
 
 }  // namespace
--- a/servers/pool/pool_bounds_test.cc
+++ b/servers/pool/pool_bounds_test.cc
@@ -13,11 +13,11 @@
 
 using std::chrono::milliseconds;
 
-constexpr int kDraws = 2000;
+constexpr int kRounds = 2000;
 
-class BoundsDraw {
+class BoundsGenerator {
  public:
-  explicit BoundsDraw(unsigned seed) : random_(seed) {}
+  explicit BoundsGenerator(unsigned seed) : random_(seed) {}
 
   PoolBounds Next() {
     PoolBounds bounds;
@@ -40,35 +40,35 @@
   std::mt19937 random_;
 };
 
-// Another deployment lays down other bounds. Limits that stayed as they were for the first would
-// start tasks of cancelled jobs, or in zones that are out, or leave gangs waiting for a member.
-TEST(PoolBounds, AreKeptByTheLimitsWhateverTheyAre) {
-  BoundsDraw draw(1);
-  for (int i = 0; i < kDraws; ++i) {
-    const PoolBounds bounds = draw.Next();
+// Bounds differ by deployment. Limits that did not follow them would start tasks of cancelled jobs
+// or in zones that are out, or leave gangs waiting for a member.
+TEST(PoolBounds, LimitsKeepRandomBounds) {
+  BoundsGenerator generator(1);
+  for (int i = 0; i < kRounds; ++i) {
+    const PoolBounds bounds = generator.Next();
     const PlannerOptions options = PlannerOptionsFor(bounds);
     EXPECT_LT(options.lease, bounds.longest_lease);
     EXPECT_LT(options.confirm_limit + options.start_window, bounds.cancel);
     EXPECT_LT(options.document_limit + options.start_window, bounds.zone_out);
     EXPECT_LT(options.gang_start_limit + bounds.stop, bounds.gang_wait);
-    // A lease on the slowest clock, and a stop on top.
+    // The lease's clock skew on the slowest clock, plus the stop time.
     EXPECT_GT(options.lease_margin, bounds.stop + options.lease / 50);
     EXPECT_LT(options.owed_stray_after, bounds.reclaim);
     EXPECT_LT(options.owed_patience, bounds.reclaim);
     EXPECT_GT(options.reservation_limit, bounds.stop);
-    JobApiOptions front;
-    ApplyBounds(bounds, &front);
-    EXPECT_LT(front.key_limit, bounds.key_withdrawn);
-    EXPECT_LT(front.view_limit, bounds.visible);
+    JobApiOptions api;
+    ApplyBounds(bounds, &api);
+    EXPECT_LT(api.key_age_limit, bounds.key_withdrawn);
+    EXPECT_LT(api.view_age_limit, bounds.visible);
   }
 }
 
-// Room that others use must be theirs who are owed it within the bound: what is waited for first,
-// a stop and a start have to fit.
-TEST(PoolBounds, LeaveTimeToReclaimWhereItCanBeDone) {
-  BoundsDraw draw(2);
-  for (int i = 0; i < kDraws; ++i) {
-    const PoolBounds bounds = draw.Next();
+// Guaranteed room must be reclaimed within the bound: the initial wait, a stop and a start have to
+// fit.
+TEST(PoolBounds, LimitsLeaveTimeToReclaimWhereAttainable) {
+  BoundsGenerator generator(2);
+  for (int i = 0; i < kRounds; ++i) {
+    const PoolBounds bounds = generator.Next();
     const PlannerOptions options = PlannerOptionsFor(bounds);
     const Duration stop_and_start = bounds.stop + milliseconds(200);
     if (!UnattainableBounds(bounds).empty()) {
@@ -80,9 +80,9 @@
   }
 }
 
-// A deployment whose bounds leave no time to work with is told so at the start. An entry that
-// started all the same would take jobs in and never begin one.
-TEST(PoolBounds, RefuseWhatLeavesNoTime) {
+// Bounds that leave too little time are rejected at start-up. An entry that ran with them would
+// accept jobs and never start one.
+TEST(PoolBounds, RejectsBoundsThatLeaveTooLittleTime) {
   PoolBounds bounds;
   bounds.cancel = milliseconds(600);
   EXPECT_THROW(PlannerOptionsFor(bounds), Error);
@@ -94,11 +94,11 @@
   EXPECT_THROW(PlannerOptionsFor(bounds), Error);
   bounds = PoolBounds();
   bounds.key_withdrawn = milliseconds(1000);
-  JobApiOptions front;
-  EXPECT_THROW(ApplyBounds(bounds, &front), Error);
+  JobApiOptions api;
+  EXPECT_THROW(ApplyBounds(bounds, &api), Error);
 }
 
-TEST(PoolBounds, TellOfAGuaranteeThatComesTooLate) {
+TEST(PoolBounds, ReportsAnUnattainableReclaimBound) {
   PoolBounds bounds;
   EXPECT_TRUE(UnattainableBounds(bounds).empty());
   bounds.reclaim = bounds.stop;
--- a/servers/requests/outlier_detector_test.cc
+++ b/servers/requests/outlier_detector_test.cc
@@ -1,6 +1,7 @@
+#include "servers/requests/outlier_detector.h"
+
 #include <gtest/gtest.h>
 
-#include "servers/requests/outlier_detector.h"
 #include "servers/requests/retry_budget.h"
 
 namespace turmericshift {
@@ -18,46 +19,47 @@
   return targets;
 }
 
-void Feed(TargetJudge* judge, const std::string& agent, Duration latency, bool well, Time now) {
-  for (int sample = 0; sample < 10; ++sample) judge->Observe(agent, latency, well, now);
+void Feed(OutlierDetector* detector, const std::string& agent, Duration latency, bool success,
+          Time now) {
+  for (int sample = 0; sample < 10; ++sample) detector->Observe(agent, latency, success, now);
 }
 
-// A target that fails everything at once always looks idle and attracts every request.
-TEST(TargetJudgeTest, AFailingTargetIsOutThenProbedThenBack) {
-  TargetJudge judge;
+// A target that fails every request immediately always looks idle and attracts all requests.
+TEST(OutlierDetectorTest, EjectsFailingTargetAndReadmitsItAfterProbe) {
+  OutlierDetector detector;
   const Time now = Time{} + std::chrono::hours(1);
-  Feed(&judge, "t1", kFast, false, now);
-  EXPECT_EQ(judge.Filter(Targets(3), now).size(), 2U);
-  EXPECT_FALSE(judge.Probe(Targets(3), now));
+  Feed(&detector, "t1", kFast, false, now);
+  EXPECT_EQ(detector.Filter(Targets(3), now).size(), 2U);
+  EXPECT_FALSE(detector.Probe(Targets(3), now));
   const Time later = now + std::chrono::seconds(2);
-  EXPECT_EQ(judge.Probe(Targets(3), later), 1U);
-  EXPECT_FALSE(judge.Probe(Targets(3), later)) << "one probe at a time";
-  judge.Observe("t1", kFast, true, later);
-  EXPECT_EQ(judge.Filter(Targets(3), later).size(), 3U);
+  EXPECT_EQ(detector.Probe(Targets(3), later), 1U);
+  EXPECT_FALSE(detector.Probe(Targets(3), later)) << "only one probe per interval";
+  detector.Observe("t1", kFast, true, later);
+  EXPECT_EQ(detector.Filter(Targets(3), later).size(), 3U);
 }
 
-TEST(TargetJudgeTest, ASlowTargetIsOutWhileItsProbesAreSlow) {
-  TargetJudge judge;
+TEST(OutlierDetectorTest, EjectsSlowTargetUntilProbeIsFast) {
+  OutlierDetector detector;
   const Time now = Time{} + std::chrono::hours(1);
-  for (const char* agent : {"t0", "t2", "t3"}) Feed(&judge, agent, kFast, true, now);
-  Feed(&judge, "t1", kFast * 10, true, now);
-  EXPECT_EQ(judge.Filter(Targets(4), now).size(), 3U);
-  judge.Observe("t1", kFast * 10, true, now);
-  EXPECT_EQ(judge.Filter(Targets(4), now).size(), 3U);
-  judge.Observe("t1", kFast, true, now);
-  EXPECT_EQ(judge.Filter(Targets(4), now).size(), 4U);
+  for (const char* agent : {"t0", "t2", "t3"}) Feed(&detector, agent, kFast, true, now);
+  Feed(&detector, "t1", kFast * 10, true, now);
+  EXPECT_EQ(detector.Filter(Targets(4), now).size(), 3U);
+  detector.Observe("t1", kFast * 10, true, now);
+  EXPECT_EQ(detector.Filter(Targets(4), now).size(), 3U);
+  detector.Observe("t1", kFast, true, now);
+  EXPECT_EQ(detector.Filter(Targets(4), now).size(), 4U);
 }
 
-// A fault of the entry's own network makes every target look bad. The cap keeps most in use.
-TEST(TargetJudgeTest, AtMostAThirdIsOut) {
-  TargetJudge judge;
+// A fault in the entry's own network makes every target look faulty; most must stay in use.
+TEST(OutlierDetectorTest, EjectsAtMostOneThird) {
+  OutlierDetector detector;
   const Time now = Time{} + std::chrono::hours(1);
-  for (const TargetCandidate& target : Targets(6)) Feed(&judge, target.agent, kFast, false, now);
-  EXPECT_EQ(judge.Filter(Targets(6), now).size(), 4U);
-  EXPECT_EQ(judge.Filter(Targets(1), now).size(), 1U);
+  for (const TargetCandidate& target : Targets(6)) Feed(&detector, target.agent, kFast, false, now);
+  EXPECT_EQ(detector.Filter(Targets(6), now).size(), 4U);
+  EXPECT_EQ(detector.Filter(Targets(1), now).size(), 1U);
 }
 
-TEST(RetryBudgetTest, RetriesAreAShareOfFirstSendings) {
+TEST(RetryBudgetTest, LimitsRetriesToFractionOfFirstAttempts) {
   RetryBudget budget({0.1, 1});
   EXPECT_TRUE(budget.Spend());
   EXPECT_FALSE(budget.Spend());
