--- a/modules/placement/run_time_estimator.h
+++ b/modules/placement/run_time_estimator.h
@@ -1,5 +1,5 @@
 // Estimates run times from the observed ones, because declared run times are often far off.
-// Estimates only affect the order of jobs; no guarantee depends on them.
+// Estimates only guide scheduling; no guarantee depends on them.
 #pragma once
 
 #include <map>
