--- a/modules/placement/cell_policy.cc
+++ b/modules/placement/cell_policy.cc
@@ -319,11 +319,10 @@
     const WaitingJob& job = *candidate.job;
     const double waited = Seconds(now_ - job.accepted);
     if (drain_seconds_.empty()) ComputeDrainTimes();
-    const auto existing = reservations_.find(job.id);
+    const auto found = reservations_.find(job.id);
     std::vector<int> workers;
-    if (existing != reservations_.end()) {
-      for (const std::string& name : existing->second)
-        workers.push_back(room_.WorkerIndex({0, name}));
+    if (found != reservations_.end()) {
+      for (const std::string& name : found->second) workers.push_back(room_.WorkerIndex({0, name}));
     } else {
       if (reservations_.size() >= kMaxReservations) return;
       if (!job.spec.urgent && waited < kReserveWorkersAfterSeconds) return;
--- a/servers/replay/replay_step.cc
+++ b/servers/replay/replay_step.cc
@@ -214,8 +214,8 @@
 void Replayer::UpdateClaims(const std::string& name, Zone* zone) {
   const ZoneView& view = zone->planner->view();
   std::set<std::string> covered;
-  // If a worker is down, the zone may be unable to meet all its guarantees, so no claim is
-  // recorded.
+  // If a worker is down or fails everything, the zone may be unable to meet all its guarantees, so
+  // no claim is recorded.
   if (AllWorkersUp(name)) {
     for (const auto& [workspace, spec] : view.environment->workspaces) {
       covered.merge(CoveredJobs(view, workspace, view.split->Share(name, workspace).cells));
