--- a/servers/pool/job_appraiser.cc
+++ b/servers/pool/job_appraiser.cc
@@ -45,7 +45,7 @@
 
 Duration JobAppraiser::ExpectedTime(const JobSpec& spec, const StepSpec& step) const {
   if (!Uses(Mechanism::kLearnedTimes)) return step.estimate;
-  return run_times_.Expect(spec.queue, step.estimate);
+  return run_times_.ExpectedTime(spec.queue, step.estimate);
 }
 
 JobTiming JobAppraiser::TimingOf(const JobSpec& spec, const QueueTerms& terms,
@@ -57,7 +57,7 @@
   timing.chain = FairChain(spec, terms.service);
   timing.stretch = terms.stretch;
   timing.target = terms.target_latency;
-  if (Uses(Mechanism::kLikelihood)) timing.spread = run_times_.SpreadOf(spec.queue);
+  if (Uses(Mechanism::kOnTimeProbability)) timing.spread = run_times_.SpreadOf(spec.queue);
   return timing;
 }
 
@@ -80,7 +80,7 @@
   const auto found = capacity_.find(service);
   const Room whole = found == capacity_.end() ? Room() : found->second;
   return LongestChain(spec, [&](const StepSpec& step) {
-    return ExpectedTime(spec, step) * (Uses(Mechanism::kWideInGoes) ? WavesOf(step, whole) : 1);
+    return ExpectedTime(spec, step) * (Uses(Mechanism::kWideInWaves) ? WavesOf(step, whole) : 1);
   });
 }
 
--- a/servers/pool/job_appraiser.h
+++ b/servers/pool/job_appraiser.h
@@ -16,7 +16,7 @@
 
 class JobAppraiser {
  public:
-  explicit JobAppraiser(const MechanismsOff& off) : off_(off) {}
+  explicit JobAppraiser(const DisabledMechanisms& off) : off_(off) {}
 
   // A task of the queue that was estimated to take `estimate` took `actual`, undisturbed.
   void NoteRun(const std::string& queue, Duration estimate, Duration actual);
@@ -48,7 +48,7 @@
   // expect: no step has more than a share of the pool at once.
   Duration FairChain(const JobSpec& spec, const std::string& service) const;
 
-  const MechanismsOff off_;
+  const DisabledMechanisms off_;
   RunTimes run_times_;
   std::map<std::string, Room> capacity_;
   // By queue, in core-seconds.
--- a/servers/pool/job_appraiser_test.cc
+++ b/servers/pool/job_appraiser_test.cc
@@ -28,7 +28,7 @@
   return terms;
 }
 
-JobAppraiser OfAPool(const MechanismsOff& off) {
+JobAppraiser OfAPool(const DisabledMechanisms& off) {
   JobAppraiser appraiser(off);
   appraiser.SetCapacity({{"plans", {640'000, 1'310'720, 80}}});
   return appraiser;
@@ -47,7 +47,7 @@
   JobSpec gang = OneStep(16, 8);
   gang.steps[0].gang = true;
   EXPECT_EQ(ChainOf(appraiser, gang), seconds(2));
-  EXPECT_EQ(ChainOf(OfAPool({Mechanism::kWideInGoes}), OneStep(16, 8)), seconds(2));
+  EXPECT_EQ(ChainOf(OfAPool({Mechanism::kWideInWaves}), OneStep(16, 8)), seconds(2));
 }
 
 TEST(JobAppraiser, CountsWhatHasGoneBy) {
--- a/servers/pool/job_intake.cc
+++ b/servers/pool/job_intake.cc
@@ -17,7 +17,7 @@
 
 void JobIntake::Submit(const JobSpec& spec, std::optional<Time> append_sent, PoolPlanner* planner,
                        OnDone done, Time now, Replies* replies) {
-  const bool joins = planner->Knows(spec.id);
+  const bool joins = planner->HasJob(spec.id);
   if (!joins && Stuck(append_sent, now)) {
     replies->push_back(Failed(std::move(done), StoreAway()));
     return;
@@ -39,7 +39,8 @@
   if (!result.known) {
     // Without the store a successor may have taken the job in unheard of.
     const Error unknown(ErrorKind::kNotFound, Outcome::kNotRun, "no such job");
-    replies->push_back(Failed(std::move(done), planner->Confirmed(now) ? unknown : StoreAway()));
+    replies->push_back(
+        Failed(std::move(done), planner->LeadershipConfirmed(now) ? unknown : StoreAway()));
     return;
   }
   waiters_.push_back({"", result.ticket, now, std::move(done)});
--- a/servers/pool/job_intake_test.cc
+++ b/servers/pool/job_intake_test.cc
@@ -86,7 +86,7 @@
   void NewPlanner() {
     planner_ = std::make_unique<PoolPlanner>(PlannerOptions(), ++epoch_, book_,
                                              std::set<std::string>(), now_);
-    planner_->Confirm(now_);
+    planner_->ConfirmLeadership(now_);
     on_way_.clear();
     sent_.reset();
   }
@@ -109,11 +109,11 @@
     if (sent_ && store_up_) Land();
     if (sent_ && store_up_ && !answers_lost_) {
       planner_->outbox().Kept();
-      planner_->Confirm(now_);
+      planner_->ConfirmLeadership(now_);
       last_write_ = *sent_;
       sent_.reset();
     }
-    planner_->NoteKept();
+    planner_->NoteDurable();
     planner_->Plan(1, now_);
     Replies replies;
     intake_.Answer(sent_, planner_.get(), now_, &replies);
--- a/servers/pool/mechanism.h
+++ b/servers/pool/mechanism.h
@@ -1,5 +1,6 @@
-// Mechanisms of the policy that can be left out, each by a name in the settings. What one of them
-// is worth is seen by leaving it out; guards that keep promises are not among them.
+// Mechanisms of the scheduling policy that can be disabled, each by a name in the settings, so that
+// their benefit can be measured by leaving them out. Safeguards that guarantees depend on are not
+// among them.
 #pragma once
 
 #include <set>
@@ -9,42 +10,43 @@
 namespace turmericshift::pool {
 
 enum class Mechanism {
-  // Times of a queue are learned from its runs.
+  // Run times are learned from the queue's past runs.
   kLearnedTimes,
-  // Wide steps have the time of several goes.
-  kWideInGoes,
-  // Being in time is a likelihood rather than a yes or no.
-  kLikelihood,
-  // A late job goes first before it is of no use.
-  kLastCall,
-  // Workers are kept for gangs and wide tasks that wait.
-  kHoldRoom,
-  // Room is kept free for urgent jobs to come.
+  // Steps wider than the pool are given the time of several waves.
+  kWideInWaves,
+  // The outcome of a job is a probability of being on time rather than a yes or no.
+  kOnTimeProbability,
+  // A job past its due time goes first shortly before it becomes worthless.
+  kExpiringJobsFirst,
+  // Workers are reserved for waiting gangs and wide tasks (backfilling).
+  kBackfilling,
+  // Room is kept free for future urgent jobs.
   kUrgentReserve,
-  // Single tasks keep to workers with tasks of their like.
-  kLikeWithLike,
-  // Gangs over several racks where that ends sooner by the forecast.
-  kStrayByForecast,
-  // Who makes way is chosen also by what its own job loses.
-  kLossOfStopped,
-  // What was interrupted before is dearer to interrupt again.
-  kRepeatPrice,
-  // Room that comes free soon is waited for also by those to whom it is owed.
-  kOwedPatience,
-  // Others make way for jobs beyond their workspace's guarantee.
-  kBorrowedRoom,
-  // Workers that fail what they are given are set aside.
-  kWorkerJudge,
-  // Workers whose runs stand still get nothing new.
-  kStandstill,
-  // A job's last try waits for a worker that has not failed lately.
-  kLastTry,
+  // Single tasks are placed on workers with similar tasks.
+  kGroupSimilarTasks,
+  // Gangs are spread over several racks where the forecast says that this ends sooner.
+  kOffRackByForecast,
+  // Victims are chosen also by the value that their own jobs lose.
+  kVictimLoss,
+  // Preempting a step again costs more than the first time.
+  kRepeatPreemptionCost,
+  // Room that comes free soon is waited for instead of preempting others, even where a guarantee
+  // applies.
+  kWaitForGuaranteedRoom,
+  // Runs are preempted also for jobs beyond their workspace's guarantee.
+  kPreemptForBorrowedRoom,
+  // Workers that fail their tasks are excluded for a while.
+  kExcludeFailingWorkers,
+  // Workers whose runs have stalled get no new tasks.
+  kExcludeStalledWorkers,
+  // A job's last attempt waits for a worker that has not failed recently.
+  kProtectLastAttempt,
 };
-// Throws Error(kInvalidInput) that lists the names there are.
+// Throws Error(kInvalidInput) with the list of known names if the name is unknown.
 Mechanism MechanismFromName(const std::string& name);
 
-// Which are left out.
-using MechanismsOff = std::set<Mechanism>;
-MechanismsOff MechanismsFromNames(const std::vector<std::string>& names);
+// Mechanisms that are disabled.
+using DisabledMechanisms = std::set<Mechanism>;
+DisabledMechanisms MechanismsFromNames(const std::vector<std::string>& names);
 
 }  // namespace turmericshift::pool
--- a/servers/pool/placer.cc
+++ b/servers/pool/placer.cc
@@ -15,19 +15,19 @@
   return need <= 0 ? std::numeric_limits<int>::max() : std::max<int64_t>(room, 0) / need;
 }
 
-// Workers that a single task had better go to come first: those of its like.
-int LikenessRank(const StepSpec& step, Tenants tenants) {
-  if (tenants == Tenants::kNone) return 1;
-  return (tenants == Tenants::kSaved) == step.checkpoints ? 0 : 2;
+// Order of workers for a single task: similar tasks first, then empty workers, then the rest.
+int SimilarityRank(const StepSpec& step, Occupancy occupancy) {
+  if (occupancy == Occupancy::kNone) return 1;
+  return (occupancy == Occupancy::kResumable) == step.checkpoints ? 0 : 2;
 }
 
-// Sound workers first, and of those the ones with least left. Single tasks keep to their like:
-// those that can be stopped without loss share workers, so that these can be cleared for a gang at
-// little cost, and the others go where clearing is dear already.
+// Healthy workers come first, and among them those with the least room left. Single tasks are
+// grouped with similar ones: resumable tasks share workers, which can then be cleared for a gang at
+// little cost, and tasks that cannot be resumed go where clearing is expensive already.
 bool ComesFirst(const StepSpec& step, const WorkerRoom* left, const WorkerRoom* right) {
   if (left->doubtful != right->doubtful) return !left->doubtful;
-  const int left_rank = step.gang ? 0 : LikenessRank(step, left->tenants);
-  const int right_rank = step.gang ? 0 : LikenessRank(step, right->tenants);
+  const int left_rank = step.gang ? 0 : SimilarityRank(step, left->occupancy);
+  const int right_rank = step.gang ? 0 : SimilarityRank(step, right->occupancy);
   if (left_rank != right_rank) return left_rank < right_rank;
   if (left->free.accelerators != right->free.accelerators) {
     return left->free.accelerators < right->free.accelerators;
@@ -38,7 +38,8 @@
   return left->node < right->node;
 }
 
-// Fills the group's workers one after the other; shorter than `tasks` when room runs out.
+// Fills the group's workers one after the other. The placement is shorter than `tasks` if room runs
+// out.
 Placement Fill(Group group, const StepSpec& step, int tasks) {
   std::sort(group.begin(), group.end(), [&](const WorkerRoom* left, const WorkerRoom* right) {
     return ComesFirst(step, left, right);
@@ -46,7 +47,7 @@
   Placement placement;
   for (const WorkerRoom* worker : group) {
     const int wanted = tasks - static_cast<int>(placement.size());
-    const int fits = FitCount(worker->free, step.need, std::min(wanted, worker->most_tasks));
+    const int fits = FitCount(worker->free, step.need, std::min(wanted, worker->max_tasks));
     placement.insert(placement.end(), static_cast<size_t>(fits), std::string(worker->node));
   }
   return placement;
@@ -71,15 +72,15 @@
   });
 }
 
-Placement PlaceGangInRack(const PlaceWish& wish, const std::vector<WorkerRoom>& workers) {
+Placement PlaceGangInRack(const PlacementRequest& request, const std::vector<WorkerRoom>& workers) {
   Placement best;
-  // Lower comes first: unsound workers, another rack than the data's, accelerators left over.
+  // The lowest rank wins: no doubtful workers, the data's own rack, fewest free accelerators.
   std::tuple<bool, bool, int64_t> best_rank;
   for (const auto& [rack, group] : ByRack(workers)) {
-    Placement placement = Fill(group, *wish.step, wish.tasks);
-    if (static_cast<int>(placement.size()) < wish.tasks) continue;
-    const bool elsewhere = !wish.step->data_rack.empty() && rack != wish.step->data_rack;
-    if (elsewhere && !wish.may_stray) continue;
+    Placement placement = Fill(group, *request.step, request.tasks);
+    if (static_cast<int>(placement.size()) < request.tasks) continue;
+    const bool elsewhere = !request.step->data_rack.empty() && rack != request.step->data_rack;
+    if (elsewhere && !request.allow_off_rack) continue;
     const std::tuple<bool, bool, int64_t> rank = {HasDoubtful(group, placement), elsewhere,
                                                   FreeAccelerators(group)};
     if (!best.empty() && rank >= best_rank) continue;
@@ -95,48 +96,48 @@
   return group;
 }
 
-Placement PlaceGang(const PlaceWish& wish, const std::vector<WorkerRoom>& workers) {
-  Placement placement = PlaceGangInRack(wish, workers);
+Placement PlaceGang(const PlacementRequest& request, const std::vector<WorkerRoom>& workers) {
+  Placement placement = PlaceGangInRack(request, workers);
   if (!placement.empty()) return placement;
-  const bool bound_to_rack = wish.step->one_rack || !wish.step->data_rack.empty();
-  if (bound_to_rack && !wish.may_stray) return {};
-  placement = Fill(All(workers), *wish.step, wish.tasks);
-  if (static_cast<int>(placement.size()) < wish.tasks) return {};
+  const bool needs_rack = request.step->one_rack || !request.step->data_rack.empty();
+  if (needs_rack && !request.allow_off_rack) return {};
+  placement = Fill(All(workers), *request.step, request.tasks);
+  if (static_cast<int>(placement.size()) < request.tasks) return {};
   return placement;
 }
 
-Placement PlaceSingles(const PlaceWish& wish, const std::vector<WorkerRoom>& workers) {
-  if (wish.step->data_rack.empty()) return Fill(All(workers), *wish.step, wish.tasks);
-  Group near;
-  Group far;
+Placement PlaceSingles(const PlacementRequest& request, const std::vector<WorkerRoom>& workers) {
+  if (request.step->data_rack.empty()) return Fill(All(workers), *request.step, request.tasks);
+  Group in_data_rack;
+  Group off_rack;
   for (const WorkerRoom& worker : workers) {
-    (worker.rack == wish.step->data_rack ? near : far).push_back(&worker);
+    (worker.rack == request.step->data_rack ? in_data_rack : off_rack).push_back(&worker);
   }
-  Placement placement = Fill(near, *wish.step, wish.tasks);
-  if (!wish.may_stray) return placement;
-  const int rest = wish.tasks - static_cast<int>(placement.size());
-  const Placement strayed = Fill(far, *wish.step, rest);
-  placement.insert(placement.end(), strayed.begin(), strayed.end());
+  Placement placement = Fill(in_data_rack, *request.step, request.tasks);
+  if (!request.allow_off_rack) return placement;
+  const int rest = request.tasks - static_cast<int>(placement.size());
+  const Placement placed_off_rack = Fill(off_rack, *request.step, rest);
+  placement.insert(placement.end(), placed_off_rack.begin(), placed_off_rack.end());
   return placement;
 }
 
 }  // namespace
 
-int FitCount(const Room& room, const Room& need, int most) {
+int FitCount(const Room& room, const Room& need, int max_tasks) {
   const int64_t fits = std::min({FitInto(room.processor_millis, need.processor_millis),
                                  FitInto(room.memory_mib, need.memory_mib),
                                  FitInto(room.accelerators, need.accelerators)});
-  return static_cast<int>(std::clamp<int64_t>(fits, 0, std::max(most, 0)));
+  return static_cast<int>(std::clamp<int64_t>(fits, 0, std::max(max_tasks, 0)));
 }
 
-Placement Place(const PlaceWish& wish, const std::vector<WorkerRoom>& workers) {
-  return wish.step->gang ? PlaceGang(wish, workers) : PlaceSingles(wish, workers);
+Placement Place(const PlacementRequest& request, const std::vector<WorkerRoom>& workers) {
+  return request.step->gang ? PlaceGang(request, workers) : PlaceSingles(request, workers);
 }
 
-bool FitsOneRack(const PlaceWish& wish, const std::vector<WorkerRoom>& empty_workers) {
-  PlaceWish strict = wish;
-  strict.may_stray = false;
-  if (wish.step->gang) return !PlaceGangInRack(strict, empty_workers).empty();
+bool FitsOneRack(const PlacementRequest& request, const std::vector<WorkerRoom>& empty_workers) {
+  PlacementRequest strict = request;
+  strict.allow_off_rack = false;
+  if (request.step->gang) return !PlaceGangInRack(strict, empty_workers).empty();
   return !PlaceSingles(strict, empty_workers).empty();
 }
 
--- a/servers/pool/placer.h
+++ b/servers/pool/placer.h
@@ -1,6 +1,6 @@
-// Chooses workers for a step's tasks. Answers two load patterns: gangs that want one rack amid many
-// small tasks, and bursts of urgent gangs. Small tasks go where least accelerators are left, so
-// that whole workers and racks stay free for gangs.
+// Chooses workers for a step's tasks. Designed for two load patterns: gangs that want one rack amid
+// many small tasks, and bursts of urgent gangs. Small tasks go to the workers with the fewest free
+// accelerators, so that whole workers and racks stay free for gangs.
 #pragma once
 
 #include <functional>
@@ -13,47 +13,48 @@
 
 namespace turmericshift::pool {
 
-// What runs on a worker, as far as clearing it for a gang goes.
-enum class Tenants {
+// What runs on a worker, with regard to clearing it for a gang.
+enum class Occupancy {
   kNone,
-  // All of it can be stopped and go on later from where it was.
-  kSaved,
-  // Stopping some of it throws work away.
-  kUnsaved,
+  // All runs can be stopped and resumed later from a checkpoint.
+  kResumable,
+  // Stopping at least one of the runs loses its work.
+  kNotResumable,
 };
 
-// A worker as a candidate: only those that may run the step at all are offered.
+// A candidate worker for a step. Only workers that may run the step are passed in.
 struct WorkerRoom {
-  // Names that the caller keeps: candidates are made anew for every step that waits.
+  // Owned by the caller, because candidates are rebuilt for every waiting step.
   std::string_view node;
   std::string_view rack;
   Room free;
-  // How many tasks of this step it may take besides room; from the limit per worker.
-  int most_tasks = 0;
-  Tenants tenants = Tenants::kNone;
-  // Set for workers that look slow or unwell; they come last.
+  // How many tasks of the step the worker may take, whatever room it has, by the step's limit per
+  // worker.
+  int max_tasks = 0;
+  Occupancy occupancy = Occupancy::kNone;
+  // The worker seems slow or unhealthy and is chosen last.
   bool doubtful = false;
 };
 
-struct PlaceWish {
+struct PlacementRequest {
   const StepSpec* step = nullptr;
-  // Tasks to place; all or none for a gang, as many as fit otherwise.
+  // Number of tasks to place: all or none for a gang, as many as fit otherwise.
   int tasks = 1;
-  // A gang that wants one rack, or a task that wants its data's rack, may go elsewhere.
-  bool may_stray = false;
+  // Allows placement of a one-rack gang over several racks, and of tasks outside their data's rack.
+  bool allow_off_rack = false;
 };
 
-// One node for each task placed, in the order of the tasks.
+// The node of each placed task, in the order of the tasks.
 using Placement = std::vector<std::string>;
 
-// Empty when nothing fits.
-Placement Place(const PlaceWish& wish, const std::vector<WorkerRoom>& workers);
+// Returns an empty placement if nothing fits.
+Placement Place(const PlacementRequest& request, const std::vector<WorkerRoom>& workers);
 
-// How many tasks of `need` fit into `room`, at most `most`.
-int FitCount(const Room& room, const Room& need, int most);
+// How many tasks of `need` fit into `room`, at most `max_tasks`.
+int FitCount(const Room& room, const Room& need, int max_tasks);
 
-// Whether the wish fits without straying once all workers, given with their whole capacity, are
-// free.
-bool FitsOneRack(const PlaceWish& wish, const std::vector<WorkerRoom>& empty_workers);
+// Whether the request fits without off-rack placement once all workers are empty. `empty_workers`
+// have their whole capacity free.
+bool FitsOneRack(const PlacementRequest& request, const std::vector<WorkerRoom>& empty_workers);
 
 }  // namespace turmericshift::pool
--- a/servers/pool/planner_service.cc
+++ b/servers/pool/planner_service.cc
@@ -59,7 +59,7 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     planner_ =
         std::make_unique<PoolPlanner>(options_.planner, epoch, book, agents, LeaseClock().Now());
-    planner_->Confirm(asked);
+    planner_->ConfirmLeadership(asked);
     epoch_gauge_.Set(static_cast<double>(epoch));
     sequence_ = sequence;
     releasing_ = false;
@@ -170,9 +170,10 @@
     } else if (!planner_) {
       replies.push_back(Failed(std::move(done), NotPlanning()));
     } else {
-      const int64_t news = planner_->news();
-      planner_->TakeReport(report, LeaseClock().WallMillis(), now);
-      to_plan = planner_->changed() || planner_->news() != news || !planner_->outbox().empty();
+      const int64_t orders_version = planner_->orders_version();
+      planner_->ApplyReport(report, LeaseClock().WallMillis(), now);
+      to_plan = planner_->needs_planning() || planner_->orders_version() != orders_version ||
+                !planner_->outbox().empty();
       const auto earlier = polls_.find(report.node);
       if (earlier != polls_.end() && report.wait > Duration::zero()) {
         // The agent has given that poll up; its connection may be gone.
@@ -180,11 +181,11 @@
             Succeeded(std::move(earlier->second.done), planner_->Orders(report.node, now)));
         polls_.erase(earlier);
       }
-      if (report.wait > Duration::zero() && !planner_->HasNews(report.node)) {
+      if (report.wait > Duration::zero() && !planner_->HasPendingOrders(report.node)) {
         polls_[report.node] = {std::move(done), now + report.wait};
       } else {
         replies.push_back(Succeeded(std::move(done), planner_->Orders(report.node, now)));
-        if (report.wait > Duration::zero()) planner_->NoteAnswered(report.node, now);
+        if (report.wait > Duration::zero()) planner_->NotePollAnswered(report.node, now);
       }
       dirty_ = dirty_ || to_plan;
     }
@@ -280,12 +281,12 @@
 
 void PlannerService::AnswerPolls(Time now, Replies* replies) {
   for (auto poll = polls_.begin(); poll != polls_.end();) {
-    if (!planner_->HasNews(poll->first) && now < poll->second.until) {
+    if (!planner_->HasPendingOrders(poll->first) && now < poll->second.until) {
       ++poll;
       continue;
     }
     replies->push_back(Succeeded(std::move(poll->second.done), planner_->Orders(poll->first, now)));
-    planner_->NoteAnswered(poll->first, now);
+    planner_->NotePollAnswered(poll->first, now);
     poll = polls_.erase(poll);
   }
 }
@@ -304,12 +305,12 @@
       begun = now;
       const Freshness read = operators_->freshness();
       if (read.asked) planner_->SetOperatorState(operators_->state(), *read.asked);
-      planner_->NoteKept();
+      planner_->NoteDurable();
       planner_->Plan(LeaseClock().WallMillis(), now);
       AnswerPolls(now, &replies);
       intake_.Answer(writing_since_, planner_.get(), now, &replies);
       jobs_.Set(static_cast<double>(planner_->job_count()));
-      late_seconds_.Set(Seconds(planner_->late()));
+      late_seconds_.Set(Seconds(planner_->lag()));
       if (!planner_->outbox().empty()) to_write_.notify_all();
       to_ask_.notify_all();
     }
@@ -370,7 +371,7 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     if (!planner_ || planner_->epoch() != epoch) return true;
     planner_->outbox().Kept();
-    planner_->Confirm(asked);
+    planner_->ConfirmLeadership(asked);
     writing_since_.reset();
     last_write_ = asked;
     dirty_ = true;
--- a/servers/pool/pool_bounds.cc
+++ b/servers/pool/pool_bounds.cc
@@ -72,26 +72,27 @@
   const Duration zone_out = bounds.zone_out - kStartReserve;
   options.start_window =
       std::min(kLongestStartWindow, Scaled(std::min(cancel, zone_out), kStartWindowShare));
-  options.confirm_limit =
+  options.confirm_age_limit =
       NotBelow("the bound on cancelled jobs",
                std::min(kLongestConfirmLimit, cancel - options.start_window), kLeastLimit);
-  options.document_limit =
+  options.document_age_limit =
       NotBelow("the bound on zones that are out",
                std::min(kLongestDocumentLimit, zone_out - options.start_window), kLeastLimit);
-  options.gang_start_limit =
+  options.gang_start_timeout =
       NotBelow("the time that members of a gang wait",
                std::min(kLongestGangStart, bounds.gang_wait - bounds.stop - kStopOrderReserve),
                kLeastGangStart);
-  options.longest_gang_start =
-      std::max(options.gang_start_limit, bounds.gang_wait - bounds.stop - kStopOrderReserve);
+  options.max_gang_start_timeout =
+      std::max(options.gang_start_timeout, bounds.gang_wait - bounds.stop - kStopOrderReserve);
   const Duration spare = bounds.reclaim - bounds.stop - kStart;
-  options.owed_stray_after = std::max(Duration::zero(), spare - kWeighAgain - kSecondTry);
-  options.owed_patience = std::max(Duration::zero(), spare - kWeighAgain - kForecastError - kStart);
+  options.guaranteed_off_rack_delay = std::max(Duration::zero(), spare - kWeighAgain - kSecondTry);
+  options.guaranteed_wait_limit =
+      std::max(Duration::zero(), spare - kWeighAgain - kForecastError - kStart);
   options.stop = bounds.stop;
   options.reservation_limit = bounds.stop + kReservationReserve;
   options.restore = bounds.restore;
-  options.status_limit = bounds.status_kept + kStatusReserve;
-  options.stray_factor = bounds.stray_factor;
+  options.ended_job_retention = bounds.status_kept + kStatusReserve;
+  options.off_rack_slowdown = bounds.off_rack_slowdown;
   return options;
 }
 
--- a/servers/pool/pool_bounds.h
+++ b/servers/pool/pool_bounds.h
@@ -35,7 +35,7 @@
   // Ended jobs can be asked for at least so long.
   Duration status_kept = std::chrono::seconds(120);
   // Tasks away from their data, and gangs torn over racks, take so many times as long.
-  double stray_factor = 3;
+  double off_rack_slowdown = 3;
 };
 
 // Limits within the bounds. Throw Error(kInvalidInput) when a bound leaves too little to work with:
--- a/servers/pool/pool_load_test.cc
+++ b/servers/pool/pool_load_test.cc
@@ -1,4 +1,4 @@
-// Load patterns that a pool meets at its worst, replayed in passed-in time.
+// Worst-case load patterns of a pool, replayed in simulated time.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -17,13 +17,13 @@
   return step;
 }
 
-StepSpec Saving(StepSpec step) {
+StepSpec WithCheckpoints(StepSpec step) {
   step.checkpoints = true;
   return step;
 }
 
-// When the last of the job's tasks was begun, counted from `since`.
-Duration BegunAfter(const PoolBed& bed, const std::string& job, Time since) {
+// Time from `since` until the last of the job's tasks was started.
+Duration StartDelay(const PoolBed& bed, const std::string& job, Time since) {
   Duration after{};
   for (const BedRun& run : bed.RunsOf(job)) after = std::max(after, run.begun - since);
   return after;
@@ -35,8 +35,8 @@
                      [](const BedRun& run) { return run.over && run.how == EndKind::kStopped; });
 }
 
-// Small tasks of 2 to 5 s keep coming and fill every hole, so that no worker is ever empty by
-// chance. A gang of whole workers waits for as long as they come, and its caller gives up.
+// Small tasks of 2 to 5 s keep arriving and fill every gap, so that no worker is ever empty by
+// chance. A gang of whole workers would wait as long as they arrive.
 TEST(PoolLoad, StartsAGangOfWholeWorkersBesideAStreamOfSmallTasks) {
   PoolBed bed(BedRacks(2), BedOperators(0));
   bed.true_time = [](const TaskId& task) {
@@ -54,14 +54,13 @@
     bed.RunFor(milliseconds(280));
   }
   EXPECT_EQ(bed.StateOf("gang"), JobState::kCompleted);
-  EXPECT_LE(BegunAfter(bed, "gang", submitted), seconds(6));
+  EXPECT_LE(StartDelay(bed, "gang", submitted), seconds(6));
   EXPECT_EQ(bed.violations(), std::vector<std::string>());
 }
 
-// The same gang waits for its last worker, which is busy for 10 s more. Tasks that are over by then
-// may use the workers that are empty already; were those left idle, the pool would stand still for
-// one gang.
-TEST(PoolLoad, LetsTasksThatEndInTimeUseTheRoomThatAGangWaitsFor) {
+// A gang waits 10 s for its last worker. Tasks that end by that time may use the workers that are
+// empty already; otherwise the pool would be idle for the sake of one gang.
+TEST(PoolLoad, BackfillsRoomReservedForAGang) {
   PoolBed bed(BedRacks(1), BedOperators(0));
   bed.RunFor(milliseconds(100));
   bed.Submit(BedJob("long", "batch", "two", BedStep(1, 8, seconds(12))));
@@ -72,13 +71,14 @@
   bed.Submit(BedJob("short", "bulk", "two", BedStep(16, 1, seconds(3))));
   bed.Submit(BedJob("too-long", "bulk", "two", BedStep(16, 1, seconds(20))));
   ASSERT_TRUE(bed.RunUntil("gang", JobState::kCompleted, seconds(16)));
-  EXPECT_LE(BegunAfter(bed, "short", submitted), milliseconds(200));
+  EXPECT_LE(StartDelay(bed, "short", submitted), milliseconds(200));
   for (const BedRun& run : bed.RunsOf("too-long")) EXPECT_GT(run.begun - submitted, seconds(9));
 }
 
-// A gang wants one rack, and both are full for 3 s more but for a worker each. Over two racks it
-// takes three times its 4 s; begun at once it would be over after 12 s, and after 7 if it waits.
-TEST(PoolLoad, WaitsForARackRatherThanTakeThreeTimesAsLongOverTwo) {
+// A gang wants one rack, and both racks have only one free worker for the next 3 s. Spread over two
+// racks it takes three times its 4 s: started immediately it ends after 12 s, and after 7 s if it
+// waits.
+TEST(PoolLoad, WaitsForARackWhenSpreadingEndsLater) {
   PoolBed bed(BedRacks(2), BedOperators(0));
   bed.RunFor(milliseconds(100));
   for (const char* rack : {"r0", "r1"}) {
@@ -96,22 +96,21 @@
   EXPECT_EQ(racks.size(), 1U);
 }
 
-// An urgent gang meets a pool whose tasks end within the time that it can wait. Stopping them would
-// throw away what they have done and gain its caller nothing.
-TEST(PoolLoad, StopsNobodyForAnUrgentGangThatIsInTimeAnyway) {
+// An urgent gang meets a pool whose tasks end within the gang's slack. Preempting them would lose
+// their work without any gain.
+TEST(PoolLoad, PreemptsNothingForAnUrgentGangThatIsOnTimeAnyway) {
   PoolBed bed(BedRacks(1), BedOperators(0));
   bed.RunFor(milliseconds(100));
-  bed.Submit(BedJob("fills", "bulk", "two", Saving(BedStep(24, 1, seconds(5)))));
+  bed.Submit(BedJob("fills", "bulk", "two", WithCheckpoints(BedStep(24, 1, seconds(5)))));
   bed.RunFor(seconds(4));
   bed.Submit(BedJob("urgent", "urgent", "one", Gang(BedStep(2, 8, seconds(2)))));
   ASSERT_TRUE(bed.RunUntil("urgent", JobState::kCompleted, seconds(6)));
   EXPECT_FALSE(WasStopped(bed, "fills"));
 }
 
-// An urgent step is wider than its caller can expect the pool to give it at once, so that it has
-// time for several goes. Taken for one that has to run in one go it seems late at once, and the
-// work of the whole pool is thrown away for it.
-TEST(PoolLoad, StopsNobodyForAnUrgentStepThatHasTimeForSeveralGoes) {
+// An urgent step is too wide to run at one time, and has time for several waves. Judged as a single
+// wave, it would look past due and the work of the whole pool would be lost for it.
+TEST(PoolLoad, PreemptsNothingForAnUrgentStepWithTimeForSeveralWaves) {
   PoolBed bed(BedRacks(2), BedOperators(0));
   bed.RunFor(milliseconds(100));
   bed.Submit(BedJob("fills", "bulk", "two", BedStep(48, 1, seconds(4))));
@@ -121,10 +120,10 @@
   EXPECT_FALSE(WasStopped(bed, "fills"));
 }
 
-// Urgent jobs come from time to time, with about a second to spare, and batch work that has half a
-// minute to spare would fill the pool in between. The urgent caller would wait for a stop at best,
-// and what is stopped would be thrown away.
-TEST(PoolLoad, KeepsRoomForUrgentJobsWhileOthersCanWait) {
+// Urgent jobs with a slack of about one second arrive from time to time, and batch work with half a
+// minute of slack would fill the pool in between. Urgent jobs would then wait for preemption at
+// best, and the victims' work would be lost.
+TEST(PoolLoad, ReservesRoomForUrgentJobsWhileOthersCanWait) {
   PoolBed bed(BedRacks(2), BedOperators(0));
   bed.RunFor(milliseconds(100));
   bed.Submit(BedJob("seen", "urgent", "one", Gang(BedStep(2, 8, seconds(2)))));
@@ -134,15 +133,15 @@
   const Time submitted = bed.now();
   bed.Submit(BedJob("urgent", "urgent", "one", Gang(BedStep(2, 8, seconds(2)))));
   ASSERT_TRUE(bed.RunUntil("urgent", JobState::kCompleted, seconds(4)));
-  EXPECT_LE(BegunAfter(bed, "urgent", submitted), milliseconds(200));
+  EXPECT_LE(StartDelay(bed, "urgent", submitted), milliseconds(200));
   EXPECT_FALSE(WasStopped(bed, "batch"));
-  // The other tasks begin while they can still be in time.
+  // The remaining tasks begin while they can still be on time.
   EXPECT_TRUE(bed.RunUntil("batch", JobState::kCompleted, seconds(46)));
 }
 
-// A service of the customer's own runs until it is cancelled. Kept waiting for urgent jobs that may
-// come, it would be missed by its users for as long.
-TEST(PoolLoad, KeepsNoLastingTaskWaitingForUrgentJobs) {
+// A customer's service runs until it is cancelled. While it waited for possible urgent jobs, its
+// users would be without it.
+TEST(PoolLoad, DelaysNoLastingTaskForUrgentJobs) {
   PoolBed bed(BedRacks(2), BedOperators(0));
   bed.RunFor(milliseconds(100));
   bed.Submit(BedJob("seen", "urgent", "one", Gang(BedStep(2, 8, seconds(2)))));
@@ -153,36 +152,35 @@
   bed.Submit(BedJob("service", "bulk", "two", service));
   bed.RunFor(seconds(1));
   EXPECT_EQ(bed.RunsOf("service").size(), 48U);
-  EXPECT_LE(BegunAfter(bed, "service", submitted), milliseconds(200));
+  EXPECT_LE(StartDelay(bed, "service", submitted), milliseconds(200));
 }
 
-// Nobody has urgent work, so that room kept for it would only make others wait.
-TEST(PoolLoad, KeepsNoRoomWhereNoUrgentJobsCome) {
+// Without urgent work, reserved room would only make other jobs wait.
+TEST(PoolLoad, ReservesNoRoomWithoutUrgentJobs) {
   PoolBed bed(BedRacks(2), BedOperators(0));
   bed.RunFor(milliseconds(100));
   const Time submitted = bed.now();
   bed.Submit(BedJob("batch", "bulk", "two", BedStep(48, 1, seconds(15))));
   bed.RunFor(seconds(1));
   EXPECT_EQ(bed.RunsOf("batch").size(), 48U);
-  EXPECT_LE(BegunAfter(bed, "batch", submitted), milliseconds(200));
+  EXPECT_LE(StartDelay(bed, "batch", submitted), milliseconds(200));
 }
 
-// The same, and the tasks run for a minute more. They can go on later from where they were, so that
-// an urgent caller need not come too late for them.
-TEST(PoolLoad, StopsSavedWorkForAnUrgentGangThatWouldBeTooLate) {
+// The pool is full of tasks that run for another minute and can be resumed from checkpoints. They
+// are preempted, so that an urgent gang is on time.
+TEST(PoolLoad, PreemptsResumableWorkForAnUrgentGang) {
   PoolBed bed(BedRacks(1), BedOperators(0));
   bed.RunFor(milliseconds(100));
-  bed.Submit(BedJob("fills", "bulk", "two", Saving(BedStep(24, 1, seconds(60)))));
+  bed.Submit(BedJob("fills", "bulk", "two", WithCheckpoints(BedStep(24, 1, seconds(60)))));
   bed.RunFor(seconds(4));
   bed.Submit(BedJob("urgent", "urgent", "one", Gang(BedStep(2, 8, seconds(2)))));
   EXPECT_TRUE(bed.RunUntil("urgent", JobState::kCompleted, seconds(5)));
 }
 
-// Two gangs that have run equally long fill the pool when an urgent one comes. The first had waited
-// long before it began and would be late if it had to begin again, the other has time left. Were
-// only the work that is thrown away weighed, either might be stopped, and a caller would wait in
-// vain for whom the other could have made way at no loss.
-TEST(PoolLoad, StopsTheOneWhoseCallerLosesLeast) {
+// Two gangs that have run equally long fill the pool when an urgent gang arrives. The first one had
+// waited long before it began and would be past due if restarted; the other has slack. If only the
+// lost work counted, either might be preempted, although one of them loses no value.
+TEST(PoolLoad, PreemptsTheVictimThatLosesLeastValue) {
   PoolBed bed(BedRacks(2), BedOperators(0));
   bed.RunFor(milliseconds(100));
   bed.Submit(BedJob("fills", "batch", "two", Gang(BedStep(6, 8, seconds(18)))));
@@ -197,14 +195,14 @@
   EXPECT_TRUE(WasStopped(bed, "at-ease"));
 }
 
-// Half of the small tasks can be stopped without loss and half can't. Mixed on every worker, whole
-// ones can't be had back but by throwing work away; kept to their like, some can.
-TEST(PoolLoad, KeepsTasksThatStopWithoutLossOnWorkersOfTheirOwn) {
+// Half of the small tasks can be stopped without loss and half cannot. Mixed on every worker, no
+// whole worker can be cleared without losing work; grouped by kind, some can.
+TEST(PoolLoad, GroupsResumableTasksOnWorkers) {
   PoolBed bed(BedRacks(2), BedOperators(0));
   bed.RunFor(milliseconds(100));
   for (int round = 0; round < 6; ++round) {
     const std::string name = std::to_string(round);
-    bed.Submit(BedJob("kept-" + name, "bulk", "two", Saving(BedStep(3, 1, seconds(60)))));
+    bed.Submit(BedJob("kept-" + name, "bulk", "two", WithCheckpoints(BedStep(3, 1, seconds(60)))));
     bed.RunFor(seconds(2));
     bed.Submit(BedJob("lost-" + name, "bulk", "two", BedStep(3, 1, seconds(60))));
     bed.RunFor(seconds(2));
@@ -216,10 +214,9 @@
   EXPECT_LE(mixed, 1);
 }
 
-// Callers of one queue guess their run times anywhere between a tenth and twice of the truth. One
-// who guessed a tenth soon looks hopelessly late; passed over for that, the job comes too late
-// indeed.
-TEST(PoolLoad, GoesByLearnedTimesWhereGuessesAreWild) {
+// Callers' estimates in a queue are between a tenth and twice the true run time. A job with an
+// estimate of a tenth soon looks hopelessly late; passed over for that, it really is.
+TEST(PoolLoad, UsesLearnedRunTimesWhereEstimatesAreWrong) {
   PoolBed bed(BedRacks(1), BedOperators(0));
   bed.true_time = [](const TaskId&) { return seconds(6); };
   for (int job = 0; job < 6; ++job) {
@@ -236,10 +233,10 @@
   EXPECT_NE(bed.StateOf("guessed-right"), JobState::kCompleted);
 }
 
-// A job is late already, and others that can still be in time keep coming and go first. Passed over
-// until it is of no use to its caller, it would never be served; served just before that, it costs
-// the others a second of the time they have.
-TEST(PoolLoad, ServesALateJobBeforeItIsOfNoUse) {
+// A job is past its due time, and jobs that can still be on time keep arriving and go first. Passed
+// over until it is worthless, it would never run; run just before that, it costs the others a
+// second of slack.
+TEST(PoolLoad, RunsAPastDueJobBeforeItIsWorthless) {
   PoolBed bed(BedRacks(1), BedOperators(0));
   bed.RunFor(milliseconds(100));
   bed.Submit(BedJob("fills", "urgent", "one", BedStep(3, 8, seconds(5))));
@@ -252,14 +249,15 @@
     bed.Submit(BedJob("more-" + std::to_string(job), "urgent", "one", step));
     if (job >= 2) bed.RunFor(seconds(1));
   }
-  // Its queue allows it three times its second and one more, and three times that at the very most.
+  // Its queue allows three times its run time of 1 s plus one second, and the job is worthless
+  // after three times that.
   ASSERT_FALSE(bed.RunsOf("late").empty());
-  EXPECT_LE(BegunAfter(bed, "late", submitted), seconds(11));
+  EXPECT_LE(StartDelay(bed, "late", submitted), seconds(11));
 }
 
-// A worker stands still for ten seconds with its health good. Its runs end no sooner for it, but
-// jobs that come meanwhile must not be put beside them to stand still as well.
-TEST(PoolLoad, PutsNothingOnAWorkerWhoseRunsStandStill) {
+// A worker stalls while its health is reported as good. Later jobs must not be placed beside its
+// stalled runs.
+TEST(PoolLoad, PlacesNothingOnAWorkerWhoseRunsAreStalled) {
   PoolBed bed(BedRacks(1), BedOperators(0));
   bed.RunFor(milliseconds(100));
   bed.Submit(BedJob("stuck", "batch", "one", BedStep(1, 1, seconds(8))));
@@ -274,8 +272,8 @@
   EXPECT_TRUE(bed.RunUntil("stuck", JobState::kCompleted, seconds(8)));
 }
 
-// A pool of 240 agents whose planner takes so many reports a second, with more work than it can
-// carry and gangs among it.
+// A pool of 240 agents whose planner reads a limited number of reports per tick, with more work
+// than the pool can carry, including gangs.
 class BusyPlanner : public testing::Test {
  protected:
   static constexpr int kRacks = 80;
@@ -294,7 +292,7 @@
     ++jobs_;
   }
 
-  // Jobs of eight tasks each, half of them gangs, for `time`.
+  // Submits jobs of eight tasks each, half of them gangs, for `time`.
   void LoadFor(Duration time) {
     const Time end = bed_.now() + time;
     while (bed_.now() < end) {
@@ -309,15 +307,15 @@
     return ended;
   }
 
-  // Half as many again as the agents send under this load.
+  // One and a half times the number of reports that the agents send under this load.
   static constexpr int kReportsPerTick = 12;
   PoolBed bed_;
   int jobs_ = 0;
 };
 
-// The planner stood still for two seconds. It took its agents for silent, took back what they had
-// begun, and placed all of it anew, which kept it late for good.
-TEST_F(BusyPlanner, TakesNothingBackForAStallOfItsOwn) {
+// The planner stalls for two seconds. If it took its agents for silent, it would revoke their
+// starts and place the work again, which would keep it lagging for good.
+TEST_F(BusyPlanner, RevokesNothingAfterAStallOfItsOwn) {
   LoadFor(seconds(6));
   for (int job = 0; job < 20; ++job) Submit();
   bed_.RunFor(milliseconds(20));
@@ -333,8 +331,8 @@
   EXPECT_EQ(bed_.violations(), std::vector<std::string>());
 }
 
-// For ten seconds the planner can read a sixth of what its agents send, then all of it again.
-TEST_F(BusyPlanner, RecoversByItselfOnceTheLoadIsOver) {
+// For ten seconds the planner can read only a sixth of the reports sent, then all of them again.
+TEST_F(BusyPlanner, RecoversAfterOverload) {
   LoadFor(seconds(4));
   bed_.SetReportsPerTick(kReportsPerTick / 6);
   LoadFor(seconds(10));
@@ -348,8 +346,8 @@
   EXPECT_EQ(bed_.violations(), std::vector<std::string>());
 }
 
-// A planner's successor meets all agents and everything that runs at once.
-TEST_F(BusyPlanner, LosesNoLeaseToASuccessor) {
+// A successor receives the first reports of all agents and runs at the same time.
+TEST_F(BusyPlanner, LosesNoLeaseWhenThePlannerIsReplaced) {
   LoadFor(seconds(6));
   const Time replaced = bed_.now();
   bed_.ReplacePlanner();
@@ -360,11 +358,11 @@
   EXPECT_EQ(bed_.violations(), std::vector<std::string>());
 }
 
-// A planner has just begun and has heard of a few agents only, none of them beside another. It took
-// the pool for one without a rack that holds the gang, which ran torn, three times as long.
-TEST(PoolLoad, TearsNoGangBeforeItKnowsThePool) {
+// A new planner has reports from a few agents only, no two of one rack. If it concluded that no
+// rack can hold the gang, the gang would be spread over racks and take three times as long.
+TEST(PoolLoad, SpreadsNoGangBeforeMostAgentsHaveReported) {
   std::vector<BedWorker> workers = BedRacks(40);
-  // Agents come in the order of their names: a whole rack is known only towards the end.
+  // Agents report in the order of their names, so a whole rack is known only towards the end.
   for (BedWorker& worker : workers) std::reverse(worker.node.begin(), worker.node.end());
   PoolBed bed(workers, BedOperators(0));
   bed.SetReportsPerTick(3);
--- a/servers/pool/pool_planner.cc
+++ b/servers/pool/pool_planner.cc
@@ -11,60 +11,62 @@
                          const std::set<std::string>& nodes, Time now)
     : options_(options),
       epoch_(epoch),
-      outbox_(options.append_bytes),
-      begun_(now),
-      listed_(nodes.size()),
-      unheard_(nodes),
-      appraiser_(options.off),
-      stop_takes_(options.stop) {
+      outbox_(options.max_append_bytes),
+      started_at_(now),
+      listed_agents_(nodes.size()),
+      unreported_agents_(nodes),
+      appraiser_(options.disabled_mechanisms),
+      mean_stop_time_(options.stop) {
   for (const auto& [id, entry] : book.jobs()) {
     Job& job = jobs_[id];
     job.spec = entry.spec;
     job.progress = entry.progress;
     RefreshTerms(&job);
-    // That a job begins is kept before its first start is ordered, so nothing of one that is queued
-    // can be running anywhere.
+    // The record that a job is running is durable before its first start is ordered, so nothing of
+    // a queued job can be running anywhere.
     job.inherited = entry.progress.state != JobState::kQueued;
   }
-  // The planner before may not know yet that it has been followed, and may go on granting leases to
-  // agents that are cut off together with it, as long as they trust an unconfirmed planner.
-  inherited_safe_at_ = now + options.unconfirmed_limit + options.lease + options.lease_margin;
+  // The previous planner may not know yet that it has been replaced. It may grant leases to agents
+  // that are partitioned together with it, as long as they accept an unconfirmed planner.
+  inherited_start_time_ = now + options.unconfirmed_limit + options.lease + options.lease_margin;
 }
 
-void PoolPlanner::Confirm(Time asked) {
-  if (!confirmed_ || asked > *confirmed_) confirmed_ = asked;
+void PoolPlanner::ConfirmLeadership(Time asked) {
+  if (!leadership_confirmed_ || asked > *leadership_confirmed_) leadership_confirmed_ = asked;
 }
 
 void PoolPlanner::SetOperatorState(std::shared_ptr<const OperatorState> state, Time asked) {
-  if (state != operators_) {
-    changed_ = true;
-    operators_ = std::move(state);
+  if (state != operator_state_) {
+    needs_planning_ = true;
+    operator_state_ = std::move(state);
     for (auto& [id, job] : jobs_) RefreshTerms(&job);
   }
-  if (!operators_read_ || asked > *operators_read_) operators_read_ = asked;
+  if (!operator_state_read_ || asked > *operator_state_read_) operator_state_read_ = asked;
 }
 
 void PoolPlanner::PredecessorGone(Time now) {
-  inherited_safe_at_ = std::min(inherited_safe_at_, now + options_.lease + options_.lease_margin);
+  inherited_start_time_ =
+      std::min(inherited_start_time_, now + options_.lease + options_.lease_margin);
 }
 
 Ticket PoolPlanner::Submit(const JobSpec& spec) {
   Job* known = FindJob(spec.id);
-  if (known != nullptr) return known->accepted;
+  if (known != nullptr) return known->accepted_ticket;
   Job& job = jobs_[spec.id];
   job.spec = spec;
   RefreshTerms(&job);
   outbox_.Put(kSpecPrefix + spec.id, EncodeSpec(spec));
-  Save(&job);
-  job.accepted = job.changed;
-  unkept_.insert(job.accepted);
-  return job.changed;
+  SaveProgress(&job);
+  job.accepted_ticket = job.newest_ticket;
+  pending_submissions_.insert(job.accepted_ticket);
+  return job.newest_ticket;
 }
 
 bool PoolPlanner::WithdrawSubmission(const std::string& id) {
   const auto found = jobs_.find(id);
   if (found == jobs_.end()) return false;
-  // Withdrawn, it would take its cancellation along, and a later try of the same job would run.
+  // Withdrawing a cancelled job would drop the cancellation too, and a later submission of the same
+  // job would run.
   if (IsOver(found->second.progress.state)) return false;
   if (!outbox_.Withdraw(kSpecPrefix + id)) return false;
   outbox_.Withdraw(kProgressPrefix + id);
@@ -75,12 +77,12 @@
 CancelResult PoolPlanner::Cancel(const std::string& id, int64_t wall_ms) {
   Job* job = FindJob(id);
   if (job == nullptr) return {false, 0};
-  if (IsOver(job->progress.state)) return {true, job->changed};
+  if (IsOver(job->progress.state)) return {true, job->newest_ticket};
   EndJob(job, JobState::kCancelled, wall_ms);
-  return {true, job->changed};
+  return {true, job->newest_ticket};
 }
 
-bool PoolPlanner::HasNews(const std::string& node) const {
+bool PoolPlanner::HasPendingOrders(const std::string& node) const {
   const auto found = workers_.find(node);
   return found != workers_.end() && found->second.version > found->second.version_seen;
 }
@@ -92,8 +94,8 @@
   orders.version = worker.version;
   orders.ends_kept = worker.ends_kept;
   orders.worker_born_ms = worker.facts.born_ms;
-  orders.late = lateness_.late();
-  if (confirmed_ && now - *confirmed_ < options_.unconfirmed_limit) {
+  orders.late = planner_lag_.lag();
+  if (leadership_confirmed_ && now - *leadership_confirmed_ < options_.unconfirmed_limit) {
     orders.lease = options_.lease;
   }
   if (MayStart(now)) orders.start_window = options_.start_window;
@@ -105,27 +107,27 @@
   return orders;
 }
 
-void PoolPlanner::NoteKept() {
-  while (!releases_.empty() && releases_.begin()->first <= outbox_.kept()) {
-    NoteNews(&workers_[releases_.begin()->second]);
-    releases_.erase(releases_.begin());
+void PoolPlanner::NoteDurable() {
+  while (!pending_starts_.empty() && pending_starts_.begin()->first <= outbox_.kept()) {
+    NotePendingOrders(&workers_[pending_starts_.begin()->second]);
+    pending_starts_.erase(pending_starts_.begin());
   }
-  while (!unkept_.empty() && *unkept_.begin() <= outbox_.kept()) {
-    unkept_.erase(unkept_.begin());
-    changed_ = true;
+  while (!pending_submissions_.empty() && *pending_submissions_.begin() <= outbox_.kept()) {
+    pending_submissions_.erase(pending_submissions_.begin());
+    needs_planning_ = true;
   }
   for (auto& [node, worker] : workers_) {
     while (!worker.ends.empty() && worker.ends.front().ticket <= outbox_.kept()) {
       worker.ends_kept = worker.ends.front().number;
       worker.ends.pop_front();
-      NoteNews(&worker);
+      NotePendingOrders(&worker);
     }
   }
 }
 
-void PoolPlanner::NoteNews(WorkerState* worker) {
+void PoolPlanner::NotePendingOrders(WorkerState* worker) {
   ++worker->version;
-  ++news_;
+  ++orders_version_;
 }
 
 PoolPlanner::Job* PoolPlanner::FindJob(const std::string& id) {
@@ -134,7 +136,7 @@
 }
 
 void PoolPlanner::RefreshTerms(Job* job) const {
-  const Queue* queue = operators_->config.FindQueue(job->spec.queue);
+  const Queue* queue = operator_state_->config.FindQueue(job->spec.queue);
   job->terms = queue == nullptr ? &job->spec.terms : &queue->terms;
 }
 
@@ -145,14 +147,14 @@
   return task.index < step.tasks ? &step : nullptr;
 }
 
-void PoolPlanner::Save(Job* job) {
-  job->changed = outbox_.Put(kProgressPrefix + job->spec.id, EncodeProgress(job->progress));
+void PoolPlanner::SaveProgress(Job* job) {
+  job->newest_ticket = outbox_.Put(kProgressPrefix + job->spec.id, EncodeProgress(job->progress));
 }
 
 void PoolPlanner::EndJob(Job* job, JobState state, int64_t wall_ms) {
   job->progress.state = state;
   job->progress.ended_ms = wall_ms;
-  Save(job);
+  SaveProgress(job);
   advice_.Forget(job->spec.id);
   StopJob(*job);
   LogEvent(LogLevel::kInfo, "job_ended",
@@ -162,14 +164,14 @@
 void PoolPlanner::MarkRunning(Job* job) {
   if (job->progress.state != JobState::kQueued) return;
   job->progress.state = JobState::kRunning;
-  Save(job);
-  job->begun = job->changed;
+  SaveProgress(job);
+  job->running_ticket = job->newest_ticket;
 }
 
 void PoolPlanner::StopRun(WorkerState* worker, LiveRun* run) {
   if (run->phase == RunPhase::kStopping) return;
   run->phase = RunPhase::kStopping;
-  NoteNews(worker);
+  NotePendingOrders(worker);
 }
 
 void PoolPlanner::StopGang(const Job& job, const RunId& member) {
@@ -192,14 +194,15 @@
   }
 }
 
-void PoolPlanner::ForgetRun(const RunId& run, Job* job) {
+void PoolPlanner::RemoveRun(const RunId& run, Job* job) {
   const auto found = job->runs.find({run.task.occurrence, run.task.step, run.task.index});
   if (found != job->runs.end() && found->second.number == run.number) job->runs.erase(found);
-  changed_ = true;
+  needs_planning_ = true;
 }
 
-void PoolPlanner::DropOldJobs(int64_t wall_ms) {
-  const int64_t limit = duration_cast<std::chrono::milliseconds>(options_.status_limit).count();
+void PoolPlanner::RemoveExpiredJobs(int64_t wall_ms) {
+  const int64_t limit =
+      duration_cast<std::chrono::milliseconds>(options_.ended_job_retention).count();
   for (auto job = jobs_.begin(); job != jobs_.end();) {
     const JobProgress& progress = job->second.progress;
     const bool old = IsOver(progress.state) && wall_ms - progress.ended_ms > limit;
@@ -209,7 +212,7 @@
     }
     outbox_.Put(kSpecPrefix + job->first, "");
     outbox_.Put(kProgressPrefix + job->first, "");
-    // An answer may have come in after the job was over.
+    // Advice may have arrived after the job had ended.
     advice_.Forget(job->first);
     job = jobs_.erase(job);
   }
--- a/servers/pool/pool_planner.h
+++ b/servers/pool/pool_planner.h
@@ -1,9 +1,10 @@
-// Plans one pool: takes jobs in, gives tasks to workers, takes their ends in. Plain decisions with
-// the time passed in; PlannerService has the threads, the store and the sessions.
+// Plans one pool: accepts jobs, assigns tasks to workers and processes the ends of runs. Makes
+// decisions only, with the time passed in; PlannerService owns the threads, the store and the
+// sessions.
 //
-// What the planner knows of running tasks is not in the store. A new planner learns it from the
-// agents, and starts nothing that an older planner may have running until it has heard every agent
-// or their leases have run out.
+// The store does not record which tasks are running. A new planner learns it from the agents'
+// reports. It does not start work that a previous planner may have running until every agent has
+// reported or the agents' leases have expired.
 #pragma once
 
 #include <functional>
@@ -21,7 +22,7 @@
 #include "servers/pool/mechanism.h"
 #include "servers/pool/outbox.h"
 #include "servers/pool/placer.h"
-#include "servers/pool/planner_lateness.h"
+#include "servers/pool/planner_lag.h"
 #include "servers/pool/pool_config.h"
 #include "servers/pool/pool_messages.h"
 #include "servers/pool/reclaimer.h"
@@ -32,107 +33,119 @@
 
 namespace turmericshift::pool {
 
-// Times within the bounds of a platform: pool_bounds.h works them out.
+// Limits and timings of a planner. PlannerOptionsWithin in pool_bounds.h derives them from the
+// platform's bounds.
 struct PlannerOptions {
-  // What a running task may outlive the last word of its planner by. Below what workers grant at
-  // most; above the time that a successor needs to take over and reach the agents (silence of 1.4 s
-  // at most, a claim, a poll of 0.5 s that ends by its patience of 0.7 s).
+  // How long a running task may go on after the last contact with its planner. Must be below the
+  // longest lease that workers grant, and above the time in which a successor takes over and
+  // reaches the agents (1.4 s of silence at most, a claim, and a poll of 0.5 s with a timeout of
+  // 0.7 s).
   Duration lease = std::chrono::milliseconds(4000);
-  // Added before a lease counts as run out: workers' clocks run slow, and the stop takes its time.
+  // Added to a lease before it counts as expired: workers' clocks may run slow, and the stop itself
+  // takes time.
   Duration lease_margin = std::chrono::milliseconds(600);
-  // How long an agent may go on obeying a planner whose duty nobody confirms.
+  // How long an agent may obey a planner whose leadership is not confirmed.
   Duration unconfirmed_limit = std::chrono::seconds(10);
-  // No starts when the planner's own duty was last confirmed longer ago than this,
-  Duration confirm_limit = std::chrono::milliseconds(1200);
-  // or the operators' documents were last read longer ago than this.
-  Duration document_limit = std::chrono::milliseconds(2000);
-  // Starts are carried out at most so long after the agent asked. Together with the two limits it
-  // stays below the bounds on cancelled jobs and on zones that are out.
+  // Nothing is started when this planner's leadership was last confirmed longer ago than this.
+  Duration confirm_age_limit = std::chrono::milliseconds(1200);
+  // Nothing is started when the operators' documents were last read longer ago than this.
+  Duration document_age_limit = std::chrono::milliseconds(2000);
+  // An agent carries out a start at most this long after the report that the start answers. The sum
+  // with confirm_age_limit or document_age_limit stays below the bounds on cancelled jobs and on
+  // zones that are out.
   Duration start_window = std::chrono::milliseconds(1500);
-  // A gang whose members have not all started by then is stopped; its workers wait longer.
-  Duration gang_start_limit = std::chrono::milliseconds(1300);
-  // The same at most, whatever the planner is late by: they would be waiting alone by then.
-  Duration longest_gang_start = std::chrono::milliseconds(2100);
-  // A single start that is not answered by then is taken back.
-  Duration start_limit = std::chrono::milliseconds(2500);
-  // An urgent gang within its workspace's guarantee that finds no rack goes over several after
-  // this, so that it begins within the bound on reclaiming with time to spare for the start.
-  Duration owed_stray_after = std::chrono::milliseconds(1300);
-  // Room that comes free by itself within this is waited for also by those to whom it is owed.
-  Duration owed_patience = std::chrono::milliseconds(800);
-  // A stop takes so long at most.
+  // A gang whose members have not all started within this time is stopped; its workers wait longer
+  // than that for the missing members.
+  Duration gang_start_timeout = std::chrono::milliseconds(1300);
+  // Upper limit of the gang's timeout, however large the planner's lag is: after this time the
+  // members that did start would be waiting alone.
+  Duration max_gang_start_timeout = std::chrono::milliseconds(2100);
+  // A start of a single task that is not answered within this time is revoked.
+  Duration start_timeout = std::chrono::milliseconds(2500);
+  // An urgent gang within its workspace's guarantee that fits into no rack is spread over several
+  // racks after this time, so that it begins within the bound on reclaiming, with time to spare for
+  // the start.
+  Duration guaranteed_off_rack_delay = std::chrono::milliseconds(1300);
+  // Room that is due to come free within this time is waited for, instead of preempting others,
+  // even where a guarantee applies.
+  Duration guaranteed_wait_limit = std::chrono::milliseconds(800);
+  // Longest time that stopping a run takes.
   Duration stop = std::chrono::milliseconds(400);
-  // Room that is being freed is held for so long for the one it is freed for.
+  // How long room freed by preemption stays reserved for the unit that it was freed for.
   Duration reservation_limit = std::chrono::milliseconds(1500);
-  // Going on from a saved state takes so long.
+  // Time to resume a task from a checkpoint.
   Duration restore = std::chrono::milliseconds(600);
-  // Ended jobs are known for so long.
-  Duration status_limit = std::chrono::seconds(130);
-  // Tasks away from their data, and gangs over several racks that want one, take so many times as
-  // long.
-  double stray_factor = 3;
-  // Left out of the policy.
-  MechanismsOff off;
-  // What one append may carry.
-  size_t append_bytes = size_t{1} << 20;
+  // How long an ended job is retained.
+  Duration ended_job_retention = std::chrono::seconds(130);
+  // Factor on the run time of tasks outside their data's rack and of gangs that want one rack but
+  // are spread over several.
+  double off_rack_slowdown = 3;
+  // Mechanisms that are disabled.
+  DisabledMechanisms disabled_mechanisms;
+  // Largest size of one append to the store.
+  size_t max_append_bytes = size_t{1} << 20;
 };
 
-// What became of a cancellation.
 struct CancelResult {
   bool known = false;
-  // The cancellation holds once this is kept; 0: the job was over already.
+  // The cancellation takes effect once the record of this ticket is durable; 0 if the job had
+  // already ended.
   Ticket ticket = 0;
 };
 
 class PoolPlanner {
  public:
-  // `book`: everything in the work topic when the duty was claimed. `nodes`: agents that may have
-  // something running.
+  // `book`: the contents of the work topic when this planner became the active one. `nodes`: agents
+  // that may have tasks running.
   PoolPlanner(const PlannerOptions& options, int64_t epoch, const JobBook& book,
               const std::set<std::string>& nodes, Time now);
 
   int64_t epoch() const { return epoch_; }
   Outbox& outbox() { return outbox_; }
 
-  // The store has confirmed the duty by an answer to what was asked at `asked`.
-  void Confirm(Time asked);
-  // Whether the duty was confirmed so lately that nobody can have taken it over since.
-  bool Confirmed(Time now) const;
+  // The store has confirmed this planner's leadership in its answer to a request sent at `asked`.
+  void ConfirmLeadership(Time asked);
+  // Whether leadership was confirmed so recently that no other planner can have taken over since.
+  bool LeadershipConfirmed(Time now) const;
   void SetOperatorState(std::shared_ptr<const OperatorState> state, Time asked);
-  // The planner before has been heard to plan no more, so it grants no lease from now on.
+  // The previous planner has reported that it no longer plans, so it grants no leases from `now`
+  // on.
   void PredecessorGone(Time now);
 
-  // Takes a job in; idempotent by id. The job is accepted once the ticket is kept.
+  // Submits a job; idempotent by id. The job is accepted once the record of the returned ticket is
+  // durable.
   Ticket Submit(const JobSpec& spec);
-  bool Knows(const std::string& id) const { return jobs_.count(id) > 0; }
-  // Takes a submission back that is not accepted yet; false when its record may be on its way or
-  // the job has been cancelled.
+  bool HasJob(const std::string& id) const { return jobs_.count(id) > 0; }
+  // Withdraws a submission that is not accepted yet. Returns false if its record may already be on
+  // its way to the store or the job has been cancelled.
   bool WithdrawSubmission(const std::string& id);
   CancelResult Cancel(const std::string& id, int64_t wall_ms);
 
-  void TakeReport(const AgentReport& report, int64_t wall_ms, Time now);
-  // Whether there is something that the agent has not been told.
-  bool HasNews(const std::string& node) const;
-  // Rises whenever there is something new for any agent.
-  int64_t news() const { return news_; }
-  // A round of planning may bring something new.
-  bool changed() const { return changed_; }
-  // The agent's poll is answered.
-  void NoteAnswered(const std::string& node, Time now) { lateness_.Answered(node, now); }
-  Duration late() const { return lateness_.late(); }
-  // The answer to one of the agent's reports. The lease in it counts from that report on.
+  void ApplyReport(const AgentReport& report, int64_t wall_ms, Time now);
+  // Whether there are orders that the agent has not seen.
+  bool HasPendingOrders(const std::string& node) const;
+  // Increases whenever there are new orders for any agent.
+  int64_t orders_version() const { return orders_version_; }
+  // Whether anything has changed since the last round of planning.
+  bool needs_planning() const { return needs_planning_; }
+  // The agent's poll has been answered.
+  void NotePollAnswered(const std::string& node, Time now) {
+    planner_lag_.NotePollAnswered(node, now);
+  }
+  Duration lag() const { return planner_lag_.lag(); }
+  // The answer to a report of the agent. The lease that it grants counts from that report on.
   AgentOrders Orders(const std::string& node, Time now);
 
-  // Gives out what can be given out. Call after every change and at least each 100 ms; a call
-  // without a change since the last costs next to nothing.
+  // Runs a round of planning: starts the tasks that can be started. Call after every change and at
+  // least every 100 ms; a call without a change since the last one costs next to nothing.
   void Plan(int64_t wall_ms, Time now);
-  // Records have been kept since the last call.
-  void NoteKept();
+  // Records have become durable since the last call.
+  void NoteDurable();
 
-  // What the advice service should be asked now, and its answers.
+  // Questions for the advice service, and its answers.
   AdviceBook& advice() { return advice_; }
-  // Advice has come in that bears on placing.
-  void NoteAdvice() { changed_ = true; }
+  // Advice has arrived that may affect placement.
+  void NoteAdvice() { needs_planning_ = true; }
 
   const std::map<std::string, WorkerState>& workers() const { return workers_; }
   size_t job_count() const { return jobs_.size(); }
@@ -142,158 +155,164 @@
     int64_t number = 0;
     std::string node;
   };
-  // What the planner remembers of a step while it waits or runs.
+  // The planner's state of a step that is waiting or running.
   struct StepState {
     std::optional<Time> ready_since;
-    // Not before this: something went wrong a moment ago.
-    Time not_before{};
-    int interrupted = 0;
-    // When stopping others for it was weighed last.
-    std::optional<Time> reclaim_tried;
+    // Earliest time of the next start after a failed start or lost runs.
+    Time retry_after{};
+    int preemptions = 0;
+    // When preemption for this step was last considered.
+    std::optional<Time> last_reclaim_attempt;
   };
   struct Job {
     JobSpec spec;
     JobProgress progress;
-    // Nothing of the job is started until this is kept.
-    Ticket accepted = 0;
-    // The record that tells that it may run; nothing is ordered before that is kept.
-    Ticket begun = 0;
-    // Its newest record.
-    Ticket changed = 0;
-    // An older planner may have parts of it running.
+    // Nothing of the job is started before this record is durable.
+    Ticket accepted_ticket = 0;
+    // The record that marks the job as running; no start is ordered before it is durable.
+    Ticket running_ticket = 0;
+    // The job's newest record.
+    Ticket newest_ticket = 0;
+    // A previous planner may have parts of the job running.
     bool inherited = false;
-    // What its queue lays down now.
+    // The current terms of the job's queue.
     const QueueTerms* terms = nullptr;
     std::map<TaskPlace, TaskRun> runs;
     std::map<StepPlace, StepState> steps;
   };
-  // What a job can still be, were it started now. In the order in which work of one priority goes:
-  // the last call is for one that is late and would soon be of no use.
-  enum class Prospect { kLastCall, kInTime, kLate, kUseless };
-  // Tasks of one step that could start now.
+  // The outcome of a job if it were started now, in the order in which work of equal priority is
+  // started. Jobs that are past due and will soon be worthless (kExpiring) come first.
+  enum class Prospect { kExpiring, kOnTime, kPastDue, kWorthless };
+  // Unit of scheduling: the tasks of one step that could start now.
   struct Unit {
     Job* job = nullptr;
     StepPlace place;
     std::vector<int> waiting;
     int priority = 0;
-    bool entitled = false;
-    // Milliseconds since 1970 at which its job came or was due to begin, and by when it should be
-    // done.
-    int64_t begun_ms = 0;
+    bool within_guarantee = false;
+    // Milliseconds since 1970 at which the job arrived or was due to begin, and by which it should
+    // be done.
+    int64_t start_ms = 0;
     int64_t due_ms = 0;
-    // What bears on whether its job comes in time.
+    // Inputs to the probability that the job is on time.
     JobTiming timing;
-    // What one of the tasks should take.
+    // Expected run time of one task.
     Duration expected{};
-    Prospect prospect = Prospect::kInTime;
+    Prospect prospect = Prospect::kOnTime;
   };
-  struct Reservation {
+  struct ReclaimReservation {
     Placement placement;
     Room need;
     Time until{};
   };
   using UnitKey = std::pair<std::string, StepPlace>;
-  // A worker that is kept for a unit which can begin there at `ready_at`.
-  struct Hold {
+  // A worker on which room is reserved for a unit that can begin there at `ready_at`.
+  struct BackfillReservation {
     UnitKey key;
     Time ready_at{};
-    // What others may take beyond that moment.
+    // Room that tasks of other units may occupy beyond `ready_at`.
     Room spare;
   };
 
   // Reports: pool_planner_reports.cc.
-  // Notes which process of the agent reports. False for one that has been replaced: its connection
-  // may hold reports that are read after the first of its successor's, and whose lists and worker
-  // are those of before. Taken for news they would have what runs now taken for lost.
-  bool TakeIncarnation(const AgentReport& report, WorkerState* worker, Time now);
-  void TakeFacts(const AgentReport& report, WorkerState* worker, Time now);
-  void TakeRunning(const AgentReport& report, WorkerState* worker, Time now);
+  //
+  // Records which process of the agent sent the report. Returns false for a process that has been
+  // replaced: its connection may hold reports that are read after the first report of its successor
+  // and describe an earlier state. Applied, they would make current runs look lost.
+  bool AcceptIncarnation(const AgentReport& report, WorkerState* worker, Time now);
+  void ApplyWorkerFacts(const AgentReport& report, WorkerState* worker, Time now);
+  void ApplyRunning(const AgentReport& report, WorkerState* worker, Time now);
   void StopUnclearRuns(WorkerState* worker);
-  void JudgeStandstill(const WorkerState& worker, Time now);
-  void Adopt(const RunningTask& running, WorkerState* worker, Time now);
-  void TakeResult(const StartResult& result, WorkerState* worker, Time now);
-  void TakeEnd(const EndedTask& end, WorkerState* worker, int64_t wall_ms, Time now);
-  // Learns from a stop that has ended the run how long stops take.
-  void NoteStop(const LiveRun& run, Time now);
-  void TakeDone(const EndedTask& end, Job* job, int64_t wall_ms);
-  void TakeFailed(const EndedTask& end, Job* job, int64_t wall_ms);
+  void CheckForStall(const WorkerState& worker, Time now);
+  void AdoptRun(const RunningTask& running, WorkerState* worker, Time now);
+  void ApplyStartResult(const StartResult& result, WorkerState* worker, Time now);
+  void ApplyEnd(const EndedTask& end, WorkerState* worker, int64_t wall_ms, Time now);
+  // Updates the mean time of a stop, once a stop has ended the run.
+  void RecordStopTime(const LiveRun& run, Time now);
+  void ApplyDone(const EndedTask& end, Job* job, int64_t wall_ms);
+  void ApplyFailure(const EndedTask& end, Job* job, int64_t wall_ms);
   void SaveCheckpoint(const RunId& run, const std::string& checkpoint, Job* job);
-  // Whatever ran there is over.
-  void LoseRuns(WorkerState* worker, const char* why, Time now);
-  // The run is over or was never begun; its task may start again.
-  void ForgetRun(const RunId& run, Job* job);
+  // All runs on the worker are over.
+  void DropLostRuns(WorkerState* worker, const char* why, Time now);
+  // Removes a run that is over or was never begun; its task may start again.
+  void RemoveRun(const RunId& run, Job* job);
   void StopRun(WorkerState* worker, LiveRun* run);
-  // There is something that the agent has not been told.
-  void NoteNews(WorkerState* worker);
-  // Stops what else runs of a gang's run.
+  // Records that there are new orders for the agent.
+  void NotePendingOrders(WorkerState* worker);
+  // Stops the other members of the gang's run.
   void StopGang(const Job& job, const RunId& member);
   void StopJob(const Job& job);
   void MarkRunning(Job* job);
-  void Save(Job* job);
+  void SaveProgress(Job* job);
   void EndJob(Job* job, JobState state, int64_t wall_ms);
 
-  bool Uses(Mechanism mechanism) const { return options_.off.count(mechanism) == 0; }
+  bool IsEnabled(Mechanism mechanism) const {
+    return options_.disabled_mechanisms.count(mechanism) == 0;
+  }
 
   // Planning: pool_planner_planning.cc.
   bool MayStart(Time now) const;
-  bool InheritedIsSafe(Time now) const;
+  bool MayStartInherited(Time now) const;
   void ExpireLeases(Time now);
-  void TakeBackLateStarts(Time now);
-  // How long a start may go unanswered; longer while it is this planner that is late.
-  Duration StartLimit(bool gang) const;
-  void DropOldJobs(int64_t wall_ms);
+  void RevokeOverdueStarts(Time now);
+  // How long a start may stay unanswered, extended by the planner's own lag.
+  Duration StartTimeout(bool gang) const;
+  void RemoveExpiredJobs(int64_t wall_ms);
   std::vector<Unit> CollectUnits(int64_t wall_ms, Time now);
-  // Of a unit that begins at `wall_ms` (milliseconds since 1970).
+  // Prospect of a unit that begins at `wall_ms` (milliseconds since 1970).
   Prospect ProspectOf(const Unit& unit, int64_t wall_ms) const;
   void CollectStep(Job* job, const StepPlace& place, int64_t wall_ms, Time now,
                    std::vector<Unit>* units);
-  // Room on the workers that the unit may come to run on, on empty ones if `empty`.
+  // Room on all workers that the unit may run on; with `empty`, their whole capacity.
   std::vector<WorkerRoom> RoomsFor(const Unit& unit, bool empty, Time now) const;
-  // Room on those on which it may be started at once: pool_planner_advice.cc.
+  // Room on the workers on which the unit may be started immediately: pool_planner_advice.cc.
   std::vector<WorkerRoom> StartRoomsFor(const Unit& unit, Time now) const;
-  // Has the advice service asked about the workers that a unit without enough room might go to.
-  void WantAdvice(const Unit& unit, Time now);
+  // Requests advice about the workers that a unit without enough room might run on.
+  void RequestAdvice(const Unit& unit, Time now);
   static AdvisedWorker AdvisedWorkerOf(const WorkerState& worker);
-  Placement PlaceUnit(const Unit& unit, PlaceWish* wish, Time now) const;
+  Placement PlaceUnit(const Unit& unit, PlacementRequest* request, Time now) const;
   int TasksOnWorker(const Job& job, const StepPlace& place, const std::string& node) const;
-  // Whether a unit that wants one rack, or its data's, does better elsewhere now than by waiting.
-  bool StraysNow(const Unit& unit, const PlaceWish& strict, Time now) const;
-  // Nearly all agents have been heard since this planner began, or had the time to come.
-  bool KnowsPool(Time now) const;
-  // One more failed run fails the job, and it has not waited long yet: it should not be risked on a
-  // worker that has failed something lately.
-  bool GuardsLastTry(const Unit& unit, Time now) const;
-  bool TryReservation(const Unit& unit, Time now);
+  // Whether a unit that wants one rack, or its data's rack, ends sooner when placed off-rack now
+  // than when it waits.
+  bool ShouldGoOffRack(const Unit& unit, const PlacementRequest& strict, Time now) const;
+  // Whether nearly all agents have reported to this planner, or have had time to.
+  bool KnowsMostAgents(Time now) const;
+  // Whether one more failed run would fail the job while it has not waited long yet. Such a unit
+  // must not be risked on a worker that has failed tasks recently.
+  bool ProtectsLastAttempt(const Unit& unit, Time now) const;
+  bool TryReservedRoom(const Unit& unit, Time now);
   void TryUnit(const Unit& unit, int64_t wall_ms, Time now);
-  // How many of its tasks the unit may take free room for; the rest is kept for urgent work.
-  int SpareTasks(const Unit& unit, Time now) const;
-  // Keeps the workers on which a unit can begin the soonest from those that come after it in this
-  // round and would end too late: pool_planner_holding.cc.
-  void HoldRoom(const Unit& unit, const PlaceWish& wish, Time now);
+  // How many of the unit's tasks may use free room; the rest of the room is reserved for urgent
+  // work.
+  int MaxTasksNow(const Unit& unit, Time now) const;
+  // Reserves room on the workers on which the unit can begin soonest. Later units of this round
+  // whose tasks would end too late cannot use it: pool_planner_backfilling.cc.
+  void ReserveForBackfill(const Unit& unit, const PlacementRequest& request, Time now);
   std::vector<FutureRoom> FutureRoomsFor(const Unit& unit, Time now) const;
-  const std::vector<Freeing>& FreeingOn(const WorkerState& worker, Time now) const;
-  // Takes off what is held for others that go before.
-  void LeaveHeldRoom(const Unit& unit, std::vector<WorkerRoom>* rooms, Time now) const;
-  // The workspace's urgent jobs need no more than its guarantee, so that this one has to begin
-  // within the operators' bound.
-  bool IsOwed(const Unit& unit) const;
-  // Stops others for the unit if that is owed to it or worth it: pool_planner_reclaiming.cc.
-  void TryReclaim(const Unit& unit, const PlaceWish& wish, int64_t wall_ms, Time now);
-  // Core-seconds of others' work that may be thrown away for the unit.
-  double ReclaimLimit(const Unit& unit, const PlaceWish& rest, Time now) const;
-  // What stopping a run for a unit that takes its room for `away` costs, in core-seconds: what is
-  // thrown away, and what its own job is worth less for coming later.
-  double CostOfStop(const Job& job, const LiveRun& run, Duration away, int64_t wall_ms,
-                    Time now) const;
+  const std::vector<RoomRelease>& ReleasesOn(const WorkerState& worker, Time now) const;
+  // Subtracts room that is reserved for units ahead of this one.
+  void SubtractReservedRoom(const Unit& unit, std::vector<WorkerRoom>* rooms, Time now) const;
+  // Whether the workspace's urgent jobs together need no more than its guarantee, so that the unit
+  // has to begin within the operators' bound.
+  bool NeedsFitGuarantee(const Unit& unit) const;
+  // Preempts runs for the unit if its guarantee demands it or the gain exceeds the cost:
+  // pool_planner_reclaiming.cc.
+  void TryReclaim(const Unit& unit, const PlacementRequest& request, int64_t wall_ms, Time now);
+  // Core-seconds of other jobs' work that may be lost to make room for the unit.
+  double MaxReclaimCost(const Unit& unit, const PlacementRequest& rest, Time now) const;
+  // Cost, in core-seconds, of preempting a run for a unit that needs its room for `room_taken_for`:
+  // the work lost, and the value that the run's own job loses by ending later.
+  double PreemptionCost(const Job& job, const LiveRun& run, Duration room_taken_for,
+                        int64_t wall_ms, Time now) const;
   std::vector<Victim> VictimsFor(const Unit& unit, int64_t wall_ms, Time now) const;
   void Start(const Unit& unit, const Placement& placement, Time now);
   int64_t GuaranteedFor(const std::string& workspace) const;
-  // Accelerators that the workspace's urgent jobs hold, as of this round.
+  // Accelerators in use by the workspace's urgent jobs, as of this round.
   int64_t UrgentUse(const std::string& workspace) const;
-  // Whether there is anything to weigh anew at `now`.
+  // Whether a round of planning is due at `now`.
   bool RoundIsDue(Time now) const;
   void BeginRound(Time now);
-  static Tenants TenantsOf(const WorkerState& worker);
+  static Occupancy OccupancyOf(const WorkerState& worker);
   void LogQueue(const std::vector<Unit>& units, Time now);
 
   Job* FindJob(const std::string& id);
@@ -306,48 +325,48 @@
   Outbox outbox_;
   std::map<std::string, Job> jobs_;
   std::map<std::string, WorkerState> workers_;
-  const Time begun_;
-  // Agents that were listed when this planner began.
-  const size_t listed_;
-  // Of them, those that must be heard before inherited work is started.
-  std::set<std::string> unheard_;
+  const Time started_at_;
+  // Number of agents that were listed when this planner began.
+  const size_t listed_agents_;
+  // Listed agents that must report before inherited work is started.
+  std::set<std::string> unreported_agents_;
   AdviceBook advice_;
-  Time inherited_safe_at_{};
-  std::shared_ptr<const OperatorState> operators_ = std::make_shared<OperatorState>();
-  std::optional<Time> operators_read_;
-  std::optional<Time> confirmed_;
+  Time inherited_start_time_{};
+  std::shared_ptr<const OperatorState> operator_state_ = std::make_shared<OperatorState>();
+  std::optional<Time> operator_state_read_;
+  std::optional<Time> leadership_confirmed_;
   WorkerJudge judge_;
   JobAppraiser appraiser_;
-  std::map<UnitKey, Reservation> reservations_;
-  int64_t starts_ = 0;
-  // Something that bears on placing has changed since the last round.
-  bool changed_ = true;
+  std::map<UnitKey, ReclaimReservation> reclaim_reservations_;
+  int64_t start_count_ = 0;
+  // Something that affects placement has changed since the last round.
+  bool needs_planning_ = true;
   std::optional<Time> last_round_;
-  std::optional<Time> queue_logged_;
-  // Submissions that are not kept yet.
-  std::set<Ticket> unkept_;
-  // Workers for which starts wait for a record.
-  std::multimap<Ticket, std::string> releases_;
+  std::optional<Time> last_queue_log_;
+  // Submissions that are not durable yet.
+  std::set<Ticket> pending_submissions_;
+  // Workers whose starts wait until the record of the ticket is durable.
+  std::multimap<Ticket, std::string> pending_starts_;
   std::map<std::string, int64_t> urgent_use_;
-  // Accelerators that all unended urgent jobs of a workspace need.
+  // Accelerators that all unfinished urgent jobs of a workspace need.
   std::map<std::string, int64_t> urgent_need_;
-  // Room on all workers that may be used.
-  PoolRoom pool_;
+  // Room on all usable workers.
+  PoolRoom pool_room_;
   UrgentReserve reserve_;
-  // So much of the pool is free that nothing may stand still for the sake of a better place,
-  bool idle_ = false;
-  // Since when nearly half of all workers is idle, also of those that may not be used now.
+  // So much of the pool is free that no unit may wait for a better place.
+  bool mostly_idle_ = false;
+  // Since when nearly half of all workers, including currently unusable ones, have been idle.
   std::optional<Time> half_idle_since_;
-  // What stops have taken of late.
-  Duration stop_takes_;
-  std::map<std::string, Hold> holds_;
-  // Ends to come on each worker as of this round, made when first asked for.
-  mutable std::map<std::string, std::vector<Freeing>> freeing_;
+  // Moving average of the time that stops take.
+  Duration mean_stop_time_;
+  std::map<std::string, BackfillReservation> backfill_reservations_;
+  // Expected ends of runs on each worker as of this round, computed on first use.
+  mutable std::map<std::string, std::vector<RoomRelease>> room_releases_;
   int reclaims_left_ = 0;
-  PlannerLateness lateness_;
-  int64_t news_ = 0;
-  // Starts that have been ordered and not answered, as of this round.
-  int starts_under_way_ = 0;
+  PlannerLag planner_lag_;
+  int64_t orders_version_ = 0;
+  // Starts ordered but not yet answered, as of this round.
+  int starts_in_flight_ = 0;
 };
 
 }  // namespace turmericshift::pool
--- a/servers/pool/pool_planner_advice.cc
+++ b/servers/pool/pool_planner_advice.cc
@@ -1,4 +1,5 @@
-// Steps whose queue lets only some workers run them, known to an advice service alone.
+// Planning of steps that may run on some workers only, which ones being known to the advice service
+// alone.
 #include <algorithm>
 
 #include "servers/pool/pool_planner.h"
@@ -20,13 +21,13 @@
   return rooms;
 }
 
-void PoolPlanner::WantAdvice(const Unit& unit, Time now) {
+void PoolPlanner::RequestAdvice(const Unit& unit, Time now) {
   if (!Terms(*unit.job).advised) return;
   const StepSpec& step = unit.job->spec.steps[static_cast<size_t>(unit.place.step)];
   std::vector<WorkerRoom> rooms = RoomsFor(unit, false, now);
-  // Those with room come first; the others matter where somebody can be stopped for the unit.
+  // Workers with room come first; the others matter where runs can be preempted for the unit.
   std::stable_partition(rooms.begin(), rooms.end(), [&](const WorkerRoom& room) {
-    return FitCount(room.free, step.need, room.most_tasks) > 0;
+    return FitCount(room.free, step.need, room.max_tasks) > 0;
   });
   std::vector<AdvisedWorker> workers;
   workers.reserve(rooms.size());
--- /dev/null
+++ b/servers/pool/pool_planner_backfilling.cc
@@ -0,0 +1,123 @@
+// Backfilling reservations for waiting units, and the choice between waiting and off-rack
+// placement.
+//
+// Load patterns: gangs of whole workers beside a stream of small tasks that fill every gap (the
+// gang's workers are reserved from tasks that would end too late); gangs that want one rack of a
+// full pool (over several racks they take three times as long, so they wait for a rack unless the
+// wait is even longer).
+#include <algorithm>
+
+#include "servers/pool/pool_planner.h"
+
+namespace turmericshift::pool {
+namespace {
+
+// Gangs are spread over several racks after this time while much of the pool is free: workers left
+// idle for 3 s beside a waiting task count as a forgotten job.
+constexpr Duration kIdleOffRackDelay = std::chrono::milliseconds(2200);
+// All healthy agents have reported to a new planner after this time. Until then, or until no more
+// than one in kUnreportedDivisor agents is missing, the planner cannot tell whether any rack can
+// hold a gang.
+constexpr Duration kAgentsReportWithin = std::chrono::milliseconds(1500);
+constexpr size_t kUnreportedDivisor = 10;
+// At most one in this many workers is reserved for waiting units; otherwise a few wide gangs would
+// empty the pool.
+constexpr size_t kMaxReservedDivisor = 2;
+// Safety factor on run times when a task is to end before a gang begins.
+constexpr double kEstimateMargin = 1.1;
+// Single tasks with fewer accelerators soon find room without a reservation.
+constexpr int64_t kMinReservedAccelerators = 2;
+
+Room ComponentMin(const Room& left, const Room& right) {
+  return {std::min(left.processor_millis, right.processor_millis),
+          std::min(left.memory_mib, right.memory_mib),
+          std::min(left.accelerators, right.accelerators)};
+}
+
+}  // namespace
+
+bool PoolPlanner::NeedsFitGuarantee(const Unit& unit) const {
+  if (unit.priority != 0) return false;
+  const auto need = urgent_need_.find(unit.job->spec.workspace);
+  return need != urgent_need_.end() && need->second <= GuaranteedFor(unit.job->spec.workspace);
+}
+
+const std::vector<RoomRelease>& PoolPlanner::ReleasesOn(const WorkerState& worker, Time now) const {
+  const auto [found, inserted] = room_releases_.try_emplace(worker.node);
+  std::vector<RoomRelease>& ends = found->second;
+  if (!inserted) return ends;
+  for (const auto& [id, run] : worker.live) {
+    Room room = run.need;
+    if (run.fills) room.processor_millis = 0;
+    const bool stopping = run.phase == RunPhase::kStopping;
+    ends.push_back({room, stopping ? Duration::zero()
+                                   : run.progress.RemainingTime(run.estimate, run.since, now)});
+  }
+  std::sort(ends.begin(), ends.end(), [](const RoomRelease& left, const RoomRelease& right) {
+    return left.delay < right.delay;
+  });
+  return ends;
+}
+
+std::vector<FutureRoom> PoolPlanner::FutureRoomsFor(const Unit& unit, Time now) const {
+  std::vector<FutureRoom> future;
+  for (const WorkerRoom& room : RoomsFor(unit, false, now)) {
+    const std::string node(room.node);
+    if (backfill_reservations_.count(node) > 0) continue;
+    future.push_back({room, &ReleasesOn(workers_.at(node), now)});
+  }
+  return future;
+}
+
+bool PoolPlanner::KnowsMostAgents(Time now) const {
+  return unreported_agents_.size() * kUnreportedDivisor <= listed_agents_ ||
+         now - started_at_ > kAgentsReportWithin;
+}
+
+bool PoolPlanner::ShouldGoOffRack(const Unit& unit, const PlacementRequest& strict,
+                                  Time now) const {
+  const Duration waited = now - *unit.job->steps.at(unit.place).ready_since;
+  if (NeedsFitGuarantee(unit) && waited > options_.guaranteed_off_rack_delay) return true;
+  if (!KnowsMostAgents(now)) return false;
+  if (mostly_idle_ && waited > kIdleOffRackDelay) return true;
+  // Not even an empty rack can hold the unit, so waiting for one is pointless.
+  if (!FitsOneRack(strict, RoomsFor(unit, true, now))) return true;
+  if (!IsEnabled(Mechanism::kOffRackByForecast) || planner_lag_.overloaded()) return false;
+  const std::optional<RoomForecast> forecast = ForecastRoom(strict, FutureRoomsFor(unit, now));
+  return !forecast || forecast->delay > Scaled(unit.expected, options_.off_rack_slowdown - 1);
+}
+
+void PoolPlanner::ReserveForBackfill(const Unit& unit, const PlacementRequest& request, Time now) {
+  if (!IsEnabled(Mechanism::kBackfilling)) return;
+  const UnitKey key = {unit.job->spec.id, unit.place};
+  if (reclaim_reservations_.count(key) > 0) return;
+  if (!request.step->gang && request.step->need.accelerators < kMinReservedAccelerators) return;
+  if (backfill_reservations_.size() * kMaxReservedDivisor >= workers_.size()) return;
+  const std::vector<FutureRoom> future = FutureRoomsFor(unit, now);
+  PlacementRequest first = request;
+  if (!request.step->gang) first.tasks = 1;
+  const std::optional<RoomForecast> forecast = ForecastRoom(first, future);
+  if (!forecast) return;
+  for (const FutureRoom& worker : future) {
+    const auto share = forecast->tasks.find(std::string(worker.now.node));
+    if (share == forecast->tasks.end()) continue;
+    backfill_reservations_[share->first] = {
+        key, now + forecast->delay,
+        SpareRoom(worker, request.step->need, share->second, forecast->delay)};
+  }
+}
+
+void PoolPlanner::SubtractReservedRoom(const Unit& unit, std::vector<WorkerRoom>* rooms,
+                                       Time now) const {
+  if (backfill_reservations_.empty()) return;
+  const UnitKey key = {unit.job->spec.id, unit.place};
+  const Time over_at = now + Scaled(unit.expected, kEstimateMargin);
+  for (WorkerRoom& room : *rooms) {
+    const auto reservation = backfill_reservations_.find(std::string(room.node));
+    if (reservation == backfill_reservations_.end() || reservation->second.key == key) continue;
+    if (over_at > reservation->second.ready_at)
+      room.free = ComponentMin(room.free, reservation->second.spare);
+  }
+}
+
+}  // namespace turmericshift::pool
--- a/servers/pool/pool_planner_planning.cc
+++ b/servers/pool/pool_planner_planning.cc
@@ -1,10 +1,11 @@
-// Who goes next and where. Whom it stops for that: pool_planner_reclaiming.cc; what is kept free
-// for those that wait: pool_planner_holding.cc.
+// Decides which tasks start next and where. Preemption: pool_planner_reclaiming.cc; room reserved
+// for waiting units: pool_planner_backfilling.cc.
 //
-// Load patterns: urgent jobs with little time in a pool that others with more have filled (the
-// others leave room as long as they can wait); more work than the pool can carry. Within a priority
-// those that can still be in time go before those that can't, but for late ones that would soon be
-// of no use; workers that fail what they are given get none of it, nor a sound job's last try.
+// Load patterns: urgent jobs with little slack in a pool filled by jobs with more slack (these
+// leave room for as long as they can wait); more work than the pool can carry. Within a priority,
+// jobs that can still be on time go before jobs that cannot, except for jobs past their due time
+// that would soon be worthless. Workers that fail their tasks get no new ones, and a job's last
+// attempt avoids workers that failed recently.
 #include <algorithm>
 #include <tuple>
 #include <utility>
@@ -15,29 +16,30 @@
 namespace turmericshift::pool {
 namespace {
 
-// When several workers are sick at once, a sound job meets three of them in a row and is failed.
-// Its last try waits this long for a worker that has not failed anything lately; less than the 3 s
-// after which a job that stands still beside free workers counts as forgotten.
-constexpr Duration kGuardLastTry = std::chrono::milliseconds(2200);
-// Room for a late job is found within this as a rule. Passed over for longer it would be of no use
-// to its caller at all, while those that go after it have time left.
-constexpr Duration kLastCall = std::chrono::milliseconds(1500);
-// With so much of the pool free nothing may stand still for the sake of a better place: a job that
-// does for 3 s while under half of the pool is in use counts as forgotten.
-constexpr double kIdleShare = 0.4;
-// The same goes for work that is kept waiting for the sake of urgent work to come, with nearly half
-// of all workers idle, also of those that may not be used now.
+// When several workers are faulty at the same time, a job can hit three of them in a row and fail
+// without a fault of its own. Its last attempt waits this long for a worker without recent
+// failures; less than the 3 s after which a job that waits beside free workers counts as forgotten.
+constexpr Duration kLastAttemptWait = std::chrono::milliseconds(2200);
+// Room for a job past its due time is usually found within this time. Passed over for longer, the
+// job would become worthless to its caller, while jobs behind it still have slack.
+constexpr Duration kExpiringWindow = std::chrono::milliseconds(1500);
+// With this share of the pool free, no job may wait for a better place: a job that waits for 3 s
+// while less than half of the pool is in use counts as forgotten.
+constexpr double kMostlyIdleShare = 0.4;
+// Work kept waiting for the sake of future urgent jobs is subject to the same rule, with nearly
+// half of all workers idle, including currently unusable ones.
 constexpr double kHalfIdleShare = 0.45;
-constexpr Duration kIdleWait = std::chrono::milliseconds(2300);
-// Weighing whom to stop is the dearest decision: with 600 runs in 67 workers it takes 2 ms of a
-// processor of which an entry may have an eighth. So it is made for few units a round, and for
-// each only so often; what waits meanwhile is tried again within the bound on reclaiming.
+constexpr Duration kMaxWaitWhenIdle = std::chrono::milliseconds(2300);
+// Choosing victims is the most expensive decision: with 600 runs on 67 workers it takes 2 ms of a
+// processor of which an entry may have an eighth. It is therefore made for few units per round, and
+// for each unit only every kReclaimInterval; units left out are tried again within the bound on
+// reclaiming.
 constexpr int kReclaimsPerRound = 2;
-// A round is made at least this often.
-constexpr Duration kLongestPause = std::chrono::milliseconds(100);
-// What waits beside what is free is logged so often while anything waits: enough to see why a job
-// waited, and no more under load than at rest.
-constexpr Duration kLogQueueEvery = std::chrono::seconds(1);
+// Longest time between two rounds of planning.
+constexpr Duration kMaxRoundInterval = std::chrono::milliseconds(100);
+// The queue and the free room are logged this often while anything waits: enough to see why a job
+// waited, without more log lines under load.
+constexpr Duration kQueueLogInterval = std::chrono::seconds(1);
 
 bool Contains(const std::vector<std::string>& list, const std::string& value) {
   return std::find(list.begin(), list.end(), value) != list.end();
@@ -47,7 +49,7 @@
   return duration_cast<std::chrono::milliseconds>(duration).count();
 }
 
-// The share of a pool that is free in whatever there is least of.
+// Free share of the pool's scarcest resource.
 double FreeShare(const Room& free, const Room& whole) {
   const auto share = [](int64_t part, int64_t all) {
     return all > 0 ? static_cast<double>(part) / static_cast<double>(all) : 0.0;
@@ -58,43 +60,44 @@
 
 }  // namespace
 
-bool PoolPlanner::Confirmed(Time now) const {
-  return confirmed_ && now - *confirmed_ < options_.confirm_limit;
+bool PoolPlanner::LeadershipConfirmed(Time now) const {
+  return leadership_confirmed_ && now - *leadership_confirmed_ < options_.confirm_age_limit;
 }
 
 bool PoolPlanner::MayStart(Time now) const {
-  return Confirmed(now) && operators_read_ && now - *operators_read_ < options_.document_limit;
+  return LeadershipConfirmed(now) && operator_state_read_ &&
+         now - *operator_state_read_ < options_.document_age_limit;
 }
 
-bool PoolPlanner::InheritedIsSafe(Time now) const {
-  return unheard_.empty() || now >= inherited_safe_at_;
+bool PoolPlanner::MayStartInherited(Time now) const {
+  return unreported_agents_.empty() || now >= inherited_start_time_;
 }
 
 void PoolPlanner::Plan(int64_t wall_ms, Time now) {
-  lateness_.Update(now);
+  planner_lag_.Update(now);
   ExpireLeases(now);
-  TakeBackLateStarts(now);
-  DropOldJobs(wall_ms);
+  RevokeOverdueStarts(now);
+  RemoveExpiredJobs(wall_ms);
   if (!MayStart(now) || !RoundIsDue(now)) return;
   BeginRound(now);
   const std::vector<Unit> units = CollectUnits(wall_ms, now);
   LogQueue(units, now);
   for (const Unit& unit : units) {
-    if (!lateness_.MayStartMore(starts_under_way_)) break;
-    if (!TryReservation(unit, now)) TryUnit(unit, wall_ms, now);
+    if (!planner_lag_.MayStartMore(starts_in_flight_)) break;
+    if (!TryReservedRoom(unit, now)) TryUnit(unit, wall_ms, now);
   }
-  std::erase_if(reservations_, [now](const auto& row) { return now >= row.second.until; });
+  std::erase_if(reclaim_reservations_, [now](const auto& row) { return now >= row.second.until; });
 }
 
 void PoolPlanner::LogQueue(const std::vector<Unit>& units, Time now) {
-  if (units.empty() || (queue_logged_ && now - *queue_logged_ < kLogQueueEvery)) return;
-  queue_logged_ = now;
+  if (units.empty() || (last_queue_log_ && now - *last_queue_log_ < kQueueLogInterval)) return;
+  last_queue_log_ = now;
   Room whole;
   Room free;
   int usable = 0;
   for (const auto& [node, worker] : workers_) {
     if (!worker.usable(now) || judge_.SetAside(node, now)) continue;
-    if (operators_->zones_out.count(worker.zone) > 0) continue;
+    if (operator_state_->zones_out.count(worker.zone) > 0) continue;
     ++usable;
     whole += worker.facts.capacity;
     free += worker.left;
@@ -108,8 +111,8 @@
   }
   LogEvent(LogLevel::kInfo, "queue",
            {{"waiting", steps},
-            {"late_s", Seconds(lateness_.late())},
-            {"starts_under_way", starts_under_way_},
+            {"late_s", Seconds(planner_lag_.lag())},
+            {"starts_under_way", starts_in_flight_},
             {"workers", usable},
             {"accelerators", whole.accelerators},
             {"accelerators_free", free.accelerators},
@@ -119,43 +122,43 @@
 }
 
 bool PoolPlanner::RoundIsDue(Time now) const {
-  // Pauses, due times and reservations run out without anything else happening.
-  return changed_ || !last_round_ || now - *last_round_ >= kLongestPause;
+  // Delays, due times and reservations expire without any other event.
+  return needs_planning_ || !last_round_ || now - *last_round_ >= kMaxRoundInterval;
 }
 
-Tenants PoolPlanner::TenantsOf(const WorkerState& worker) {
-  if (worker.live.empty()) return Tenants::kNone;
+Occupancy PoolPlanner::OccupancyOf(const WorkerState& worker) {
+  if (worker.live.empty()) return Occupancy::kNone;
   const bool saved = std::all_of(worker.live.begin(), worker.live.end(),
                                  [](const auto& row) { return row.second.saved; });
-  return saved ? Tenants::kSaved : Tenants::kUnsaved;
+  return saved ? Occupancy::kResumable : Occupancy::kNotResumable;
 }
 
 void PoolPlanner::BeginRound(Time now) {
-  changed_ = false;
+  needs_planning_ = false;
   last_round_ = now;
   reclaims_left_ = kReclaimsPerRound;
-  holds_.clear();
-  freeing_.clear();
+  backfill_reservations_.clear();
+  room_releases_.clear();
   advice_.BeginRound();
-  pool_ = PoolRoom();
+  pool_room_ = PoolRoom();
   Room all;
   Room all_left;
   std::map<std::string, Room> capacity;
-  starts_under_way_ = 0;
+  starts_in_flight_ = 0;
   for (auto& [node, worker] : workers_) {
     for (const auto& [id, run] : worker.live) {
-      starts_under_way_ += run.phase == RunPhase::kOrdered;
+      starts_in_flight_ += run.phase == RunPhase::kOrdered;
     }
     worker.left = worker.free();
-    worker.tenants = TenantsOf(worker);
+    worker.occupancy = OccupancyOf(worker);
     capacity[worker.facts.service] += worker.facts.capacity;
     all += worker.facts.capacity;
     all_left += worker.left;
     if (!worker.usable(now)) continue;
-    pool_.whole += worker.facts.capacity;
-    pool_.free += worker.left;
+    pool_room_.whole += worker.facts.capacity;
+    pool_room_.free += worker.left;
   }
-  idle_ = FreeShare(pool_.free, pool_.whole) > kIdleShare;
+  mostly_idle_ = FreeShare(pool_room_.free, pool_room_.whole) > kMostlyIdleShare;
   if (FreeShare(all_left, all) <= kHalfIdleShare) {
     half_idle_since_.reset();
   } else if (!half_idle_since_) {
@@ -177,39 +180,40 @@
       use += job.spec.steps[static_cast<size_t>(place.step)].need.accelerators;
     }
   }
-  reserve_.NoteDemand(pool_, demand, now);
+  reserve_.NoteDemand(pool_room_, demand, now);
 }
 
 void PoolPlanner::ExpireLeases(Time now) {
   for (auto& [node, worker] : workers_) {
-    // What a late planner has not read yet is no silence of the agent's.
-    const bool lapsed = now > worker.lease_until + options_.lease_margin + lateness_.late();
-    if (!worker.known || !lapsed) continue;
+    // Reports that a lagging planner has not read yet do not mean that the agent is silent.
+    const bool expired = now > worker.lease_until + options_.lease_margin + planner_lag_.lag();
+    if (!worker.known || !expired) continue;
     worker.known = false;
-    LoseRuns(&worker, "the agent has not been heard for a lease", now);
+    DropLostRuns(&worker, "no report from the agent within its lease", now);
   }
 }
 
-Duration PoolPlanner::StartLimit(bool gang) const {
-  if (!gang) return options_.start_limit + lateness_.late();
-  return std::min(options_.gang_start_limit + lateness_.late(), options_.longest_gang_start);
+Duration PoolPlanner::StartTimeout(bool gang) const {
+  if (!gang) return options_.start_timeout + planner_lag_.lag();
+  return std::min(options_.gang_start_timeout + planner_lag_.lag(),
+                  options_.max_gang_start_timeout);
 }
 
-void PoolPlanner::TakeBackLateStarts(Time now) {
+void PoolPlanner::RevokeOverdueStarts(Time now) {
   for (auto& [node, worker] : workers_) {
     for (auto& [id, run] : worker.live) {
       if (run.phase != RunPhase::kOrdered) continue;
       Job* job = FindJob(id.task.job);
       const StepSpec* step = job == nullptr ? nullptr : FindStep(*job, id.task);
       const bool gang = step != nullptr && step->gang;
-      if (now - run.since < StartLimit(gang)) continue;
+      if (now - run.since < StartTimeout(gang)) continue;
       LogEvent(LogLevel::kWarning, "start_late",
                {{"job", id.task.job},
                 {"task", TaskName(id.task)},
                 {"node", node},
                 {"unheard_s", Seconds(now - worker.heard)},
-                {"planner_late_s", Seconds(lateness_.late())}});
-      if (lateness_.late() == Duration::zero()) judge_.OrderNotTaken(node, now);
+                {"planner_late_s", Seconds(planner_lag_.lag())}});
+      if (planner_lag_.lag() == Duration::zero()) judge_.OrderNotTaken(node, now);
       StopRun(&worker, &run);
       if (gang) StopGang(*job, id);
     }
@@ -219,8 +223,8 @@
 std::vector<PoolPlanner::Unit> PoolPlanner::CollectUnits(int64_t wall_ms, Time now) {
   std::vector<Unit> units;
   for (auto& [id, job] : jobs_) {
-    if (IsOver(job.progress.state) || job.accepted > outbox_.kept()) continue;
-    if (job.inherited && !InheritedIsSafe(now)) continue;
+    if (IsOver(job.progress.state) || job.accepted_ticket > outbox_.kept()) continue;
+    if (job.inherited && !MayStartInherited(now)) continue;
     const Schedule& schedule = job.spec.schedule;
     for (int occurrence = 0; occurrence < job.spec.occurrences(); ++occurrence) {
       if (schedule.first_due_ms + occurrence * schedule.interval_ms > wall_ms) break;
@@ -230,19 +234,20 @@
     }
   }
   std::stable_sort(units.begin(), units.end(), [](const Unit& left, const Unit& right) {
-    return std::make_tuple(left.priority, !left.entitled, left.prospect, left.due_ms) <
-           std::make_tuple(right.priority, !right.entitled, right.prospect, right.due_ms);
+    return std::make_tuple(left.priority, !left.within_guarantee, left.prospect, left.due_ms) <
+           std::make_tuple(right.priority, !right.within_guarantee, right.prospect, right.due_ms);
   });
   return units;
 }
 
 PoolPlanner::Prospect PoolPlanner::ProspectOf(const Unit& unit, int64_t wall_ms) const {
   const int64_t over_ms = wall_ms + Millis(unit.timing.rest);
-  if (over_ms <= unit.due_ms) return Prospect::kInTime;
-  const int64_t useless_ms = unit.begun_ms + kUselessAfter * (unit.due_ms - unit.begun_ms);
-  if (over_ms > useless_ms) return Prospect::kUseless;
-  if (!Uses(Mechanism::kLastCall)) return Prospect::kLate;
-  return over_ms + Millis(kLastCall) > useless_ms ? Prospect::kLastCall : Prospect::kLate;
+  if (over_ms <= unit.due_ms) return Prospect::kOnTime;
+  const int64_t worthless_ms = unit.start_ms + kUselessAfter * (unit.due_ms - unit.start_ms);
+  if (over_ms > worthless_ms) return Prospect::kWorthless;
+  if (!IsEnabled(Mechanism::kExpiringJobsFirst)) return Prospect::kPastDue;
+  return over_ms + Millis(kExpiringWindow) > worthless_ms ? Prospect::kExpiring
+                                                          : Prospect::kPastDue;
 }
 
 void PoolPlanner::CollectStep(Job* job, const StepPlace& place, int64_t wall_ms, Time now,
@@ -254,7 +259,7 @@
   for (int index = 0; index < step.tasks; ++index) {
     const TaskPlace task = {place.occurrence, place.step, index};
     if (job->runs.count(task) > 0) {
-      // A gang starts again only when nothing of its last run is left.
+      // A gang starts again only after its last run has ended completely.
       if (step.gang) return;
       continue;
     }
@@ -263,20 +268,21 @@
   if (unit.waiting.empty()) return;
   StepState& state = job->steps[place];
   if (!state.ready_since) state.ready_since = now;
-  if (now < state.not_before) return;
+  if (now < state.retry_after) return;
   const QueueTerms& terms = Terms(*job);
   unit.job = job;
   unit.place = place;
   unit.priority = terms.priority;
-  unit.begun_ms = BegunMs(job->spec, place.occurrence);
+  unit.start_ms = BegunMs(job->spec, place.occurrence);
   unit.timing = appraiser_.TimingOf(job->spec, terms, place, wall_ms);
   unit.expected = appraiser_.ExpectedTime(job->spec, step);
-  unit.due_ms = unit.begun_ms + Millis(terms.target_latency) +
+  unit.due_ms = unit.start_ms + Millis(terms.target_latency) +
                 Millis(Scaled(unit.timing.chain, terms.stretch));
   unit.prospect = ProspectOf(unit, wall_ms);
   if (terms.priority == 0) {
     const int64_t wanted = step.need.accelerators * static_cast<int64_t>(unit.waiting.size());
-    unit.entitled = UrgentUse(job->spec.workspace) + wanted <= GuaranteedFor(job->spec.workspace);
+    unit.within_guarantee =
+        UrgentUse(job->spec.workspace) + wanted <= GuaranteedFor(job->spec.workspace);
   }
   units->push_back(std::move(unit));
 }
@@ -292,33 +298,35 @@
 std::vector<WorkerRoom> PoolPlanner::RoomsFor(const Unit& unit, bool empty, Time now) const {
   const StepSpec& step = unit.job->spec.steps[static_cast<size_t>(unit.place.step)];
   const std::string& service = Terms(*unit.job).service;
-  const bool only_sound = !empty && Uses(Mechanism::kLastTry) && GuardsLastTry(unit, now);
+  const bool only_healthy =
+      !empty && IsEnabled(Mechanism::kProtectLastAttempt) && ProtectsLastAttempt(unit, now);
   std::vector<WorkerRoom> rooms;
   for (const auto& [node, worker] : workers_) {
     if (!worker.usable(now) || worker.facts.service != service) continue;
-    if (operators_->zones_out.count(worker.zone) > 0) continue;
+    if (operator_state_->zones_out.count(worker.zone) > 0) continue;
     if (!step.label.empty() && !Contains(worker.facts.labels, step.label)) continue;
     if (!empty && judge_.SetAside(node, now)) continue;
     if (Terms(*unit.job).advised &&
         !advice_.MayRun({unit.job->spec.id, unit.place}, AdvisedWorkerOf(worker))) {
       continue;
     }
-    if (only_sound && judge_.Doubtful(node, now)) continue;
+    if (only_healthy && judge_.Doubtful(node, now)) continue;
     WorkerRoom room;
     room.node = node;
     room.rack = worker.facts.rack;
     room.free = empty ? worker.facts.capacity : worker.left;
     room.doubtful = judge_.Doubtful(node, now);
-    room.tenants = empty || !Uses(Mechanism::kLikeWithLike) ? Tenants::kNone : worker.tenants;
-    room.most_tasks = static_cast<int>(unit.waiting.size());
+    room.occupancy =
+        empty || !IsEnabled(Mechanism::kGroupSimilarTasks) ? Occupancy::kNone : worker.occupancy;
+    room.max_tasks = static_cast<int>(unit.waiting.size());
     if (step.most_per_worker > 0) {
-      room.most_tasks = step.most_per_worker - TasksOnWorker(*unit.job, unit.place, node);
+      room.max_tasks = step.most_per_worker - TasksOnWorker(*unit.job, unit.place, node);
     }
     rooms.push_back(room);
   }
   if (empty) return rooms;
-  LeaveHeldRoom(unit, &rooms, now);
-  for (const auto& [key, reservation] : reservations_) {
+  SubtractReservedRoom(unit, &rooms, now);
+  for (const auto& [key, reservation] : reclaim_reservations_) {
     if (key.first == unit.job->spec.id && key.second == unit.place) continue;
     for (const std::string& node : reservation.placement) {
       for (WorkerRoom& room : rooms) {
@@ -329,8 +337,8 @@
   return rooms;
 }
 
-bool PoolPlanner::GuardsLastTry(const Unit& unit, Time now) const {
-  if (now - *unit.job->steps.at(unit.place).ready_since > kGuardLastTry) return false;
+bool PoolPlanner::ProtectsLastAttempt(const Unit& unit, Time now) const {
+  if (now - *unit.job->steps.at(unit.place).ready_since > kLastAttemptWait) return false;
   const size_t last = static_cast<size_t>(std::max(Terms(*unit.job).max_attempts - 1, 0));
   return std::any_of(unit.waiting.begin(), unit.waiting.end(), [&](int index) {
     const auto failed =
@@ -339,72 +347,72 @@
   });
 }
 
-bool PoolPlanner::TryReservation(const Unit& unit, Time now) {
+bool PoolPlanner::TryReservedRoom(const Unit& unit, Time now) {
   const UnitKey key = {unit.job->spec.id, unit.place};
-  const auto found = reservations_.find(key);
-  if (found == reservations_.end()) return false;
+  const auto found = reclaim_reservations_.find(key);
+  if (found == reclaim_reservations_.end()) return false;
   std::map<std::string, int> wanted;
   for (const std::string& node : found->second.placement) ++wanted[node];
   const std::vector<WorkerRoom> rooms = StartRoomsFor(unit, now);
-  const bool free = std::all_of(wanted.begin(), wanted.end(), [&](const auto& row) {
+  const bool fits = std::all_of(wanted.begin(), wanted.end(), [&](const auto& row) {
     return std::any_of(rooms.begin(), rooms.end(), [&](const WorkerRoom& room) {
       return room.node == row.first &&
-             FitCount(room.free, found->second.need, room.most_tasks) >= row.second;
+             FitCount(room.free, found->second.need, room.max_tasks) >= row.second;
     });
   });
-  if (!free) {
-    WantAdvice(unit, now);
+  if (!fits) {
+    RequestAdvice(unit, now);
     return now < found->second.until;
   }
   const Placement placement = found->second.placement;
-  reservations_.erase(found);
+  reclaim_reservations_.erase(found);
   Start(unit, placement, now);
   return true;
 }
 
-Placement PoolPlanner::PlaceUnit(const Unit& unit, PlaceWish* wish, Time now) const {
+Placement PoolPlanner::PlaceUnit(const Unit& unit, PlacementRequest* request, Time now) const {
   const std::vector<WorkerRoom> rooms = StartRoomsFor(unit, now);
-  Placement placement = Place(*wish, rooms);
-  const bool bound_to_rack = wish->step->one_rack || !wish->step->data_rack.empty();
-  if (static_cast<int>(placement.size()) == wish->tasks || !bound_to_rack) return placement;
-  if (!StraysNow(unit, *wish, now)) return placement;
-  wish->may_stray = true;
-  return Place(*wish, rooms);
+  Placement placement = Place(*request, rooms);
+  const bool needs_rack = request->step->one_rack || !request->step->data_rack.empty();
+  if (static_cast<int>(placement.size()) == request->tasks || !needs_rack) return placement;
+  if (!ShouldGoOffRack(unit, *request, now)) return placement;
+  request->allow_off_rack = true;
+  return Place(*request, rooms);
 }
 
 void PoolPlanner::TryUnit(const Unit& unit, int64_t wall_ms, Time now) {
-  PlaceWish wish;
-  wish.step = &unit.job->spec.steps[static_cast<size_t>(unit.place.step)];
-  const int spare = SpareTasks(unit, now);
+  PlacementRequest request;
+  request.step = &unit.job->spec.steps[static_cast<size_t>(unit.place.step)];
+  const int spare = MaxTasksNow(unit, now);
   const int all = static_cast<int>(unit.waiting.size());
-  if (spare < all && (spare == 0 || wish.step->gang)) return;
-  wish.tasks = std::min(all, spare);
-  const Placement placement = PlaceUnit(unit, &wish, now);
+  if (spare < all && (spare == 0 || request.step->gang)) return;
+  request.tasks = std::min(all, spare);
+  const Placement placement = PlaceUnit(unit, &request, now);
   if (!placement.empty()) Start(unit, placement, now);
   if (spare < all) return;
-  if (static_cast<int>(placement.size()) == wish.tasks) return;
-  WantAdvice(unit, now);
-  TryReclaim(unit, wish, wall_ms, now);
-  if (!lateness_.sheds()) HoldRoom(unit, wish, now);
+  if (static_cast<int>(placement.size()) == request.tasks) return;
+  RequestAdvice(unit, now);
+  TryReclaim(unit, request, wall_ms, now);
+  if (!planner_lag_.overloaded()) ReserveForBackfill(unit, request, now);
 }
 
-int PoolPlanner::SpareTasks(const Unit& unit, Time now) const {
+int PoolPlanner::MaxTasksNow(const Unit& unit, Time now) const {
   const int all = static_cast<int>(unit.waiting.size());
   const StepSpec& step = unit.job->spec.steps[static_cast<size_t>(unit.place.step)];
-  if (unit.priority == 0 || !Uses(Mechanism::kUrgentReserve)) return all;
-  // Tasks that last serve from their start on, so that none of their waiting is free.
+  if (unit.priority == 0 || !IsEnabled(Mechanism::kUrgentReserve)) return all;
+  // Lasting tasks serve from their start on, so that any waiting counts against them.
   if (step.lasting || !CanWait(unit.timing)) return all;
-  // A job that stands still for longer beside idle workers counts as forgotten.
+  // A job that waits longer beside idle workers counts as forgotten.
   const Time ready_since = *unit.job->steps.at(unit.place).ready_since;
   if (half_idle_since_ && unit.job->runs.empty() &&
-      now - std::max(*half_idle_since_, ready_since) > kIdleWait) {
+      now - std::max(*half_idle_since_, ready_since) > kMaxWaitWhenIdle) {
     return all;
   }
-  return reserve_.TasksBeside(pool_, step.need, all, now);
+  return reserve_.TasksBeside(pool_room_, step.need, all, now);
 }
 
 int64_t PoolPlanner::GuaranteedFor(const std::string& workspace) const {
-  const Workspace* found = operators_->config.FindWorkspace(workspace);
+  const Workspace* found = operator_state_->config.FindWorkspace(workspace);
   return found == nullptr ? 0 : found->guaranteed_accelerators;
 }
 
@@ -414,16 +422,16 @@
 }
 
 void PoolPlanner::Start(const Unit& unit, const Placement& placement, Time now) {
-  // The epoch stands in the high part, so that numbers rise over planners as well.
+  // The epoch is in the high bits, so that run numbers increase across planners as well.
   constexpr int kStartBits = 24;
-  const int64_t number = (epoch_ << kStartBits) + ++starts_;
+  const int64_t number = (epoch_ << kStartBits) + ++start_count_;
   Job* job = unit.job;
   const StepSpec& step = job->spec.steps[static_cast<size_t>(unit.place.step)];
   std::set<std::string> racks;
   for (const std::string& node : placement) racks.insert(workers_[node].facts.rack);
-  const bool torn = step.one_rack && racks.size() > 1;
-  // A planner that follows starts queued jobs at once, without asking what runs; so nothing may run
-  // of a job that the store still has as queued.
+  const bool over_racks = step.one_rack && racks.size() > 1;
+  // A successor starts queued jobs immediately, without asking what runs. So nothing of a job may
+  // run while the store has it as queued.
   MarkRunning(job);
   size_t next = 0;
   for (const int index : unit.waiting) {
@@ -440,25 +448,26 @@
       run.ticket =
           advice_.TicketFor({job->spec.id, unit.place}, AdvisedWorkerOf(worker), now).value_or("");
     }
-    const bool away = !step.data_rack.empty() && worker.facts.rack != step.data_rack;
-    run.estimate = Scaled(unit.expected, torn || away ? options_.stray_factor : 1.0);
-    run.released_by = job->begun;
+    const bool away_from_data = !step.data_rack.empty() && worker.facts.rack != step.data_rack;
+    run.estimate =
+        Scaled(unit.expected, over_racks || away_from_data ? options_.off_rack_slowdown : 1.0);
+    run.released_by = job->running_ticket;
     const auto saved =
         job->progress.checkpoints.find({place.occurrence, place.step, step.gang ? 0 : index});
     if (saved != job->progress.checkpoints.end()) run.checkpoint = saved->second;
     run.saved = step.checkpoints;
-    if (worker.tenants != Tenants::kUnsaved) {
-      worker.tenants = step.checkpoints ? Tenants::kSaved : Tenants::kUnsaved;
+    if (worker.occupancy != Occupancy::kNotResumable) {
+      worker.occupancy = step.checkpoints ? Occupancy::kResumable : Occupancy::kNotResumable;
     }
-    run.clean = run.checkpoint.empty() && !torn && !away;
+    run.clean = run.checkpoint.empty() && !over_racks && !away_from_data;
     worker.live[run.run] = run;
     worker.left -= run.need;
-    pool_.free -= run.need;
+    pool_room_.free -= run.need;
     if (run.fills) worker.left.processor_millis += run.need.processor_millis;
     if (run.released_by > outbox_.kept()) {
-      releases_.emplace(run.released_by, worker.node);
+      pending_starts_.emplace(run.released_by, worker.node);
     } else {
-      NoteNews(&worker);
+      NotePendingOrders(&worker);
     }
     job->runs[place] = {number, worker.node};
     LogEvent(LogLevel::kInfo, "run_placed",
@@ -470,7 +479,7 @@
               {"waited_s", Seconds(now - *job->steps.at(unit.place).ready_since)},
               {"epoch", epoch_}});
   }
-  starts_under_way_ += static_cast<int>(next);
+  starts_in_flight_ += static_cast<int>(next);
   if (next > 0) job->steps.at(unit.place).ready_since.reset();
   if (unit.priority == 0) {
     urgent_use_[job->spec.workspace] += step.need.accelerators * static_cast<int64_t>(next);
--- a/servers/pool/pool_planner_reclaiming.cc
+++ b/servers/pool/pool_planner_reclaiming.cc
@@ -1,9 +1,9 @@
-// Who has to make way, for whom, and for how much.
+// Decides which runs are preempted, for which unit, and at what cost.
 //
-// Load pattern: bursts of urgent gangs over a pool full of long tasks. Within their workspace's
-// guarantee they have the room back within the operators' bound; beyond it, others are stopped only
-// where that is likely to gain more than it costs: against waiting for what ends anyway, and with
-// what those who are stopped lose by coming later.
+// Load pattern: bursts of urgent gangs in a pool full of long tasks. Within their workspace's
+// guarantee they get the room back within the operators' bound. Beyond it, runs are preempted only
+// where the expected gain, compared with waiting for runs to end, exceeds the cost, which includes
+// the value that the victims' jobs lose by ending later.
 #include <algorithm>
 
 #include "core/logging.h"
@@ -12,64 +12,65 @@
 namespace turmericshift::pool {
 namespace {
 
-// The same unit is weighed again after this, well within the bound on reclaiming.
-constexpr Duration kReclaimPause = std::chrono::milliseconds(300);
-// Work that has been interrupted before is dearer to interrupt again, so that two urgent streams do
-// not stop the same job for ever.
-constexpr double kAgainFactor = 2.0;
-// Starting again what has just been started wastes the start as well.
-constexpr double kLeastLostSeconds = 0.3;
+// Preemption for the same unit is considered again after this time, well within the bound on
+// reclaiming.
+constexpr Duration kReclaimInterval = std::chrono::milliseconds(300);
+// Work that has been preempted before costs more to preempt again, so that two urgent streams do
+// not stop the same job forever.
+constexpr double kRepeatCostFactor = 2.0;
+// Stopping a run that has just been started wastes at least its start.
+constexpr double kMinLostSeconds = 0.3;
 
-// A guarantee is had back at any price.
-constexpr double kNoLimit = 1e9;
+// Guaranteed room is reclaimed at any cost.
+constexpr double kUnlimitedCost = 1e9;
 
-// Seconds of work that stopping the run throws away.
+// Seconds of work lost by stopping the run.
 double LostSeconds(const LiveRun& run, const StepSpec& step, Duration restore, Time now) {
   if (step.checkpoints) return Seconds(restore);
-  return std::max(kLeastLostSeconds, Seconds(now - run.since));
+  return std::max(kMinLostSeconds, Seconds(now - run.since));
 }
 
 }  // namespace
 
-double PoolPlanner::ReclaimLimit(const Unit& unit, const PlaceWish& rest, Time now) const {
+double PoolPlanner::MaxReclaimCost(const Unit& unit, const PlacementRequest& rest, Time now) const {
   const std::optional<RoomForecast> forecast = ForecastRoom(rest, FutureRoomsFor(unit, now));
-  // Far beyond any time of use, for what never fits.
-  const Duration wait = forecast ? forecast->in : Duration(std::chrono::hours(1));
+  // A request that never fits has a wait beyond any due time.
+  const Duration wait = forecast ? forecast->delay : Duration(std::chrono::hours(1));
   const double gain =
-      std::max(0.0, ExpectedShare(unit.timing, stop_takes_) - ExpectedShare(unit.timing, wait));
-  if (unit.entitled) {
+      std::max(0.0, ExpectedShare(unit.timing, mean_stop_time_) - ExpectedShare(unit.timing, wait));
+  if (unit.within_guarantee) {
     const Duration waited = now - *unit.job->steps.at(unit.place).ready_since;
-    const bool comes_anyway =
-        Uses(Mechanism::kOwedPatience) && waited + wait < options_.owed_patience;
-    return comes_anyway ? 0 : kNoLimit;
+    const bool frees_up_anyway = IsEnabled(Mechanism::kWaitForGuaranteedRoom) &&
+                                 waited + wait < options_.guaranteed_wait_limit;
+    return frees_up_anyway ? 0 : kUnlimitedCost;
   }
-  return Uses(Mechanism::kBorrowedRoom)
+  return IsEnabled(Mechanism::kPreemptForBorrowedRoom)
              ? gain * appraiser_.WorthOf(unit.job->spec, Terms(*unit.job))
              : 0;
 }
 
-double PoolPlanner::CostOfStop(const Job& job, const LiveRun& run, Duration away, int64_t wall_ms,
-                               Time now) const {
+double PoolPlanner::PreemptionCost(const Job& job, const LiveRun& run, Duration room_taken_for,
+                                   int64_t wall_ms, Time now) const {
   const StepPlace place = {run.run.task.occurrence, run.run.task.step};
   const StepSpec& step = job.spec.steps[static_cast<size_t>(place.step)];
   JobTiming timing = appraiser_.TimingOf(job.spec, Terms(job), place, wall_ms);
   const Duration whole = appraiser_.ExpectedTime(job.spec, step);
-  const Duration left = run.progress.Left(run.estimate, run.since, now);
-  const Duration later = timing.rest - whole;
-  timing.rest = later + left;
+  const Duration left = run.progress.RemainingTime(run.estimate, run.since, now);
+  const Duration rest_after = timing.rest - whole;
+  timing.rest = rest_after + left;
   const double share_now = ExpectedShare(timing, Duration::zero());
-  timing.rest = later + (step.checkpoints ? left + options_.restore : whole);
-  const double share_then = ExpectedShare(timing, stop_takes_ + away);
+  timing.rest = rest_after + (step.checkpoints ? left + options_.restore : whole);
+  const double share_then = ExpectedShare(timing, mean_stop_time_ + room_taken_for);
   double loss = std::max(0.0, share_now - share_then) * appraiser_.WorthOf(job.spec, Terms(job));
-  if (!Uses(Mechanism::kLossOfStopped)) loss = 0;
-  // The members of a gang are stopped together and lose it once.
+  if (!IsEnabled(Mechanism::kVictimLoss)) loss = 0;
+  // The members of a gang are stopped together and share the loss.
   if (step.gang) loss /= step.tasks;
-  double thrown = Cores(run.need) * LostSeconds(run, step, options_.restore, now);
+  double lost_work = Cores(run.need) * LostSeconds(run, step, options_.restore, now);
   const auto state = job.steps.find(place);
-  if (state != job.steps.end() && Uses(Mechanism::kRepeatPrice)) {
-    thrown *= 1 + kAgainFactor * state->second.interrupted;
+  if (state != job.steps.end() && IsEnabled(Mechanism::kRepeatPreemptionCost)) {
+    lost_work *= 1 + kRepeatCostFactor * state->second.preemptions;
   }
-  return thrown + loss;
+  return lost_work + loss;
 }
 
 std::vector<Victim> PoolPlanner::VictimsFor(const Unit& unit, int64_t wall_ms, Time now) const {
@@ -85,15 +86,16 @@
       const int priority = Terms(job->second).priority;
       const bool urgent = priority == 0;
       if (unit.priority > 0 && priority <= unit.priority) continue;
-      // Urgent work beyond its workspace's guarantee is borrowed room for one within its own.
-      const bool borrowed = unit.entitled && workspace != unit.job->spec.workspace &&
+      // Urgent runs beyond their own workspace's guarantee occupy borrowed room, which a unit
+      // within its guarantee may reclaim.
+      const bool borrowed = unit.within_guarantee && workspace != unit.job->spec.workspace &&
                             UrgentUse(workspace) > GuaranteedFor(workspace);
       if (urgent && !borrowed) continue;
       Victim victim;
       victim.run = id;
       victim.node = node;
       victim.need = run.need;
-      victim.cost = CostOfStop(job->second, run, unit.expected, wall_ms, now);
+      victim.cost = PreemptionCost(job->second, run, unit.expected, wall_ms, now);
       if (step->gang) {
         victim.gang = id.task.job + "/" + std::to_string(id.task.occurrence) + "/" +
                       std::to_string(id.task.step);
@@ -104,22 +106,24 @@
   return victims;
 }
 
-void PoolPlanner::TryReclaim(const Unit& unit, const PlaceWish& wish, int64_t wall_ms, Time now) {
+void PoolPlanner::TryReclaim(const Unit& unit, const PlacementRequest& request, int64_t wall_ms,
+                             Time now) {
   StepState& state = unit.job->steps.at(unit.place);
-  const bool just_tried = state.reclaim_tried && now - *state.reclaim_tried < kReclaimPause;
-  if (reclaims_left_ == 0 || just_tried) return;
-  if (lateness_.sheds() && !unit.entitled) return;
+  const bool tried_recently =
+      state.last_reclaim_attempt && now - *state.last_reclaim_attempt < kReclaimInterval;
+  if (reclaims_left_ == 0 || tried_recently) return;
+  if (planner_lag_.overloaded() && !unit.within_guarantee) return;
   --reclaims_left_;
-  state.reclaim_tried = now;
-  PlaceWish rest = wish;
-  if (!wish.step->gang) {
-    // What fitted has been started above.
+  state.last_reclaim_attempt = now;
+  PlacementRequest rest = request;
+  if (!request.step->gang) {
+    // Tasks that fit have been started already.
     rest.tasks = 0;
     for (const int index : unit.waiting) {
       rest.tasks += unit.job->runs.count({unit.place.occurrence, unit.place.step, index}) == 0;
     }
   }
-  const double limit = ReclaimLimit(unit, rest, now);
+  const double limit = MaxReclaimCost(unit, rest, now);
   if (limit <= 0) return;
   const std::optional<ReclaimPlan> plan =
       ChooseVictims(rest, StartRoomsFor(unit, now), VictimsFor(unit, wall_ms, now));
@@ -129,16 +133,16 @@
       const auto live = worker.live.find(stop);
       if (live == worker.live.end()) continue;
       Job* job = FindJob(stop.task.job);
-      ++job->steps[{stop.task.occurrence, stop.task.step}].interrupted;
+      ++job->steps[{stop.task.occurrence, stop.task.step}].preemptions;
       live->second.stopping_since = now;
       StopRun(&worker, &live->second);
     }
   }
-  reservations_[{unit.job->spec.id, unit.place}] = {plan->placement, wish.step->need,
-                                                    now + options_.reservation_limit};
+  reclaim_reservations_[{unit.job->spec.id, unit.place}] = {plan->placement, request.step->need,
+                                                            now + options_.reservation_limit};
   LogEvent(LogLevel::kInfo, "room_reclaimed",
            {{"job", unit.job->spec.id},
-            {"entitled", unit.entitled},
+            {"entitled", unit.within_guarantee},
             {"stops", plan->stops.size()},
             {"lost_core_s", plan->cost},
             {"limit_core_s", limit},
--- a/servers/pool/pool_planner_reports.cc
+++ b/servers/pool/pool_planner_reports.cc
@@ -1,4 +1,4 @@
-// What agents report: which workers there are, what runs, what became of starts, how runs ended.
+// Processes the agents' reports: workers, running tasks, results of starts, and ends of runs.
 #include <algorithm>
 #include <deque>
 
@@ -8,61 +8,62 @@
 namespace turmericshift::pool {
 namespace {
 
-// A gang's failures and saved state are kept at its first task.
-TaskPlace KeptAt(const StepSpec& step, const TaskId& task) {
+// The failures and checkpoints of a gang are stored under its first task.
+TaskPlace StoredAt(const StepSpec& step, const TaskId& task) {
   return {task.occurrence, task.step, step.gang ? 0 : task.index};
 }
 
-// Processes of one agent that are remembered as replaced. A report of one is on its way for seconds
-// at most, in which a process that crashes at each start is replaced some ten times.
-constexpr size_t kFormerIncarnations = 16;
+// Number of replaced processes of an agent that are remembered. A report is in transit for seconds
+// at most, in which a process that crashes at each start is replaced about ten times.
+constexpr size_t kMaxFormerIncarnations = 16;
 
-// After a start was turned away: the cause is mostly over within this.
-constexpr Duration kPauseAfterRefusal = std::chrono::milliseconds(150);
+// Delay after a refused start: the cause is usually over within this time.
+constexpr Duration kStartRetryDelay = std::chrono::milliseconds(150);
 
 }  // namespace
 
-void PoolPlanner::TakeReport(const AgentReport& report, int64_t wall_ms, Time now) {
+void PoolPlanner::ApplyReport(const AgentReport& report, int64_t wall_ms, Time now) {
   WorkerState& worker = workers_[report.node];
   worker.node = report.node;
-  if (!TakeIncarnation(report, &worker, now)) return;
+  if (!AcceptIncarnation(report, &worker, now)) return;
   if (report.sequence <= worker.sequence) return;
   worker.sequence = report.sequence;
-  lateness_.Returned(report.node, now);
-  if (report.wait > Duration::zero()) lateness_.Heard(report.node, now + report.wait);
+  planner_lag_.NoteReportRead(report.node, now);
+  if (report.wait > Duration::zero()) planner_lag_.NotePollHeld(report.node, now + report.wait);
   worker.zone = report.zone;
   worker.heard = now;
-  // The answer will grant a lease from here on, and a planner before may have granted one just now.
+  // The answer will grant a lease that counts from now, and a previous planner may just have
+  // granted one.
   worker.lease_until = std::max(worker.lease_until, now + options_.lease);
   worker.version_seen = report.orders_seen;
-  TakeFacts(report, &worker, now);
+  ApplyWorkerFacts(report, &worker, now);
   if (report.epoch != epoch_ || report.worker.born_ms != worker.facts.born_ms) return;
-  unheard_.erase(report.node);
+  unreported_agents_.erase(report.node);
   if (!worker.known) {
     worker.known = true;
-    changed_ = true;
+    needs_planning_ = true;
     LogEvent(LogLevel::kInfo, "worker_known",
              {{"node", report.node},
               {"worker", worker.facts.id},
               {"running", report.running.size()},
-              {"unheard", unheard_.size()},
+              {"unheard", unreported_agents_.size()},
               {"epoch", epoch_}});
   }
-  // A new process of the agent does not know what leases the one before has passed on.
+  // A new process of the agent does not know the leases that its predecessor has passed on.
   const bool leases_known = now > worker.incarnation_since + options_.lease + options_.lease_margin;
-  const bool over =
+  const bool runs_over =
       !worker.facts.reachable && leases_known && report.lease_left <= Duration::zero();
-  // The list of a worker that is gone is an old one. Taken for news, each report would have its
-  // runs stopped anew, be answered at once and follow the next one within milliseconds.
-  if (!over) TakeRunning(report, &worker, now);
-  for (const StartResult& result : report.results) TakeResult(result, &worker, now);
-  for (const EndedTask& end : report.ended) TakeEnd(end, &worker, wall_ms, now);
+  // The list of a worker that is gone is outdated. If it were applied, each report would stop the
+  // runs again, be answered immediately and be followed by the next one within milliseconds.
+  if (!runs_over) ApplyRunning(report, &worker, now);
+  for (const StartResult& result : report.results) ApplyStartResult(result, &worker, now);
+  for (const EndedTask& end : report.ended) ApplyEnd(end, &worker, wall_ms, now);
   StopUnclearRuns(&worker);
-  JudgeStandstill(worker, now);
-  if (over) LoseRuns(&worker, "the worker is away and its lease has run out", now);
+  CheckForStall(worker, now);
+  if (runs_over) DropLostRuns(&worker, "the worker is unreachable and its lease has expired", now);
 }
 
-bool PoolPlanner::TakeIncarnation(const AgentReport& report, WorkerState* worker, Time now) {
+bool PoolPlanner::AcceptIncarnation(const AgentReport& report, WorkerState* worker, Time now) {
   if (worker->incarnation == report.incarnation) return true;
   std::deque<std::string>& former = worker->former_incarnations;
   if (std::find(former.begin(), former.end(), report.incarnation) != former.end()) {
@@ -71,30 +72,31 @@
     return false;
   }
   if (!worker->incarnation.empty()) former.push_back(worker->incarnation);
-  if (former.size() > kFormerIncarnations) former.pop_front();
+  if (former.size() > kMaxFormerIncarnations) former.pop_front();
   // A new process of the agent has seen none of the orders.
   worker->incarnation = report.incarnation;
   worker->incarnation_since = now;
   worker->sequence = -1;
-  NoteNews(worker);
+  NotePendingOrders(worker);
   for (auto& [id, run] : worker->live) {
     if (run.phase == RunPhase::kOrdered) run.phase = RunPhase::kUnclear;
   }
   return true;
 }
 
-void PoolPlanner::TakeFacts(const AgentReport& report, WorkerState* worker, Time now) {
+void PoolPlanner::ApplyWorkerFacts(const AgentReport& report, WorkerState* worker, Time now) {
   const WorkerFacts& facts = report.worker;
   if (facts.born_ms != worker->facts.born_ms) {
-    // An agent that has just started does not know its worker yet; nothing has changed there.
+    // An agent that has just started does not know its worker yet; nothing has changed on the
+    // worker.
     if (facts.born_ms == 0) return;
-    if (worker->facts.born_ms != 0) LoseRuns(worker, "the worker began a new life", now);
+    if (worker->facts.born_ms != 0) DropLostRuns(worker, "the worker has restarted", now);
     worker->facts = facts;
-    changed_ = true;
+    needs_planning_ = true;
     worker->ends.clear();
     worker->ends_seen = 0;
     worker->ends_kept = 0;
-    NoteNews(worker);
+    NotePendingOrders(worker);
     judge_.Forget(worker->node);
     LogEvent(LogLevel::kInfo, "worker_reported",
              {{"node", report.node},
@@ -112,20 +114,20 @@
     LogEvent(LogLevel::kInfo, "worker_draining",
              {{"node", report.node}, {"leaves_in_s", Seconds(facts.leaves_in)}});
   }
-  changed_ = changed_ || facts.draining != worker->facts.draining ||
-             facts.reachable != worker->facts.reachable;
+  needs_planning_ = needs_planning_ || facts.draining != worker->facts.draining ||
+                    facts.reachable != worker->facts.reachable;
   worker->facts = facts;
 }
 
-void PoolPlanner::TakeRunning(const AgentReport& report, WorkerState* worker, Time now) {
+void PoolPlanner::ApplyRunning(const AgentReport& report, WorkerState* worker, Time now) {
   for (const RunningTask& running : report.running) {
     const auto known = worker->live.find(running.run);
     if (known == worker->live.end()) {
-      Adopt(running, worker, now);
+      AdoptRun(running, worker, now);
       continue;
     }
     known->second.checkpoint = running.checkpoint;
-    known->second.progress.Note(running.percent, now);
+    known->second.progress.Update(running.percent, now);
     const RunPhase phase = known->second.phase;
     if (phase != RunPhase::kOrdered && phase != RunPhase::kUnclear) continue;
     known->second.phase = RunPhase::kRunning;
@@ -134,21 +136,22 @@
   }
 }
 
-// A worker that is stuck shows nothing but that its runs get no further; it seems to have room, and
-// more would be put there to stand still as well.
-void PoolPlanner::JudgeStandstill(const WorkerState& worker, Time now) {
+// A stuck worker is recognised only by its runs, which make no progress. It seems to have room, and
+// further tasks placed there would get stuck too.
+void PoolPlanner::CheckForStall(const WorkerState& worker, Time now) {
   if (!worker.facts.reachable) return;
   int running = 0;
   for (const auto& [id, run] : worker.live) {
     if (run.phase != RunPhase::kRunning) continue;
     ++running;
-    if (!run.progress.StandsStill(run.estimate, now)) return;
+    if (!run.progress.IsStalled(run.estimate, now)) return;
   }
-  if (running > 0 && Uses(Mechanism::kStandstill)) judge_.StandsStill(worker.node, now);
+  if (running > 0 && IsEnabled(Mechanism::kExcludeStalledWorkers))
+    judge_.StandsStill(worker.node, now);
 }
 
-// What the worker lists neither as running nor as ended may still begin: the call that the agent's
-// process before sent can be carried out seconds later. A stop makes the worker refuse it then.
+// A run that the worker lists neither as running nor as ended may still begin: the call sent by the
+// agent's previous process can be carried out seconds later. After a stop the worker refuses it.
 void PoolPlanner::StopUnclearRuns(WorkerState* worker) {
   if (!worker->facts.reachable) return;
   for (auto& [id, run] : worker->live) {
@@ -160,13 +163,13 @@
   }
 }
 
-void PoolPlanner::Adopt(const RunningTask& running, WorkerState* worker, Time now) {
+void PoolPlanner::AdoptRun(const RunningTask& running, WorkerState* worker, Time now) {
   const TaskId& task = running.run.task;
   LiveRun live;
   live.run = running.run;
   live.since = now;
   live.checkpoint = running.checkpoint;
-  live.progress.Note(running.percent, now);
+  live.progress.Update(running.percent, now);
   Job* job = FindJob(task.job);
   const StepSpec* step = job == nullptr ? nullptr : FindStep(*job, task);
   const TaskPlace place = {task.occurrence, task.step, task.index};
@@ -183,8 +186,8 @@
     job->runs[place] = {running.run.number, worker->node};
     MarkRunning(job);
   }
-  NoteNews(worker);
-  changed_ = true;
+  NotePendingOrders(worker);
+  needs_planning_ = true;
   worker->live[running.run] = live;
   LogEvent(LogLevel::kInfo, wanted ? "run_adopted" : "run_unwanted",
            {{"task", TaskName(task)},
@@ -193,7 +196,7 @@
             {"epoch", epoch_}});
 }
 
-void PoolPlanner::TakeResult(const StartResult& result, WorkerState* worker, Time now) {
+void PoolPlanner::ApplyStartResult(const StartResult& result, WorkerState* worker, Time now) {
   const auto live = worker->live.find(result.run);
   if (live == worker->live.end()) return;
   Job* job = FindJob(result.run.task.job);
@@ -204,17 +207,17 @@
   }
   const bool was_ordered = live->second.phase == RunPhase::kOrdered;
   worker->live.erase(live);
-  changed_ = true;
+  needs_planning_ = true;
   if (job == nullptr) return;
   const TaskId& task = result.run.task;
   const StepSpec* step = FindStep(*job, task);
-  ForgetRun(result.run, job);
+  RemoveRun(result.run, job);
   if (!was_ordered) return;
   if (result.outcome == StartOutcome::kTicketRefused) {
     advice_.TicketRefused({task.job, {task.occurrence, task.step}}, AdvisedWorkerOf(*worker));
   }
   if (result.outcome == StartOutcome::kNotRun) judge_.OrderNotTaken(worker->node, now);
-  job->steps[{task.occurrence, task.step}].not_before = now + kPauseAfterRefusal;
+  job->steps[{task.occurrence, task.step}].retry_after = now + kStartRetryDelay;
   if (step != nullptr && step->gang) StopGang(*job, result.run);
   LogEvent(LogLevel::kWarning, "start_not_taken",
            {{"job", task.job},
@@ -224,10 +227,10 @@
             {"reason", result.reason}});
 }
 
-void PoolPlanner::TakeEnd(const EndedTask& end, WorkerState* worker, int64_t wall_ms, Time now) {
+void PoolPlanner::ApplyEnd(const EndedTask& end, WorkerState* worker, int64_t wall_ms, Time now) {
   if (end.number <= worker->ends_seen) return;
   worker->ends_seen = end.number;
-  changed_ = true;
+  needs_planning_ = true;
   const Ticket before = outbox_.newest();
   const auto live = worker->live.find(end.run);
   const bool asked_to_stop =
@@ -235,7 +238,7 @@
   std::optional<Duration> clean_time;
   if (live != worker->live.end()) {
     if (live->second.clean) clean_time = now - live->second.since;
-    if (asked_to_stop && end.kind == EndKind::kStopped) NoteStop(live->second, now);
+    if (asked_to_stop && end.kind == EndKind::kStopped) RecordStopTime(live->second, now);
     worker->live.erase(live);
   }
   const TaskId& task = end.run.task;
@@ -244,26 +247,27 @@
   if (step != nullptr && !IsOver(job->progress.state)) {
     const auto current = job->runs.find({task.occurrence, task.step, task.index});
     const bool replaced = current != job->runs.end() && current->second.number != end.run.number;
-    ForgetRun(end.run, job);
+    RemoveRun(end.run, job);
     if (end.kind == EndKind::kDone) {
       judge_.RunDone(worker->node);
       if (clean_time) appraiser_.NoteRun(job->spec.queue, step->estimate, *clean_time);
-      // A run that was given up when its lease ran out; another has been started since.
-      if (!replaced) TakeDone(end, job, wall_ms);
+      // Skips a run that was given up when its lease expired; another run has been started since.
+      if (!replaced) ApplyDone(end, job, wall_ms);
     } else if (end.kind == EndKind::kFailed) {
-      if (Uses(Mechanism::kWorkerJudge)) judge_.RunFailed(worker->node, task.job, now);
+      if (IsEnabled(Mechanism::kExcludeFailingWorkers))
+        judge_.RunFailed(worker->node, task.job, now);
       SaveCheckpoint(end.run, end.checkpoint, job);
-      TakeFailed(end, job, wall_ms);
+      ApplyFailure(end, job, wall_ms);
     } else {
       SaveCheckpoint(end.run, end.checkpoint, job);
     }
     if (step->gang && end.kind != EndKind::kDone && !replaced) StopGang(*job, end.run);
   } else if (job != nullptr) {
-    ForgetRun(end.run, job);
+    RemoveRun(end.run, job);
   }
-  // Ends that changed nothing are kept as soon as all before them are.
+  // An end that changed nothing counts as durable as soon as the job's newest record is.
   const Ticket ticket = outbox_.newest() > before ? outbox_.newest()
-                        : job != nullptr          ? job->changed
+                        : job != nullptr          ? job->newest_ticket
                                                   : Ticket{0};
   worker->ends.push_back({end.number, ticket});
   LogEvent(LogLevel::kInfo, "run_ended",
@@ -273,16 +277,16 @@
             {"how", EndKindName(end.kind)},
             {"asked", asked_to_stop},
             {"node", worker->node}});
-  NoteKept();
+  NoteDurable();
 }
 
-void PoolPlanner::NoteStop(const LiveRun& run, Time now) {
-  constexpr int kMemory = 16;
+void PoolPlanner::RecordStopTime(const LiveRun& run, Time now) {
+  constexpr int kAveragedStops = 16;
   if (!run.stopping_since) return;
-  stop_takes_ += (now - *run.stopping_since - stop_takes_) / kMemory;
+  mean_stop_time_ += (now - *run.stopping_since - mean_stop_time_) / kAveragedStops;
 }
 
-void PoolPlanner::TakeDone(const EndedTask& end, Job* job, int64_t wall_ms) {
+void PoolPlanner::ApplyDone(const EndedTask& end, Job* job, int64_t wall_ms) {
   const TaskId& task = end.run.task;
   const StepSpec& step = *FindStep(*job, task);
   if (step.lasting) return;
@@ -292,54 +296,54 @@
   } else {
     done.insert(task.index);
   }
-  job->progress.checkpoints.erase(KeptAt(step, task));
+  job->progress.checkpoints.erase(StoredAt(step, task));
   if (job->progress.all_done(job->spec)) {
     EndJob(job, JobState::kCompleted, wall_ms);
     return;
   }
   if (job->progress.state == JobState::kQueued) job->progress.state = JobState::kRunning;
-  Save(job);
+  SaveProgress(job);
 }
 
-void PoolPlanner::TakeFailed(const EndedTask& end, Job* job, int64_t wall_ms) {
+void PoolPlanner::ApplyFailure(const EndedTask& end, Job* job, int64_t wall_ms) {
   const TaskId& task = end.run.task;
   const StepSpec& step = *FindStep(*job, task);
-  // A lasting task is started again however often it fails.
+  // A lasting task is restarted however often it fails.
   if (step.lasting) return;
-  std::set<int64_t>& failed = job->progress.failures[KeptAt(step, task)];
+  std::set<int64_t>& failed = job->progress.failures[StoredAt(step, task)];
   if (!failed.insert(end.run.number).second) return;
   if (static_cast<int>(failed.size()) >= Terms(*job).max_attempts) {
     EndJob(job, JobState::kFailed, wall_ms);
     return;
   }
-  Save(job);
+  SaveProgress(job);
 }
 
 void PoolPlanner::SaveCheckpoint(const RunId& run, const std::string& checkpoint, Job* job) {
   const StepSpec& step = *FindStep(*job, run.task);
   if (!step.checkpoints || checkpoint.empty()) return;
-  std::string& saved = job->progress.checkpoints[KeptAt(step, run.task)];
+  std::string& saved = job->progress.checkpoints[StoredAt(step, run.task)];
   if (saved == checkpoint) return;
   saved = checkpoint;
-  Save(job);
+  SaveProgress(job);
 }
 
-void PoolPlanner::LoseRuns(WorkerState* worker, const char* why, Time now) {
+void PoolPlanner::DropLostRuns(WorkerState* worker, const char* why, Time now) {
   if (worker->live.empty()) return;
   LogEvent(LogLevel::kWarning, "runs_lost",
            {{"node", worker->node}, {"runs", worker->live.size()}, {"reason", why}});
   const std::map<RunId, LiveRun> lost = std::move(worker->live);
   worker->live.clear();
-  changed_ = true;
+  needs_planning_ = true;
   for (const auto& [id, run] : lost) {
     Job* job = FindJob(id.task.job);
     if (job == nullptr) continue;
-    ForgetRun(id, job);
+    RemoveRun(id, job);
     const StepSpec* step = FindStep(*job, id.task);
     if (step == nullptr || IsOver(job->progress.state)) continue;
     SaveCheckpoint(id, run.checkpoint, job);
     if (step->gang) StopGang(*job, id);
-    job->steps[{id.task.occurrence, id.task.step}].not_before = now;
+    job->steps[{id.task.occurrence, id.task.step}].retry_after = now;
   }
 }
 
--- a/servers/pool/pool_planner_test.cc
+++ b/servers/pool/pool_planner_test.cc
@@ -12,7 +12,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// The bound that operators set on giving a guarantee back.
+// The operators' bound on reclaiming guaranteed room.
 constexpr Duration kReclaimBound = milliseconds(2900);
 
 StepSpec Gang(StepSpec step) {
@@ -26,7 +26,7 @@
   return racks;
 }
 
-// A report of an agent beside worker "i" that knows it.
+// A report of an agent whose worker is "i".
 AgentReport Report(const std::string& incarnation, int64_t sequence) {
   AgentReport report;
   report.node = "n";
@@ -43,7 +43,7 @@
   return report;
 }
 
-// What the store has of job "j", one task of `estimate`, that has begun.
+// The stored records of job "j", which is running: one task of `estimate`.
 JobBook BookOfRunningJob(Duration estimate) {
   JobBook book;
   book.Apply({"j/j", EncodeSpec(BedJob("j", "batch", "one", BedStep(1, 1, estimate))), 1});
@@ -72,7 +72,7 @@
   EXPECT_EQ(bed.violations(), std::vector<std::string>());
 }
 
-TEST(PoolPlanner, PutsAGangOnOneRackThoughAnotherHasMoreRoom) {
+TEST(PoolPlanner, PlacesAGangInOneRack) {
   PoolBed bed(BedRacks(2), BedOperators(0));
   bed.Submit(BedJob("small", "batch", "one", BedStep(1, 4, seconds(20))));
   bed.RunFor(seconds(1));
@@ -83,8 +83,7 @@
   EXPECT_EQ(RacksOf(bed, "gang").size(), 1U);
 }
 
-// A job is due at set times, and a clock that is read a moment too soon would begin it before its
-// data is there.
+// A scheduled job must not start early, before its input data exists.
 TEST(PoolPlanner, StartsNoOccurrenceBeforeItIsDue) {
   PoolBed bed(BedRacks(1), BedOperators(0));
   JobSpec job = BedJob("timed", "batch", "one", BedStep(1, 1, milliseconds(500)));
@@ -98,9 +97,9 @@
   EXPECT_GE(begun[1] - begun[0], milliseconds(1900));
 }
 
-// The entry that plans dies while a gang and single tasks run. Its successor knows the jobs from
-// the store and the runs from the agents; a caller notices nothing, and nothing runs twice.
-TEST(PoolPlanner, KeepsWhatRunsWhenThePlannerIsReplaced) {
+// The active planner dies while a gang and single tasks run. Its successor reads the jobs from the
+// store and the runs from the agents; no run may be lost and none may be started twice.
+TEST(PoolPlanner, KeepsRunsWhenThePlannerIsReplaced) {
   PoolBed bed(BedRacks(2), BedOperators(0));
   bed.Submit(BedJob("gang", "batch", "one", Gang(BedStep(3, 2, seconds(4)))));
   bed.Submit(BedJob("singles", "bulk", "two", BedStep(6, 1, seconds(4))));
@@ -113,10 +112,10 @@
   EXPECT_EQ(bed.violations(), std::vector<std::string>());
 }
 
-// The planner dies while one worker is cut off with its agent. The worker runs on under its lease,
-// and the successor has never heard of it: had it started the task elsewhere at once, the task
-// would have run twice.
-TEST(PoolPlanner, WaitsForLeasesOfAgentsThatItsPredecessorKnew) {
+// The planner dies while a worker and its agent are partitioned. The worker runs on under its
+// lease, which the successor does not know; starting the task elsewhere immediately would run it
+// twice.
+TEST(PoolPlanner, WaitsForLeasesGrantedByItsPredecessor) {
   PoolBed bed(BedRacks(1), BedOperators(0));
   bed.Submit(BedJob("j", "batch", "one", BedStep(3, 8, seconds(8))));
   bed.RunFor(seconds(1));
@@ -127,18 +126,18 @@
   EXPECT_GE(bed.RunsOf("j").size(), 4U);
 }
 
-// An agent is gone for good while the planner changes. Work that an older planner may have running
-// there waits; how long depends on whether the planner before is known to grant no more leases.
-TEST(PoolPlanner, WaitsShorterForAMissingAgentOnceThePlannerBeforeIsKnownToBeGone) {
+// An agent disappears while the planner changes. Work that may be running there waits; how long
+// depends on whether the previous planner is known to grant no more leases.
+TEST(PoolPlanner, WaitsLessForAMissingAgentOnceThePredecessorIsGone) {
   const PlannerOptions options;
   const JobBook book = BookOfRunningJob(seconds(2));
   const Time now = Time(std::chrono::hours(1));
   PoolPlanner planner(options, 1, book, {"n", "missing"}, now);
   const auto placed_after = [&](Duration waited) {
     const Time then = now + waited;
-    planner.Confirm(then);
+    planner.ConfirmLeadership(then);
     planner.SetOperatorState(std::make_shared<OperatorState>(BedOperators(0)), then);
-    planner.TakeReport(Report("first", waited.count() + 1), 0, then);
+    planner.ApplyReport(Report("first", waited.count() + 1), 0, then);
     planner.Plan(0, then);
     return !planner.workers().at("n").live.empty();
   };
@@ -148,9 +147,9 @@
   EXPECT_TRUE(placed_after(seconds(6)));
 }
 
-// An agent is gone while the planner changes, and a job waits of which nothing has begun. It need
-// not wait until that agent's leases are over: its beginning would be in the store.
-TEST(PoolPlanner, StartsAnInheritedJobAtOnceIfNothingOfItHasBegun) {
+// An agent is gone while the planner changes, and a job waits of which nothing has begun. The job
+// need not wait for that agent's leases to expire: if any of it had begun, the store would show it.
+TEST(PoolPlanner, StartsAnInheritedQueuedJobImmediately) {
   PoolBed bed(BedRacks(1), BedOperators(0));
   bed.Submit(BedJob("runs", "batch", "one", BedStep(3, 8, seconds(3))));
   bed.RunFor(milliseconds(500));
@@ -162,9 +161,9 @@
   EXPECT_EQ(bed.violations(), std::vector<std::string>());
 }
 
-// A worker is cut off and runs on. Its task starts elsewhere, but only after the lease has run out
-// there, since two runs at once would charge a household twice.
-TEST(PoolPlanner, StartsTasksOfACutOffWorkerElsewhereOnceItsLeaseIsOver) {
+// A partitioned worker runs on. Its task may start elsewhere only after the lease on that worker
+// has expired; otherwise the task would run twice at the same time.
+TEST(PoolPlanner, RestartsTasksOfAPartitionedWorkerAfterItsLeaseExpires) {
   PoolBed bed(BedRacks(1), BedOperators(0));
   bed.Submit(BedJob("j", "batch", "one", BedStep(1, 8, seconds(8))));
   bed.RunFor(seconds(1));
@@ -180,9 +179,9 @@
   EXPECT_LT(runs[1].begun - runs[0].ended, seconds(2));
 }
 
-// A worker dies and comes back as a new life. All that it ran is over, which its new life proves,
-// so nobody waits for a lease.
-TEST(PoolPlanner, StartsTasksOfARebornWorkerAgainAtOnce) {
+// A worker dies and restarts. The new incarnation proves that all its runs are over, so nothing
+// waits for a lease.
+TEST(PoolPlanner, RestartsTasksOfARestartedWorkerImmediately) {
   PoolBed bed(BedRacks(1), BedOperators(0));
   bed.Submit(BedJob("j", "batch", "one", BedStep(1, 8, seconds(3))));
   bed.RunFor(seconds(1));
@@ -193,9 +192,9 @@
   EXPECT_EQ(bed.violations(), std::vector<std::string>());
 }
 
-// The agent's process is replaced while its worker runs on: the new one knows nothing but what the
-// worker lists, and callers notice nothing.
-TEST(PoolPlanner, KeepsWhatRunsWhenAnAgentIsReplaced) {
+// An agent's process is replaced while its worker runs on. The new process knows only what the
+// worker lists, and no run may be lost.
+TEST(PoolPlanner, KeepsRunsWhenAnAgentIsReplaced) {
   PoolBed bed(BedRacks(1), BedOperators(0));
   bed.Submit(BedJob("j", "batch", "one", BedStep(3, 4, seconds(4))));
   bed.RunFor(seconds(1));
@@ -205,12 +204,12 @@
   EXPECT_EQ(bed.violations(), std::vector<std::string>());
 }
 
-// A planner with one worker, to which one task has just been given.
+// A planner with one worker, to which one task has just been assigned.
 struct OneWorker {
   OneWorker() : planner(PlannerOptions(), 1, JobBook(), {}, now) {
-    planner.Confirm(now);
+    planner.ConfirmLeadership(now);
     planner.SetOperatorState(std::make_shared<OperatorState>(BedOperators(0)), now);
-    planner.TakeReport(Report("first", 1), 0, now);
+    planner.ApplyReport(Report("first", 1), 0, now);
     planner.Submit(BedJob("j", "batch", "one", BedStep(1, 1, seconds(2))));
     planner.outbox().Take();
     planner.outbox().Kept();
@@ -224,10 +223,10 @@
   PoolPlanner planner;
 };
 
-// The agent hands a start to its worker and dies before it can tell. The new process is given the
-// order again and turns it away for a reason of its own, such as that it has no lease yet. Taken
-// for "does not run", that would start the task elsewhere beside the run that is there.
-TEST(PoolPlanner, TakesNoWordOfANewAgentThatAnOlderStartIsNotRunning) {
+// An agent passes a start to its worker and dies before it can report. Its new process gets the
+// order again and refuses it for a reason of its own, such as a missing lease. Interpreted as "not
+// running", the refusal would start the task elsewhere beside the existing run.
+TEST(PoolPlanner, IgnoresARefusalByANewAgentProcessOfAnOlderStart) {
   OneWorker one;
   ASSERT_TRUE(one.has_run());
   const RunId run = one.run();
@@ -235,81 +234,80 @@
   second.worker.id.clear();
   second.worker.born_ms = 0;
   second.worker.reachable = false;
-  one.planner.TakeReport(second, 0, one.now);
+  one.planner.ApplyReport(second, 0, one.now);
   EXPECT_TRUE(one.planner.Orders("n", one.now).starts.empty());
   AgentReport listed = Report("second", 2);
   listed.running = {{run, ""}};
-  one.planner.TakeReport(listed, 0, one.now);
+  one.planner.ApplyReport(listed, 0, one.now);
   EXPECT_EQ(one.planner.workers().at("n").live.at(run).phase, RunPhase::kRunning);
 }
 
-// The same, and the worker lists nothing of the run: the call may still be on its way. It is
-// stopped first, so that it can't begin any more.
-TEST(PoolPlanner, StopsAnOlderStartThatANewAgentDoesNotFind) {
+// The agent is replaced in the same way and the worker does not list the run: the start call may
+// still be in transit. The run is stopped first, so that it cannot begin any more.
+TEST(PoolPlanner, StopsAnOlderStartThatANewAgentProcessDoesNotList) {
   OneWorker one;
   const RunId run = one.run();
-  one.planner.TakeReport(Report("second", 1), 0, one.now);
+  one.planner.ApplyReport(Report("second", 1), 0, one.now);
   EXPECT_EQ(one.planner.workers().at("n").live.at(run).phase, RunPhase::kStopping);
   EXPECT_EQ(one.planner.Orders("n", one.now).stops, std::vector<RunId>{run});
 }
 
-// A new process of an agent can't reach its worker and knows of no lease that it has passed on,
-// though the one before has. The runs are over only when those leases must have run out.
-TEST(PoolPlanner, WaitsOutTheLeasesOfAnAgentsFormerProcess) {
+// A new process of an agent cannot reach its worker and does not know the leases that its
+// predecessor passed on. The runs count as over only after those leases must have expired.
+TEST(PoolPlanner, WaitsForLeasesOfAnAgentsFormerProcess) {
   OneWorker one;
   AgentReport started = Report("first", 2);
   started.running = {{one.run(), ""}};
-  one.planner.TakeReport(started, 0, one.now);
+  one.planner.ApplyReport(started, 0, one.now);
   AgentReport away = Report("second", 1);
   away.worker.reachable = false;
-  one.planner.TakeReport(away, 0, one.now + seconds(1));
+  one.planner.ApplyReport(away, 0, one.now + seconds(1));
   EXPECT_TRUE(one.has_run());
   away.sequence = 2;
-  one.planner.TakeReport(away, 0, one.now + seconds(6));
+  one.planner.ApplyReport(away, 0, one.now + seconds(6));
   EXPECT_FALSE(one.has_run());
 }
 
-// The planner stood still, and a report of an agent's former process waits in its socket while the
-// new process is heard first, beside a worker that has been born again meanwhile. Taken for news,
-// the late report would look like one more life of the worker: what runs there would be taken for
-// lost and started elsewhere beside it.
-TEST(PoolPlanner, HeedsNoLateReportOfAnAgentsFormerProcess) {
+// After a stall of the planner, a report of an agent's former process is read after the first
+// report of the new process, whose worker has restarted meanwhile. Applied, the old report would
+// look like another restart of the worker, and its current run would be started elsewhere as well.
+TEST(PoolPlanner, IgnoresDelayedReportsOfAnAgentsFormerProcess) {
   OneWorker one;
   AgentReport reborn = Report("second", 1);
   reborn.worker.id = "i2";
   reborn.worker.born_ms = 2;
-  one.planner.TakeReport(reborn, 0, one.now);
+  one.planner.ApplyReport(reborn, 0, one.now);
   one.planner.Plan(0, one.now);
   ASSERT_TRUE(one.has_run());
   const RunId run = one.run();
-  one.planner.TakeReport(Report("first", 2), 0, one.now);
+  one.planner.ApplyReport(Report("first", 2), 0, one.now);
   EXPECT_EQ(one.planner.workers().at("n").live.count(run), 1U);
   EXPECT_EQ(one.planner.workers().at("n").facts.id, "i2");
 }
 
-// A worker is gone with all that it ran, and its agent goes on reporting the last list it has seen.
-// Were that taken for news each time, planner and agent would talk to each other without a pause,
-// thousands of times a second, and the log would fill.
-TEST(PoolPlanner, HasNothingMoreToSayOfAWorkerThatIsGone) {
+// A worker is gone with all its runs, and its agent keeps reporting the last list it has seen. If
+// each report caused new orders, planner and agent would exchange thousands of messages per second
+// and fill the log.
+TEST(PoolPlanner, SendsNoFurtherOrdersForAWorkerThatIsGone) {
   OneWorker one;
   AgentReport started = Report("first", 2);
   started.running = {{one.run(), ""}};
-  one.planner.TakeReport(started, 0, one.now);
+  one.planner.ApplyReport(started, 0, one.now);
   AgentReport gone = started;
   gone.worker.reachable = false;
   const Time later = one.now + seconds(10);
   for (int sequence = 3; sequence < 6; ++sequence) {
     gone.sequence = sequence;
-    one.planner.TakeReport(gone, 0, later);
+    one.planner.ApplyReport(gone, 0, later);
     gone.orders_seen = one.planner.Orders("n", later).version;
   }
   EXPECT_FALSE(one.has_run());
   gone.sequence = 6;
-  one.planner.TakeReport(gone, 0, later);
-  EXPECT_FALSE(one.planner.HasNews("n"));
+  one.planner.ApplyReport(gone, 0, later);
+  EXPECT_FALSE(one.planner.HasPendingOrders("n"));
 }
 
-TEST(PoolPlanner, FailsAJobWhoseTaskHasFailedAsOftenAsItsQueueAllows) {
+TEST(PoolPlanner, FailsAJobAfterMaxAttempts) {
   PoolBed bed(BedRacks(1), BedOperators(0));
   bed.fails = [](const RunId& /*run*/, const std::string& /*node*/) { return true; };
   bed.Submit(BedJob("j", "batch", "one", BedStep(1, 1, milliseconds(300))));
@@ -317,9 +315,9 @@
   EXPECT_EQ(bed.RunsOf("j").size(), 3U);
 }
 
-// Planners die one after the other, and each is told again of ends that one before has counted. A
-// failure that is counted twice fails a job that still had tries left.
-TEST(PoolPlanner, CountsAFailureOnceOverPlanners) {
+// Planners die one after the other, and each is told again of ends that a previous planner has
+// counted. A failure counted twice would fail a job that has attempts left.
+TEST(PoolPlanner, CountsAFailureOnceAcrossPlanners) {
   PoolBed bed(BedRacks(1), BedOperators(0));
   int failures = 0;
   bed.fails = [&](const RunId& /*run*/, const std::string& /*node*/) { return ++failures <= 2; };
@@ -332,10 +330,10 @@
   EXPECT_EQ(bed.violations(), std::vector<std::string>());
 }
 
-// A task fails at two workers while the store is away, and the planner dies before either failure
-// is kept. Its successor hears the later failure first. Were the earlier one taken for one that is
-// counted already, the task would be run once more than its queue allows.
-TEST(PoolPlanner, CountsFailuresInWhateverOrderTheyAreHeard) {
+// A task fails on two workers while the store is unavailable, and the planner dies before either
+// failure is durable. Its successor receives the later failure first. If the earlier one were taken
+// for a repeat, the task would run once more than its queue allows.
+TEST(PoolPlanner, CountsFailuresReportedInAnyOrder) {
   const JobBook book = BookOfRunningJob(seconds(1));
   const Time now = Time(std::chrono::hours(1));
   PoolPlanner planner(PlannerOptions(), 1, book, {"n", "m"}, now);
@@ -344,7 +342,7 @@
     AgentReport report = Report("first", sequence);
     report.node = node;
     report.ended = {{sequence, {{"j", 0, 0, 0}, run}, EndKind::kFailed, ""}};
-    planner.TakeReport(report, 0, now);
+    planner.ApplyReport(report, 0, now);
   };
   fails("n", 1, 20);
   fails("m", 1, 10);
@@ -355,9 +353,9 @@
   EXPECT_EQ(DecodeProgress(records[0].value).state, JobState::kFailed);
 }
 
-// The store answers nobody for nine seconds. What runs goes on; nothing new is begun that could not
-// be recorded, and no job is shown as done before that is kept.
-TEST(PoolPlanner, LetsRunsGoOnWhileTheStoreIsAway) {
+// The store is unavailable for nine seconds. Runs go on, nothing is started that could not be
+// recorded, and no job is reported as done before its record is durable.
+TEST(PoolPlanner, KeepsRunsWhileTheStoreIsUnavailable) {
   PoolBed bed(BedRacks(1), BedOperators(0));
   bed.Submit(BedJob("runs", "batch", "one", BedStep(3, 4, seconds(12))));
   bed.RunFor(seconds(1));
@@ -384,8 +382,8 @@
   }
 }
 
-// A worker says that it leaves. What is started there now is cut when it goes.
-TEST(PoolPlanner, GivesNothingToAWorkerThatLeaves) {
+// A worker is draining. Tasks started there now would be cut off when it leaves.
+TEST(PoolPlanner, PlacesNothingOnADrainingWorker) {
   PoolBed bed(BedRacks(1), BedOperators(0));
   bed.RunFor(milliseconds(500));
   bed.Drain("w0-0");
@@ -395,8 +393,9 @@
   for (const BedRun& run : bed.RunsOf("j")) EXPECT_NE(run.node, "w0-0");
 }
 
-// Operators take a zone out. Work that begins there after that is lost when its power goes.
-TEST(PoolPlanner, GivesNothingToAZoneThatIsOut) {
+// Operators take a zone out of service. Work started there afterwards is lost when the zone's power
+// goes.
+TEST(PoolPlanner, PlacesNothingInAZoneThatIsOut) {
   OperatorState operators = BedOperators(0);
   PoolBed bed(BedRacks(3), operators);
   operators.zones_out = {"b"};
@@ -407,9 +406,9 @@
   for (const BedRun& run : bed.RunsOf("j")) EXPECT_NE(run.node.substr(0, 2), "w1");
 }
 
-// A pool full of another workspace's long tasks, and an urgent gang within its own workspace's
-// guarantee: it has to begin within the operators' bound, at the cost of the work that loses least.
-TEST(PoolPlanner, HasAGuaranteeBackWithinTheBoundAtTheLeastLoss) {
+// The pool is full of another workspace's long tasks when an urgent gang within its own workspace's
+// guarantee arrives. The gang has to begin within the operators' bound, at the least loss of work.
+TEST(PoolPlanner, ReclaimsGuaranteedRoomWithinTheBoundAtTheLeastLoss) {
   PoolBed bed(BedRacks(2), BedOperators(16));
   StepSpec saved = BedStep(3, 8, seconds(30));
   saved.checkpoints = true;
@@ -427,9 +426,9 @@
   for (const BedRun& run : bed.RunsOf("unsaved")) EXPECT_FALSE(run.over);
 }
 
-// The same pool and an urgent gang beyond its workspace's guarantee: stopping work for it that is
-// worth many times its own leaves the users worse off, so it waits.
-TEST(PoolPlanner, StopsNoMoreForBorrowedRoomThanIsDoneWithIt) {
+// An urgent gang beyond its workspace's guarantee meets a full pool. Preempting work worth many
+// times the gang's own would be a net loss, so the gang waits.
+TEST(PoolPlanner, PreemptsNothingForBorrowedRoomAtANetLoss) {
   PoolBed bed(BedRacks(1), BedOperators(0));
   bed.Submit(BedJob("long", "bulk", "two", BedStep(3, 8, seconds(30))));
   bed.RunFor(seconds(25));
@@ -439,10 +438,10 @@
   ASSERT_TRUE(bed.RunUntil("urgent", JobState::kCompleted, seconds(10)));
 }
 
-// A job of many whole-worker tasks in a full pool: each worker that one of its tasks leaves is for
-// the next one. Were the job passed over until the end is kept in the store, less urgent work would
-// take the room, only to be stopped again for it.
-TEST(PoolPlanner, GivesTheRoomOfADoneTaskToTheNextOneOfAnUrgentJob) {
+// An urgent job of many whole-worker tasks fills the pool: each worker that one of its tasks leaves
+// is for the next one. If the job were skipped until the end is durable, less urgent work would
+// take the room and be preempted again.
+TEST(PoolPlanner, GivesRoomOfADoneTaskToTheNextTaskOfAnUrgentJob) {
   PoolBed bed(BedRacks(1), BedOperators(0));
   bed.Submit(BedJob("urgent", "urgent", "one", BedStep(9, 8, seconds(2))));
   bed.RunFor(milliseconds(200));
@@ -453,10 +452,9 @@
   for (const BedRun& run : bed.RunsOf("less")) EXPECT_GT(run.begun, last_begun);
 }
 
-// Two of three workers are sick and fail all that they are given, and the third is full for a
-// moment. A job that both have failed has one try left; spent on a sick worker as well, it would be
-// failed although nothing is wrong with it.
-TEST(PoolPlanner, KeepsTheLastTryForASoundWorker) {
+// Two of three workers fail all tasks, and the third is full for a moment. A job that both have
+// failed has one attempt left; spent on a faulty worker too, it would fail a job that has no fault.
+TEST(PoolPlanner, ReservesTheLastAttemptForAHealthyWorker) {
   PoolBed bed(BedRacks(1), BedOperators(0));
   bed.fails = [](const RunId& run, const std::string& node) {
     return run.task.job == "sound" && node != "w0-2";
@@ -472,9 +470,9 @@
   EXPECT_TRUE(bed.RunUntil("sound", JobState::kCompleted, seconds(15)));
 }
 
-// A worker fails everything it is given and so looks idle. Jobs that keep coming must not all be
-// fed to it until they have no tries left.
-TEST(PoolPlanner, SetsAWorkerAsideThatFailsEverything) {
+// A worker fails every task and therefore looks idle. It must not consume the attempts of all new
+// jobs.
+TEST(PoolPlanner, ExcludesAWorkerThatFailsEverything) {
   PoolBed bed(BedRacks(1), BedOperators(0));
   bed.fails = [](const RunId& /*run*/, const std::string& node) { return node == "w0-0"; };
   for (int job = 0; job < 12; ++job) {
--- a/servers/pool/pool_random_test.cc
+++ b/servers/pool/pool_random_test.cc
@@ -1,6 +1,6 @@
-// Random histories of a pool: jobs of all shapes while planners, agents, workers, ways and the
-// store fail in any order. Checked throughout: no task runs twice at once or again after it was
-// done; at the end: every job came to its end.
+// Random histories of a pool: jobs of all shapes while planners, agents, workers, connections and
+// the store fail in any order. Checked throughout: no task runs twice at the same time, or again
+// after it was done. Checked at the end: every job has ended.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -13,8 +13,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Every second history runs under bounds that no deployment has.
-PoolBounds DrawnBounds(unsigned seed) {
+// Every second history uses random bounds that no deployment has.
+PoolBounds RandomBounds(unsigned seed) {
   PoolBounds bounds;
   if (seed % 2 == 0) return bounds;
   std::mt19937 random(seed);
@@ -33,7 +33,7 @@
 class History {
  public:
   explicit History(unsigned seed)
-      : random_(seed), bed_(BedRacks(2), BedOperators(8), DrawnBounds(seed)) {
+      : random_(seed), bed_(BedRacks(2), BedOperators(8), RandomBounds(seed)) {
     for (const BedWorker& worker : BedRacks(2)) nodes_.push_back(worker.node);
     bed_.true_time = [](const TaskId& task) {
       return milliseconds(300 + 700 * ((task.index * 7 + task.step * 3) % 5));
@@ -44,12 +44,12 @@
   void Run() {
     for (int step = 0; step < 120; ++step) {
       if (Chance(3)) Submit();
-      if (Chance(6)) Trouble();
+      if (Chance(6)) InjectFault();
       bed_.RunFor(milliseconds(Below(400)));
     }
     for (const std::string& node : nodes_) bed_.Heal(node);
     bed_.SetStoreDown(false);
-    // Ended jobs are forgotten after 130 s.
+    // Ended jobs are retained for 130 s, so all of them are still known.
     bed_.RunFor(seconds(90));
   }
 
@@ -71,7 +71,7 @@
     step.gang = Chance(2);
     step.one_rack = step.gang && Chance(2);
     step.checkpoints = Chance(2);
-    // Six workers hold a gang of six whole ones at most.
+    // Six workers can hold a gang of at most six whole-worker tasks.
     if (step.gang) step.tasks = 1 + Below(3);
     const char* queues[] = {"urgent", "batch", "bulk"};
     JobSpec job = BedJob(id, queues[Below(3)], Chance(2) ? "one" : "two", step);
@@ -82,12 +82,13 @@
     }
     jobs_.push_back(id);
     bed_.Submit(job);
-    // A job that is never kept is one that nobody was told of.
+    // Makes the submission durable; a job that never becomes durable was never acknowledged to its
+    // caller.
     bed_.SetStoreDown(false);
     bed_.RunFor(milliseconds(20));
   }
 
-  void Trouble() {
+  void InjectFault() {
     const std::string& node = nodes_[static_cast<size_t>(Below(static_cast<int>(nodes_.size())))];
     switch (Below(8)) {
       case 0:
@@ -115,7 +116,7 @@
 
 class PoolHistory : public testing::TestWithParam<unsigned> {};
 
-TEST_P(PoolHistory, KeepsItsPromises) {
+TEST_P(PoolHistory, RunsNoTaskTwiceAndEndsEveryJob) {
   History history(GetParam());
   history.Run();
   history.Check(GetParam());
--- a/servers/pool/reclaimer.cc
+++ b/servers/pool/reclaimer.cc
@@ -8,176 +8,179 @@
 namespace turmericshift::pool {
 namespace {
 
-// Victims that end together.
-struct Bundle {
+// Victims that are stopped together.
+struct VictimGroup {
   std::vector<const Victim*> members;
   double cost = 0;
 };
 
-// What a bundle frees on one of the candidates.
+// Room that a victim group frees on one of the candidate workers.
 struct Freed {
   size_t worker = 0;
   Room room;
 };
 
-// A bundle as the candidates at hand see it.
-struct Offer {
-  const Bundle* bundle = nullptr;
+// A victim group with the room that it frees on the candidate workers.
+struct Option {
+  const VictimGroup* group = nullptr;
   std::vector<Freed> freed;
   bool taken = false;
 };
 
-// Keeps a bundle without cost from dividing by zero.
-constexpr double kLeastCost = 0.01;
-// A part of a whole slot counts little: it only breaks ties where no single bundle makes a task
-// fit.
-constexpr double kPartWeight = 0.05;
+// Avoids a division by zero for victim groups without cost.
+constexpr double kMinCost = 0.01;
+// Weight of room for a part of a task: low, so that it only breaks ties where no single victim
+// group makes a task fit.
+constexpr double kPartialFitWeight = 0.05;
 
-std::vector<Bundle> MakeBundles(const std::vector<Victim>& victims) {
-  std::map<std::string_view, Bundle> gangs;
-  std::vector<Bundle> bundles;
+std::vector<VictimGroup> GroupVictims(const std::vector<Victim>& victims) {
+  std::map<std::string_view, VictimGroup> gangs;
+  std::vector<VictimGroup> groups;
   for (const Victim& victim : victims) {
     if (victim.gang.empty()) {
-      bundles.push_back({{&victim}, victim.cost});
+      groups.push_back({{&victim}, victim.cost});
       continue;
     }
-    Bundle& bundle = gangs[victim.gang];
-    bundle.members.push_back(&victim);
-    bundle.cost += victim.cost;
+    VictimGroup& group = gangs[victim.gang];
+    group.members.push_back(&victim);
+    group.cost += victim.cost;
   }
-  for (auto& [name, bundle] : gangs) bundles.push_back(std::move(bundle));
-  return bundles;
+  for (auto& [name, group] : gangs) groups.push_back(std::move(group));
+  return groups;
 }
 
-std::vector<Offer> MakeOffers(const std::vector<Bundle>& bundles,
-                              const std::vector<WorkerRoom>& workers) {
+std::vector<Option> MakeOptions(const std::vector<VictimGroup>& groups,
+                                const std::vector<WorkerRoom>& workers) {
   std::map<std::string_view, size_t> indices;
   for (size_t i = 0; i < workers.size(); ++i) indices[workers[i].node] = i;
-  std::vector<Offer> offers;
-  for (const Bundle& bundle : bundles) {
+  std::vector<Option> options;
+  for (const VictimGroup& group : groups) {
     std::map<size_t, Room> freed;
-    for (const Victim* victim : bundle.members) {
+    for (const Victim* victim : group.members) {
       const auto index = indices.find(victim->node);
       if (index != indices.end()) freed[index->second] += victim->need;
     }
     if (freed.empty()) continue;
-    Offer offer;
-    offer.bundle = &bundle;
-    for (const auto& [worker, room] : freed) offer.freed.push_back({worker, room});
-    offers.push_back(std::move(offer));
+    Option option;
+    option.group = &group;
+    for (const auto& [worker, room] : freed) option.freed.push_back({worker, room});
+    options.push_back(std::move(option));
   }
-  return offers;
+  return options;
 }
 
-void Free(const Offer& offer, std::vector<WorkerRoom>* workers) {
-  for (const Freed& freed : offer.freed) (*workers)[freed.worker].free += freed.room;
+void Free(const Option& option, std::vector<WorkerRoom>* workers) {
+  for (const Freed& freed : option.freed) (*workers)[freed.worker].free += freed.room;
 }
 
-// Part of what a task needs, at most all of it.
-double Part(int64_t freed, int64_t needed) {
+// Share of the need that is freed, at most 1.
+double ShareOf(int64_t freed, int64_t needed) {
   return needed > 0 ? std::min(1.0, static_cast<double>(freed) / static_cast<double>(needed)) : 0.0;
 }
 
-// Tasks that the offer makes room for, and a little for parts of one.
-double WorthOf(const PlaceWish& wish, const Offer& offer, const std::vector<WorkerRoom>& workers) {
-  const Room& need = wish.step->need;
-  double worth = 0;
-  for (const Freed& freed : offer.freed) {
+// Number of tasks that the option makes room for, plus a little for parts of a task.
+double GainOf(const PlacementRequest& request, const Option& option,
+              const std::vector<WorkerRoom>& workers) {
+  const Room& need = request.step->need;
+  double gain = 0;
+  for (const Freed& freed : option.freed) {
     const WorkerRoom& worker = workers[freed.worker];
-    const int most = std::min(wish.tasks, worker.most_tasks);
-    if (most <= 0) continue;
+    const int max_tasks = std::min(request.tasks, worker.max_tasks);
+    if (max_tasks <= 0) continue;
     Room after = worker.free;
     after += freed.room;
-    worth += FitCount(after, need, most) - FitCount(worker.free, need, most);
-    worth += kPartWeight * (Part(freed.room.accelerators, need.accelerators) +
-                            Part(freed.room.processor_millis, need.processor_millis));
+    gain += FitCount(after, need, max_tasks) - FitCount(worker.free, need, max_tasks);
+    gain += kPartialFitWeight * (ShareOf(freed.room.accelerators, need.accelerators) +
+                                 ShareOf(freed.room.processor_millis, need.processor_millis));
   }
-  return worth;
+  return gain;
 }
 
-// The offer that brings most for its cost; null when none brings anything.
-Offer* BestOffer(const PlaceWish& wish, const std::vector<WorkerRoom>& workers,
-                 std::vector<Offer>* offers) {
-  Offer* best = nullptr;
-  double best_value = 0;
-  for (Offer& offer : *offers) {
-    if (offer.taken) continue;
-    const double value = WorthOf(wish, offer, workers) / std::max(offer.bundle->cost, kLeastCost);
-    if (value <= best_value) continue;
-    best = &offer;
-    best_value = value;
+// The option with the highest gain per cost; null if none has a gain.
+Option* BestOption(const PlacementRequest& request, const std::vector<WorkerRoom>& workers,
+                   std::vector<Option>* options) {
+  Option* best = nullptr;
+  double best_gain_per_cost = 0;
+  for (Option& option : *options) {
+    if (option.taken) continue;
+    const double gain_per_cost =
+        GainOf(request, option, workers) / std::max(option.group->cost, kMinCost);
+    if (gain_per_cost <= best_gain_per_cost) continue;
+    best = &option;
+    best_gain_per_cost = gain_per_cost;
   }
   return best;
 }
 
-bool Fits(const PlaceWish& wish, const std::vector<WorkerRoom>& workers, Placement* placement) {
-  *placement = Place(wish, workers);
-  return static_cast<int>(placement->size()) >= wish.tasks;
+bool Fits(const PlacementRequest& request, const std::vector<WorkerRoom>& workers,
+          Placement* placement) {
+  *placement = Place(request, workers);
+  return static_cast<int>(placement->size()) >= request.tasks;
 }
 
-// Stops that turned out not to be needed are taken back, the dearest first.
-void Prune(const PlaceWish& wish, const std::vector<WorkerRoom>& workers,
-           std::vector<Offer>* offers) {
-  std::vector<Offer*> dearest;
-  for (Offer& offer : *offers) {
-    if (offer.taken) dearest.push_back(&offer);
+// Drops options that turned out not to be needed, most expensive first.
+void Prune(const PlacementRequest& request, const std::vector<WorkerRoom>& workers,
+           std::vector<Option>* options) {
+  std::vector<Option*> by_cost;
+  for (Option& option : *options) {
+    if (option.taken) by_cost.push_back(&option);
   }
-  std::sort(dearest.begin(), dearest.end(), [](const Offer* left, const Offer* right) {
-    return left->bundle->cost > right->bundle->cost;
+  std::sort(by_cost.begin(), by_cost.end(), [](const Option* left, const Option* right) {
+    return left->group->cost > right->group->cost;
   });
-  for (Offer* candidate : dearest) {
+  for (Option* candidate : by_cost) {
     std::vector<WorkerRoom> without = workers;
-    for (const Offer* offer : dearest) {
-      if (offer != candidate && offer->taken) Free(*offer, &without);
+    for (const Option* option : by_cost) {
+      if (option != candidate && option->taken) Free(*option, &without);
     }
     Placement placement;
-    if (Fits(wish, without, &placement)) candidate->taken = false;
+    if (Fits(request, without, &placement)) candidate->taken = false;
   }
 }
 
-std::optional<ReclaimPlan> ReclaimWithin(const PlaceWish& wish,
+std::optional<ReclaimPlan> ReclaimWithin(const PlacementRequest& request,
                                          const std::vector<WorkerRoom>& workers,
-                                         const std::vector<Bundle>& bundles) {
+                                         const std::vector<VictimGroup>& groups) {
   std::vector<WorkerRoom> rooms = workers;
-  std::vector<Offer> offers = MakeOffers(bundles, workers);
+  std::vector<Option> options = MakeOptions(groups, workers);
   Placement placement;
-  while (!Fits(wish, rooms, &placement)) {
-    Offer* best = BestOffer(wish, rooms, &offers);
+  while (!Fits(request, rooms, &placement)) {
+    Option* best = BestOption(request, rooms, &options);
     if (best == nullptr) return std::nullopt;
     best->taken = true;
     Free(*best, &rooms);
   }
-  Prune(wish, workers, &offers);
+  Prune(request, workers, &options);
   rooms = workers;
   ReclaimPlan plan;
-  for (const Offer& offer : offers) {
-    if (!offer.taken) continue;
-    Free(offer, &rooms);
-    plan.cost += offer.bundle->cost;
-    for (const Victim* victim : offer.bundle->members) plan.stops.push_back(victim->run);
+  for (const Option& option : options) {
+    if (!option.taken) continue;
+    Free(option, &rooms);
+    plan.cost += option.group->cost;
+    for (const Victim* victim : option.group->members) plan.stops.push_back(victim->run);
   }
-  plan.placement = Place(wish, rooms);
+  plan.placement = Place(request, rooms);
   return plan;
 }
 
 }  // namespace
 
-std::optional<ReclaimPlan> ChooseVictims(const PlaceWish& wish,
+std::optional<ReclaimPlan> ChooseVictims(const PlacementRequest& request,
                                          const std::vector<WorkerRoom>& workers,
                                          const std::vector<Victim>& victims) {
-  const std::vector<Bundle> bundles = MakeBundles(victims);
+  const std::vector<VictimGroup> groups = GroupVictims(victims);
   std::map<std::string_view, std::vector<WorkerRoom>> racks;
   for (const WorkerRoom& worker : workers) racks[worker.rack].push_back(worker);
-  PlaceWish strict = wish;
-  strict.may_stray = false;
+  PlacementRequest strict = request;
+  strict.allow_off_rack = false;
   std::optional<ReclaimPlan> best;
   for (const auto& [rack, rooms] : racks) {
-    std::optional<ReclaimPlan> plan = ReclaimWithin(strict, rooms, bundles);
+    std::optional<ReclaimPlan> plan = ReclaimWithin(strict, rooms, groups);
     if (plan && (!best || plan->cost < best->cost)) best = std::move(plan);
   }
-  const bool any_rack_will_do = !wish.step->one_rack && wish.step->data_rack.empty();
-  if (any_rack_will_do || (!best && wish.may_stray)) {
-    std::optional<ReclaimPlan> plan = ReclaimWithin(wish, workers, bundles);
+  const bool any_rack_allowed = !request.step->one_rack && request.step->data_rack.empty();
+  if (any_rack_allowed || (!best && request.allow_off_rack)) {
+    std::optional<ReclaimPlan> plan = ReclaimWithin(request, workers, groups);
     if (plan && (!best || plan->cost < best->cost)) best = std::move(plan);
   }
   return best;
--- a/servers/pool/reclaimer.h
+++ b/servers/pool/reclaimer.h
@@ -1,6 +1,6 @@
-// Chooses whose work is stopped to make room for work that goes first. Answers bursts of urgent
-// jobs that meet a full pool: the guarantee has to be had back within the bound the operators set,
-// and what is thrown away should be the least.
+// Chooses the runs to preempt for work of higher priority. Designed for bursts of urgent jobs in a
+// full pool: the guaranteed room has to be reclaimed within the operators' bound, at the least loss
+// of work.
 #pragma once
 
 #include <optional>
@@ -12,15 +12,15 @@
 
 namespace turmericshift::pool {
 
-// A run that may be stopped.
+// A run that may be preempted.
 struct Victim {
   RunId run;
   std::string node;
   Room need;
-  // Runs of one gang end together; 0 for one that stands alone. Shared by the members.
+  // Shared by the members of a gang, whose runs end together; empty for a single task.
   std::string gang;
-  // Work that its end throws away, in core-seconds with an accelerator as several cores; a gang's
-  // at each member is the member's share.
+  // Work lost by stopping the run, in core-seconds, with an accelerator counted as several cores.
+  // For a member of a gang, the member's share of the gang's cost.
   double cost = 0;
 };
 
@@ -30,9 +30,9 @@
   double cost = 0;
 };
 
-// Victims whose end makes the wish fit, within one rack if it can be, else anywhere if the wish may
-// stray. Empty when even all of them would not do.
-std::optional<ReclaimPlan> ChooseVictims(const PlaceWish& wish,
+// Victims whose stop makes the request fit, within one rack if possible, otherwise anywhere if the
+// request allows off-rack placement. Empty if stopping all victims would not be enough.
+std::optional<ReclaimPlan> ChooseVictims(const PlacementRequest& request,
                                          const std::vector<WorkerRoom>& workers,
                                          const std::vector<Victim>& victims);
 
--- a/servers/pool/room_forecast.h
+++ b/servers/pool/room_forecast.h
@@ -1,8 +1,8 @@
-// When and where room for tasks that do not fit now comes free. Answers the load pattern of gangs
-// of whole workers beside a stream of small tasks: every hole is filled by the next small task, so
-// that no worker ever becomes empty and the gang waits as long as the stream lasts. With a forecast
-// the gang's workers are kept from tasks that would end after it can begin, and from no others
-// (backfilling, as described for EASY by Lifka, JSSPP 1995).
+// Forecasts when and where room becomes free for tasks that do not fit now. Needed for gangs of
+// whole workers beside a stream of small tasks: each small task fills the next gap, so that no
+// worker ever becomes empty and the gang waits as long as the stream lasts. With a forecast, the
+// gang's workers reject only tasks that would end after the gang can begin (EASY backfilling,
+// Lifka, JSSPP 1995).
 #pragma once
 
 #include <map>
@@ -16,31 +16,33 @@
 
 namespace turmericshift::pool {
 
-// Room that a run gives back when it ends.
-struct Freeing {
+// Room that a run releases when it ends, `delay` from now.
+struct RoomRelease {
   Room room;
-  Duration in{};
+  Duration delay{};
 };
 
 struct FutureRoom {
   WorkerRoom now;
-  // By time, the soonest first.
-  const std::vector<Freeing>* freeing = nullptr;
+  // The ends of the worker's runs, soonest first.
+  const std::vector<RoomRelease>* releases = nullptr;
 };
 
 struct RoomForecast {
-  // All tasks could begin after so long.
-  Duration in{};
-  // How many of them on each node.
+  // Time from now until all tasks can begin.
+  Duration delay{};
+  // Number of tasks on each node.
   std::map<std::string, int> tasks;
 };
 
-// The soonest forecast for all tasks of the wish: within one rack, or the data's rack, unless it
-// may stray. Empty when they do not fit even when all that runs has ended.
-std::optional<RoomForecast> ForecastRoom(const PlaceWish& wish,
+// The soonest forecast for all tasks of the request: within one rack, or the data's rack, unless
+// the request allows off-rack placement. Empty if the tasks would not fit even after all runs have
+// ended.
+std::optional<RoomForecast> ForecastRoom(const PlacementRequest& request,
                                          const std::vector<FutureRoom>& workers);
 
-// What is left for others on a worker that was promised `tasks` of `need` in `in`, by then.
-Room SpareRoom(const FutureRoom& worker, const Room& need, int tasks, Duration in);
+// Room left for other tasks at `delay` from now, on a worker where `tasks` tasks of `need` are to
+// begin at that time.
+Room SpareRoom(const FutureRoom& worker, const Room& need, int tasks, Duration delay);
 
 }  // namespace turmericshift::pool
--- a/servers/pool/run_progress.cc
+++ b/servers/pool/run_progress.cc
@@ -5,41 +5,42 @@
 namespace turmericshift::pool {
 namespace {
 
-// With less progress than this between two words, rounding to whole percents and the pause between
-// two looks at a worker (1 s) weigh more than the run's speed.
-constexpr int kLeastStep = 4;
+// With less progress than this between two reports, rounding to whole percents and the interval of
+// 1 s between two readings of a worker outweigh the run's speed.
+constexpr int kMinProgressStep = 4;
 constexpr int kAllDone = 100;
-// A worker is looked at once a second and tells whole percents, so that a run of some ten seconds
-// says something new with every look; one of minutes takes a few seconds for each percent.
-constexpr Duration kStandstill = std::chrono::milliseconds(2500);
-constexpr int kStandstillShare = 20;
-// A run that is past its end by all that is known of it: it takes a little longer, and always some
-// share of what it has taken already, so that one that stands still is not waited for.
-constexpr Duration kLeastLeft = std::chrono::milliseconds(100);
-constexpr int kOverdueShare = 4;
+// A worker is read once a second and reports whole percents: a run of some ten seconds changes with
+// every reading, while a run of minutes takes a few seconds per percent.
+constexpr Duration kMinStall = std::chrono::milliseconds(2500);
+constexpr int kStallDivisor = 20;
+// Remaining time of a run that is past its expected end: a share of the time that it has taken
+// already, so that nobody waits for a stalled run, and at least kMinRemainingTime.
+constexpr Duration kMinRemainingTime = std::chrono::milliseconds(100);
+constexpr int kOverdueDivisor = 4;
 
 }  // namespace
 
-void RunProgress::Note(int percent, Time now) {
-  if (heard_ && percent <= heard_->percent) return;
-  if (heard_ && !first_) first_ = Mark{percent, now};
-  heard_ = Mark{percent, now};
-  newest_ = *heard_;
+void RunProgress::Update(int percent, Time now) {
+  if (last_report_ && percent <= last_report_->percent) return;
+  if (last_report_ && !baseline_) baseline_ = Mark{percent, now};
+  last_report_ = Mark{percent, now};
+  latest_ = *last_report_;
 }
 
-bool RunProgress::StandsStill(Duration expected, Time now) const {
-  if (!first_ || newest_.percent >= kAllDone) return false;
-  return now - newest_.at > std::max(kStandstill, expected / kStandstillShare);
+bool RunProgress::IsStalled(Duration expected, Time now) const {
+  if (!baseline_ || latest_.percent >= kAllDone) return false;
+  return now - latest_.at > std::max(kMinStall, expected / kStallDivisor);
 }
 
-Duration RunProgress::Left(Duration estimate, Time since, Time now) const {
-  Duration whole_left = estimate - (now - since);
-  if (first_ && newest_.percent - first_->percent >= kLeastStep) {
-    const Duration each = (newest_.at - first_->at) / (newest_.percent - first_->percent);
-    whole_left = each * (kAllDone - newest_.percent) - (now - newest_.at);
+Duration RunProgress::RemainingTime(Duration estimate, Time since, Time now) const {
+  Duration remaining = estimate - (now - since);
+  if (baseline_ && latest_.percent - baseline_->percent >= kMinProgressStep) {
+    const Duration time_per_percent =
+        (latest_.at - baseline_->at) / (latest_.percent - baseline_->percent);
+    remaining = time_per_percent * (kAllDone - latest_.percent) - (now - latest_.at);
   }
-  if (whole_left >= kLeastLeft) return whole_left;
-  return std::max(kLeastLeft, (now - since) / kOverdueShare);
+  if (remaining >= kMinRemainingTime) return remaining;
+  return std::max(kMinRemainingTime, (now - since) / kOverdueDivisor);
 }
 
 }  // namespace turmericshift::pool
--- a/servers/pool/run_progress.h
+++ b/servers/pool/run_progress.h
@@ -1,6 +1,6 @@
-// How far a run has come, from what its worker says of it, and from that when it will end. Callers'
-// estimates are off by up to ten times, while the share of the work that is done tells the rest
-// within a tenth once a second of it has been seen.
+// Progress of a run as its worker reports it, and the remaining time derived from it. Callers'
+// estimates are off by up to ten times, while the reported share of the work gives the remaining
+// time within a tenth once a second of it has been observed.
 #pragma once
 
 #include <optional>
@@ -11,16 +11,17 @@
 
 class RunProgress {
  public:
-  // The worker said that `percent` (0 to 100) of the work is done. Repeats of a word say nothing.
-  void Note(int percent, Time now);
+  // The worker reported that `percent` (0 to 100) of the work is done. Repeated reports of the same
+  // percentage are ignored.
+  void Update(int percent, Time now);
 
-  // Whether the run, which should take `expected` in all, has begun and got no further for longer
-  // than the pauses between two words of it.
-  bool StandsStill(Duration expected, Time now) const;
+  // Whether the run, whose expected run time is `expected`, has begun and made no progress for
+  // longer than the usual time between two changes of its percentage.
+  bool IsStalled(Duration expected, Time now) const;
 
-  // How long the run will still take. `estimate`: the whole of it, while nothing better is known;
-  // `since`: when it was ordered.
-  Duration Left(Duration estimate, Time since, Time now) const;
+  // Remaining time of the run. `estimate`: its whole run time, used until progress gives a better
+  // figure; `since`: when it was ordered.
+  Duration RemainingTime(Duration estimate, Time since, Time now) const;
 
  private:
   struct Mark {
@@ -28,10 +29,11 @@
     Time at{};
   };
 
-  // The first word of a run is often of a moment before it began, so the second one counts.
-  std::optional<Mark> heard_;
-  std::optional<Mark> first_;
-  Mark newest_;
+  // The first report is often from a moment before the run began, so the speed is measured from the
+  // second one on.
+  std::optional<Mark> last_report_;
+  std::optional<Mark> baseline_;
+  Mark latest_;
 };
 
 }  // namespace turmericshift::pool
--- a/servers/pool/run_times.cc
+++ b/servers/pool/run_times.cc
@@ -6,39 +6,40 @@
 namespace turmericshift::pool {
 namespace {
 
-// Fewer runs than this tell the spread too badly to prefer one guide to the other.
-constexpr int kLeastRuns = 6;
-// Older runs count less and less, so that a queue whose work changes is followed within so many.
-constexpr int kMemory = 200;
-// Keeps logarithms in bounds.
-constexpr double kLeastSeconds = 0.001;
-
-// What is assumed of a queue of which little is known: half of the callers are off by more than
-// three fifths.
-constexpr double kUnknownSpread = 0.7;
+// Fewer runs than this do not show reliably which of the two predicts better.
+constexpr int kMinRuns = 6;
+// Length of the moving averages in runs: a queue whose work changes is followed within so many
+// runs.
+constexpr int kMaxAveragedRuns = 200;
+// Shortest time, to keep logarithms finite.
+constexpr double kMinSeconds = 0.001;
+
+// LogStatistics assumed of a queue with few runs: half of the callers' estimates are off by more
+// than three fifths.
+constexpr double kDefaultSpread = 0.7;
 
 }  // namespace
 
-void RunTimes::Spread::Add(double value, int count) {
-  const double weight = 1.0 / std::min(count, kMemory);
+void RunTimes::LogStatistics::Add(double value, int count) {
+  const double weight = 1.0 / std::min(count, kMaxAveragedRuns);
   const double step = value - mean;
   mean += weight * step;
-  squares = (1 - weight) * (squares + weight * step * step);
+  variance = (1 - weight) * (variance + weight * step * step);
 }
 
 void RunTimes::Note(const std::string& queue, Duration estimate, Duration actual) {
   Queue& known = queues_[queue];
   ++known.count;
-  const double seconds = std::max(kLeastSeconds, Seconds(actual));
+  const double seconds = std::max(kMinSeconds, Seconds(actual));
   known.actual.Add(std::log(seconds), known.count);
-  known.ratio.Add(std::log(seconds / std::max(kLeastSeconds, Seconds(estimate))), known.count);
+  known.ratio.Add(std::log(seconds / std::max(kMinSeconds, Seconds(estimate))), known.count);
 }
 
-Duration RunTimes::Expect(const std::string& queue, Duration estimate) const {
+Duration RunTimes::ExpectedTime(const std::string& queue, Duration estimate) const {
   const auto found = queues_.find(queue);
-  if (found == queues_.end() || found->second.count < kLeastRuns) return estimate;
+  if (found == queues_.end() || found->second.count < kMinRuns) return estimate;
   const Queue& known = found->second;
-  const double seconds = known.actual.squares < known.ratio.squares
+  const double seconds = known.actual.variance < known.ratio.variance
                              ? std::exp(known.actual.mean)
                              : Seconds(estimate) * std::exp(known.ratio.mean);
   return FromSeconds(seconds);
@@ -46,8 +47,8 @@
 
 double RunTimes::SpreadOf(const std::string& queue) const {
   const auto found = queues_.find(queue);
-  if (found == queues_.end() || found->second.count < kLeastRuns) return kUnknownSpread;
-  return std::sqrt(std::min(found->second.actual.squares, found->second.ratio.squares));
+  if (found == queues_.end() || found->second.count < kMinRuns) return kDefaultSpread;
+  return std::sqrt(std::min(found->second.actual.variance, found->second.ratio.variance));
 }
 
 }  // namespace turmericshift::pool
