--- a/servers/pool/run_times.h
+++ b/servers/pool/run_times.h
@@ -1,6 +1,6 @@
-// How long the tasks of each queue really take. Answers callers whose estimates are off by up to
-// nine tenths: a gang that is thought to take a third of its time is soon held for hopeless and
-// passed over, and one thought to take three times as long seems to have all the time in the world.
+// Learns how long the tasks of each queue really take, since callers' estimates are off by up to
+// nine tenths. A gang estimated at a third of its run time would soon be given up as hopeless and
+// passed over, and one estimated at three times its run time would seem to have plenty of slack.
 #pragma once
 
 #include <map>
@@ -12,29 +12,30 @@
 
 class RunTimes {
  public:
-  // A task that was estimated to take `estimate` took `actual`, on its own worker and undisturbed.
+  // A task that was estimated to take `estimate` took `actual`, at full speed and without
+  // interruption.
   void Note(const std::string& queue, Duration estimate, Duration actual);
 
-  // What a task of the queue should take: by the mean of its queue or by its estimate, whichever
-  // has been the better guide; the estimate while little is known.
-  Duration Expect(const std::string& queue, Duration estimate) const;
+  // Expected run time of a task of the queue: by the queue's mean or by the task's estimate,
+  // whichever has predicted better; the estimate while little is known.
+  Duration ExpectedTime(const std::string& queue, Duration estimate) const;
 
-  // How far true times lie off the expected ones: the standard deviation of the logarithm of their
+  // Deviation of actual from expected run times: the standard deviation of the logarithm of their
   // ratio.
   double SpreadOf(const std::string& queue) const;
 
  private:
-  // Mean and spread of logarithms of seconds, or of ratios: times spread by factors.
-  struct Spread {
+  // Mean and variance of logarithms of seconds, or of ratios, because run times vary by factors.
+  struct LogStatistics {
     double mean = 0;
-    double squares = 0;
+    double variance = 0;
 
     void Add(double value, int count);
   };
   struct Queue {
     int count = 0;
-    Spread actual;
-    Spread ratio;
+    LogStatistics actual;
+    LogStatistics ratio;
   };
 
   std::map<std::string, Queue> queues_;
--- a/servers/pool/worker_roster.h
+++ b/servers/pool/worker_roster.h
@@ -61,7 +61,7 @@
   std::string incarnation;
   // When the agent's process was first heard.
   Time incarnation_since{};
-  // The newest of the processes before it; see PoolPlanner::TakeIncarnation.
+  // The newest of the processes before it; see PoolPlanner::AcceptIncarnation.
   std::deque<std::string> former_incarnations;
   int64_t sequence = -1;
   WorkerFacts facts;
@@ -83,7 +83,7 @@
   // What is left as of this round of planning; see PoolPlanner::Plan.
   Room left;
   // What is live, as of this round.
-  Tenants tenants = Tenants::kNone;
+  Occupancy occupancy = Occupancy::kNone;
 
   // Capacity less what is live; what is being stopped still counts.
   Room free() const;
--- a/tests/stand_ins/pool_bed.h
+++ b/tests/stand_ins/pool_bed.h
@@ -81,7 +81,7 @@
   void SetReportsPerTick(int reports) { reports_per_tick_ = reports; }
   // The planner does nothing at all.
   void SetPlannerHeldUp(bool held_up) { planner_held_up_ = held_up; }
-  Duration planner_late() const { return planner_->late(); }
+  Duration planner_late() const { return planner_->lag(); }
   // Appends are not answered.
   void SetStoreDown(bool down) { store_down_ = down; }
   void SetOperators(const OperatorState& operators);
