--- a/servers/pool/pool_planner.h
+++ b/servers/pool/pool_planner.h
@@ -215,7 +215,7 @@
   };
 
   // Reports: pool_planner_reports.cc.
-  //
+
   // Records which process of the agent sent the report. Returns false for a process that has been
   // replaced: its connection may hold reports that are read after the first report of its successor
   // and describe an earlier state. Applied, they would make current runs look lost.
@@ -251,6 +251,7 @@
   }
 
   // Planning: pool_planner_planning.cc.
+
   bool MayStart(Time now) const;
   bool MayStartInherited(Time now) const;
   void ExpireLeases(Time now);
--- a/servers/pool/pool_planner_backfilling.cc
+++ b/servers/pool/pool_planner_backfilling.cc
@@ -113,10 +113,9 @@
   const UnitKey key = {unit.job->spec.id, unit.place};
   const Time over_at = now + Scaled(unit.expected, kEstimateMargin);
   for (WorkerRoom& room : *rooms) {
-    const auto reservation = backfill_reservations_.find(std::string(room.node));
-    if (reservation == backfill_reservations_.end() || reservation->second.key == key) continue;
-    if (over_at > reservation->second.ready_at)
-      room.free = ComponentMin(room.free, reservation->second.spare);
+    const auto found = backfill_reservations_.find(std::string(room.node));
+    if (found == backfill_reservations_.end() || found->second.key == key) continue;
+    if (over_at > found->second.ready_at) room.free = ComponentMin(room.free, found->second.spare);
   }
 }
 
--- a/servers/pool/run_progress.cc
+++ b/servers/pool/run_progress.cc
@@ -9,8 +9,9 @@
 // 1 s between two readings of a worker outweigh the run's speed.
 constexpr int kMinProgressStep = 4;
 constexpr int kAllDone = 100;
-// A worker is read once a second and reports whole percents: a run of some ten seconds changes with
-// every reading, while a run of minutes takes a few seconds per percent.
+// A run counts as stalled if it makes no progress for kMinStall and for a twentieth of its expected
+// run time. A worker is read once a second and reports whole percents: a run of some ten seconds
+// changes with every reading, while a run of minutes takes a few seconds per percent.
 constexpr Duration kMinStall = std::chrono::milliseconds(2500);
 constexpr int kStallDivisor = 20;
 // Remaining time of a run that is past its expected end: a share of the time that it has taken
--- a/servers/pool/run_progress.h
+++ b/servers/pool/run_progress.h
@@ -29,8 +29,8 @@
     Time at{};
   };
 
-  // The first report is often from a moment before the run began, so the speed is measured from the
-  // second one on.
+  // The first report is often from a moment before the run began, so the second report is the
+  // baseline from which the speed is measured.
   std::optional<Mark> last_report_;
   std::optional<Mark> baseline_;
   Mark latest_;
--- a/servers/pool/run_times.cc
+++ b/servers/pool/run_times.cc
@@ -14,8 +14,8 @@
 // Shortest time, to keep logarithms finite.
 constexpr double kMinSeconds = 0.001;
 
-// LogStatistics assumed of a queue with few runs: half of the callers' estimates are off by more
-// than three fifths.
+// Spread assumed of a queue with few runs: half of the callers' estimates are off by more than
+// three fifths.
 constexpr double kDefaultSpread = 0.7;
 
 }  // namespace
