--- a/servers/pool/planner_lag_test.cc
+++ b/servers/pool/planner_lag_test.cc
@@ -13,14 +13,14 @@
 std::string Node(int number) { return "n" + std::to_string(number); }
 
 // A planner that holds the polls of `count` agents, to be answered at `until`.
-PlannerLag Holding(int count, Time until) {
+PlannerLag LagWithHeldPolls(int count, Time until) {
   PlannerLag planner_lag;
   for (int agent = 0; agent < count; ++agent) planner_lag.NotePollHeld(Node(agent), until);
   return planner_lag;
 }
 
 TEST(PlannerLag, IsZeroWhilePollsAreAnsweredOnTime) {
-  PlannerLag planner_lag = Holding(20, kNow + milliseconds(300));
+  PlannerLag planner_lag = LagWithHeldPolls(20, kNow + milliseconds(300));
   planner_lag.Update(kNow);
   EXPECT_EQ(planner_lag.lag(), Duration::zero());
   EXPECT_FALSE(planner_lag.overloaded());
@@ -28,7 +28,7 @@
 
 // After a stall of two seconds the planner would otherwise take every agent for silent.
 TEST(PlannerLag, DetectsAStall) {
-  PlannerLag planner_lag = Holding(20, kNow);
+  PlannerLag planner_lag = LagWithHeldPolls(20, kNow);
   planner_lag.Update(kNow + seconds(2));
   EXPECT_GT(planner_lag.lag(), milliseconds(1800));
   EXPECT_TRUE(planner_lag.overloaded());
@@ -36,7 +36,7 @@
 
 // A zone is partitioned. The silence of its agents is not the planner's lag.
 TEST(PlannerLag, IgnoresAFewSilentAgents) {
-  PlannerLag planner_lag = Holding(20, kNow + seconds(3));
+  PlannerLag planner_lag = LagWithHeldPolls(20, kNow + seconds(3));
   for (int agent = 0; agent < 4; ++agent) planner_lag.NotePollAnswered(Node(agent), kNow);
   planner_lag.Update(kNow + seconds(2));
   EXPECT_EQ(planner_lag.lag(), Duration::zero());
@@ -45,7 +45,7 @@
 // Half of the pool has gone for good. Counted as lag forever, this would prevent the lost tasks
 // from being started again.
 TEST(PlannerLag, IgnoresAgentsThatAreGone) {
-  PlannerLag planner_lag = Holding(20, kNow + seconds(60));
+  PlannerLag planner_lag = LagWithHeldPolls(20, kNow + seconds(60));
   for (int agent = 0; agent < 12; ++agent) planner_lag.NotePollAnswered(Node(agent), kNow);
   for (int tenth = 1; tenth <= 90; ++tenth) planner_lag.Update(kNow + milliseconds(100) * tenth);
   EXPECT_EQ(planner_lag.lag(), Duration::zero());
@@ -54,7 +54,7 @@
 // Reports that arrived during a stall are read one after the other, so some are still unread when
 // most agents have been updated.
 TEST(PlannerLag, FallsNoFasterThanTimePasses) {
-  PlannerLag planner_lag = Holding(20, kNow);
+  PlannerLag planner_lag = LagWithHeldPolls(20, kNow);
   const Time end = kNow + seconds(2);
   planner_lag.Update(end);
   const Duration stalled = planner_lag.lag();
@@ -67,7 +67,7 @@
 }
 
 TEST(PlannerLag, LimitsStartsWhileLagging) {
-  PlannerLag planner_lag = Holding(20, kNow);
+  PlannerLag planner_lag = LagWithHeldPolls(20, kNow);
   constexpr int kMany = 100;
   planner_lag.Update(kNow);
   EXPECT_TRUE(planner_lag.MayStartMore(kMany));
@@ -102,7 +102,7 @@
 // Most of the pool loses power at the same moment. If an idle planner counted this as lag, it would
 // stop reserving room and delay the restart of the lost tasks.
 TEST(PlannerLag, IgnoresManySilentAgentsWhileOthersReportPromptly) {
-  PlannerLag planner_lag = Holding(20, kNow);
+  PlannerLag planner_lag = LagWithHeldPolls(20, kNow);
   planner_lag.Update(kNow);
   for (int tenth = 1; tenth <= 40; ++tenth) {
     RunWithPromptReports(&planner_lag, 12, kNow + milliseconds(100) * tenth, Duration::zero());
@@ -111,7 +111,7 @@
 }
 
 TEST(PlannerLag, DetectsAStallAfterPromptReports) {
-  PlannerLag planner_lag = Holding(20, kNow);
+  PlannerLag planner_lag = LagWithHeldPolls(20, kNow);
   RunWithPromptReports(&planner_lag, 0, kNow, seconds(2));
   planner_lag.Update(kNow + seconds(4));
   EXPECT_GT(planner_lag.lag(), milliseconds(1700));
@@ -119,7 +119,7 @@
 
 // After a stall the reports are read one after the other; the reports read so far came late.
 TEST(PlannerLag, KeepsLaggingWhileReportsFromAStallAreRead) {
-  PlannerLag planner_lag = Holding(20, kNow);
+  PlannerLag planner_lag = LagWithHeldPolls(20, kNow);
   const Time end = kNow + seconds(2);
   for (int agent = 0; agent < 8; ++agent) {
     planner_lag.NoteReportRead(Node(agent), end);
--- a/servers/pool/pool_load_test.cc
+++ b/servers/pool/pool_load_test.cc
@@ -214,8 +214,9 @@
   EXPECT_LE(mixed, 1);
 }
 
-// Callers' estimates in a queue are between a tenth and twice the true run time. A job with an
-// estimate of a tenth soon looks hopelessly late; passed over for that, it really is.
+// Callers' estimates in a queue are between a tenth and twice the true run time. A job whose
+// estimate is a tenth of its run time soon seems hopelessly past due and would be passed over until
+// it really is.
 TEST(PoolLoad, UsesLearnedRunTimesWhereEstimatesAreWrong) {
   PoolBed bed(BedRacks(1), BedOperators(0));
   bed.true_time = [](const TaskId&) { return seconds(6); };
@@ -262,13 +263,13 @@
   bed.RunFor(milliseconds(100));
   bed.Submit(BedJob("stuck", "batch", "one", BedStep(1, 1, seconds(8))));
   bed.RunFor(seconds(2));
-  const std::string sick = bed.RunsOf("stuck").at(0).node;
-  bed.SetStuck(sick, true);
+  const std::string faulty = bed.RunsOf("stuck").at(0).node;
+  bed.SetStuck(faulty, true);
   bed.RunFor(seconds(4));
   bed.Submit(BedJob("later", "batch", "one", BedStep(2, 1, seconds(1))));
   bed.RunFor(seconds(2));
   EXPECT_EQ(bed.StateOf("later"), JobState::kCompleted);
-  bed.SetStuck(sick, false);
+  bed.SetStuck(faulty, false);
   EXPECT_TRUE(bed.RunUntil("stuck", JobState::kCompleted, seconds(8)));
 }
 
@@ -346,7 +347,7 @@
   EXPECT_EQ(bed_.violations(), std::vector<std::string>());
 }
 
-// A successor receives the first reports of all agents and runs at the same time.
+// A successor receives the first reports of all agents, with all their runs, at the same time.
 TEST_F(BusyPlanner, LosesNoLeaseWhenThePlannerIsReplaced) {
   LoadFor(seconds(6));
   const Time replaced = bed_.now();
--- a/servers/pool/pool_planner_advice.cc
+++ b/servers/pool/pool_planner_advice.cc
@@ -1,5 +1,4 @@
-// Planning of steps that may run on some workers only, which ones being known to the advice service
-// alone.
+// Planning of steps that only some workers may run, as the advice service decides.
 #include <algorithm>
 
 #include "servers/pool/pool_planner.h"
--- a/servers/pool/pool_planner_backfilling.cc
+++ b/servers/pool/pool_planner_backfilling.cc
@@ -1,10 +1,10 @@
 // Backfilling reservations for waiting units, and the choice between waiting and off-rack
 // placement.
 //
-// Load patterns: gangs of whole workers beside a stream of small tasks that fill every gap (the
-// gang's workers are reserved from tasks that would end too late); gangs that want one rack of a
-// full pool (over several racks they take three times as long, so they wait for a rack unless the
-// wait is even longer).
+// Load patterns: gangs of whole workers beside a stream of small tasks that fill every gap (tasks
+// that would end too late are kept off the gang's workers); gangs that want one rack of a full pool
+// (spread over several racks they take three times as long, so they wait for a rack unless the wait
+// is even longer).
 #include <algorithm>
 
 #include "servers/pool/pool_planner.h"
--- a/servers/pool/pool_planner_test.cc
+++ b/servers/pool/pool_planner_test.cc
@@ -439,8 +439,8 @@
 }
 
 // An urgent job of many whole-worker tasks fills the pool: each worker that one of its tasks leaves
-// is for the next one. If the job were skipped until the end is durable, less urgent work would
-// take the room and be preempted again.
+// is for the next one. If the job had to wait until the end of the task is durable, less urgent
+// work would take the room and be preempted again.
 TEST(PoolPlanner, GivesRoomOfADoneTaskToTheNextTaskOfAnUrgentJob) {
   PoolBed bed(BedRacks(1), BedOperators(0));
   bed.Submit(BedJob("urgent", "urgent", "one", BedStep(9, 8, seconds(2))));
@@ -452,8 +452,9 @@
   for (const BedRun& run : bed.RunsOf("less")) EXPECT_GT(run.begun, last_begun);
 }
 
-// Two of three workers fail all tasks, and the third is full for a moment. A job that both have
-// failed has one attempt left; spent on a faulty worker too, it would fail a job that has no fault.
+// Two of three workers fail all tasks, and the third is full for a moment. A job that has failed on
+// both has one attempt left. Spent on a faulty worker too, it would fail a job that has no fault
+// itself.
 TEST(PoolPlanner, ReservesTheLastAttemptForAHealthyWorker) {
   PoolBed bed(BedRacks(1), BedOperators(0));
   bed.fails = [](const RunId& run, const std::string& node) {
