--- a/modules/placement/cell_policy.cc
+++ b/modules/placement/cell_policy.cc
@@ -298,7 +298,7 @@
     for (const int worker : workers) {
       reserved_until_[worker] = ready;
       gatherer_[worker] = &entry->first;
-      room_.MarkGathered(worker);
+      room_.MarkSoftReserved(worker);
     }
     return ready;
   }
--- a/modules/placement/task_placer.cc
+++ b/modules/placement/task_placer.cc
@@ -143,7 +143,7 @@
       : room_(room), view_(view), spec_(spec), cost_(cost), may_stop_(may_stop) {
     workspace_ = room->WorkspaceIndex(spec.workspace);
     together_ = spec.adjacency == Adjacency::kSameWorker;
-    unit_ = together_ ? Times(spec.shape, spec.tasks) : spec.shape;
+    unit_ = together_ ? MultiplyShape(spec.shape, spec.tasks) : spec.shape;
     units_ = together_ ? 1 : spec.tasks;
   }
 
@@ -178,7 +178,7 @@
     }
     for (int level = static_cast<int>(least); level < kCellLevelCount; ++level) {
       const auto cell = static_cast<CellLevel>(level);
-      if (room_->sizes().Normal(cell) != cell || room_->Unbound(workspace_, cell) <= 0) continue;
+      if (room_->sizes().Normalize(cell) != cell || room_->Unbound(workspace_, cell) <= 0) continue;
       const TaskShape shape = room_->sizes().Shape(std::min(cell, CellLevel::kWorker));
       for (const uint32_t block : room_->sizes().Blocks(cell)) {
         if ((block & worker.held) == 0) AddSite({index, cell, block, block, shape, false, 0, 0});
@@ -194,7 +194,7 @@
         if ((lent.mask & site.mask) != 0) site.cost += Cost(lent.job);
       }
     }
-    if (worker.gathered) site.cost += kGatheredCost;
+    if (worker.soft_reserved) site.cost += kGatheredCost;
     if (!site.bound) {
       for (const CellLevel level : {CellLevel::kPair, CellLevel::kHalf, CellLevel::kWorker}) {
         for (const uint32_t block : room_->sizes().Blocks(level)) {
@@ -248,7 +248,7 @@
       }
       if (here == 0) continue;
       taken[site.worker] |= site.mask;
-      const TaskShape more = Times(unit_, here);
+      const TaskShape more = MultiplyShape(unit_, here);
       TaskShape& sum = needed[site.worker];
       sum.processors += more.processors;
       sum.memory_bytes += more.memory_bytes;
--- a/servers/entry/entry_server.cc
+++ b/servers/entry/entry_server.cc
@@ -61,12 +61,12 @@
   router_ = std::make_unique<RequestRouter>(
       router, RoutingPolicyRegistry::Instance().Create(options.routing_policy, options.seed),
       &directory_, &request_stream_, &request_fold_, &config_fold_, metrics);
-  PlannerDutiesOptions planners;
+  ZonePlannerManagerOptions planners;
   planners.process = options.process;
   planners.own_zone = options.zone;
   planners.policy = options.placement_policy;
-  planners_ = std::make_unique<PlannerDuties>(planners, &directory_, &job_stream_, &job_fold_,
-                                              &config_fold_, metrics);
+  planners_ = std::make_unique<ZonePlannerManager>(planners, &directory_, &job_stream_, &job_fold_,
+                                                   &config_fold_, metrics);
   caller_http_ = std::make_unique<HttpServer>(
       options.caller_http,
       [this](const HttpRequest& request) { return CallerApi(this).Handle(request); });
--- a/servers/entry/entry_server.h
+++ b/servers/entry/entry_server.h
@@ -17,7 +17,7 @@
 #include "servers/entry/peer_view.h"
 #include "servers/entry/request_router.h"
 #include "servers/entry/token_table.h"
-#include "servers/planner/planner_duties.h"
+#include "servers/planner/zone_planner_manager.h"
 #include "servers/ports/entry_port.h"
 #include "servers/state/config_fold.h"
 #include "servers/state/job_fold.h"
@@ -115,7 +115,7 @@
   PeerView peers_;
   TokenTable tokens_;
   std::unique_ptr<RequestRouter> router_;
-  std::unique_ptr<PlannerDuties> planners_;
+  std::unique_ptr<ZonePlannerManager> planners_;
   std::unique_ptr<HttpServer> caller_http_;
   std::unique_ptr<HttpServer> operator_http_;
 
--- a/servers/planner/cells.cc
+++ b/servers/planner/cells.cc
@@ -18,7 +18,7 @@
          shape.accelerators <= room.accelerators;
 }
 
-TaskShape Times(const TaskShape& shape, int count) {
+TaskShape MultiplyShape(const TaskShape& shape, int count) {
   return {shape.processors * count, shape.memory_bytes * count, shape.accelerators * count};
 }
 
@@ -45,12 +45,12 @@
   }
 }
 
-CellLevel CellSizes::Normal(CellLevel level) const {
+CellLevel CellSizes::Normalize(CellLevel level) const {
   return splits_ ? level : std::max(level, CellLevel::kWorker);
 }
 
 int CellSizes::Accelerators(CellLevel level) const {
-  switch (Normal(level)) {
+  switch (Normalize(level)) {
     case CellLevel::kAccelerator:
       return 1;
     case CellLevel::kPair:
@@ -66,8 +66,8 @@
 }
 
 TaskShape CellSizes::Shape(CellLevel level) const {
-  const CellLevel normal = Normal(level);
-  if (normal == CellLevel::kRack) return Times(worker_, workers_per_rack_);
+  const CellLevel normal = Normalize(level);
+  if (normal == CellLevel::kRack) return MultiplyShape(worker_, workers_per_rack_);
   if (normal == CellLevel::kWorker) return worker_;
   const int accelerators = Accelerators(normal);
   return {worker_.processors * accelerators / worker_.accelerators,
@@ -77,14 +77,14 @@
 std::optional<CellLevel> CellSizes::LevelFor(const TaskShape& shape) const {
   for (const CellLevel level : kLevels) {
     if (level > CellLevel::kWorker) break;
-    if (Normal(level) == level && FitsIn(shape, Shape(level))) return level;
+    if (Normalize(level) == level && FitsIn(shape, Shape(level))) return level;
   }
   return std::nullopt;
 }
 
 int64_t CellSizes::Ratio(CellLevel outer, CellLevel inner) const {
-  outer = Normal(outer);
-  inner = Normal(inner);
+  outer = Normalize(outer);
+  inner = Normalize(inner);
   if (outer < inner) return 0;
   if (inner == CellLevel::kRack) return 1;
   const int64_t racks = outer == CellLevel::kRack ? workers_per_rack_ : 1;
@@ -97,7 +97,7 @@
   CellCounts counts{};
   for (const CellCount& cell : cells) {
     for (const CellLevel level : kLevels) {
-      if (Normal(level) != level) continue;
+      if (Normalize(level) != level) continue;
       counts[static_cast<size_t>(level)] += cell.count * Ratio(cell.level, level);
     }
   }
--- a/servers/planner/cells.h
+++ b/servers/planner/cells.h
@@ -26,7 +26,7 @@
   // others each smaller cell is given a whole worker.
   bool splits() const { return splits_; }
   // The level at which a cell of `level` is carved here.
-  CellLevel Normal(CellLevel level) const;
+  CellLevel Normalize(CellLevel level) const;
   // Accelerators of one cell; of a rack, in all its workers.
   int Accelerators(CellLevel level) const;
   // A cell's own part of its worker's processors, memory and accelerators.
@@ -50,7 +50,7 @@
 // Whether `shape` fits in `room`.
 bool FitsIn(const TaskShape& shape, const TaskShape& room);
 // `count` tasks of `shape` taken together.
-TaskShape Times(const TaskShape& shape, int count);
+TaskShape MultiplyShape(const TaskShape& shape, int count);
 // The mask of accelerators 0 to count - 1.
 uint32_t FirstAccelerators(int count);
 
--- a/servers/planner/guarantee_split.cc
+++ b/servers/planner/guarantee_split.cc
@@ -18,7 +18,7 @@
   const CellSizes& sizes() const { return sizes_; }
 
   bool Take(CellLevel level) {
-    level = sizes_.Normal(level);
+    level = sizes_.Normalize(level);
     const CellCounts cost = sizes_.Cumulative({{level, 1}});
     for (size_t index = 0; index < left_.size(); ++index) {
       if (index <= static_cast<size_t>(level) && left_[index] < cost[index]) return false;
@@ -35,7 +35,9 @@
     return true;
   }
 
-  int64_t left(CellLevel level) const { return left_[static_cast<size_t>(sizes_.Normal(level))]; }
+  int64_t left(CellLevel level) const {
+    return left_[static_cast<size_t>(sizes_.Normalize(level))];
+  }
 
  private:
   int64_t RatioOneUp(CellLevel outer) const {
@@ -68,7 +70,7 @@
 
 void Host(const Cell& cell, const std::string& zone, const Supplies& supplies,
           GuaranteeSplit* split) {
-  const CellLevel level = supplies.at(zone).sizes().Normal(cell.level);
+  const CellLevel level = supplies.at(zone).sizes().Normalize(cell.level);
   std::vector<CellCount>& cells = split->zones[zone][cell.workspace].cells;
   const auto found = std::find_if(cells.begin(), cells.end(),
                                   [&](const CellCount& count) { return count.level == level; });
--- a/servers/planner/planner_simulation.h
+++ b/servers/planner/planner_simulation.h
@@ -15,7 +15,7 @@
 #include "modules/stand_ins/manual_clock.h"
 #include "modules/stand_ins/memory_log.h"
 #include "servers/agent/gang_host.h"
-#include "servers/planner/planner_duty.h"
+#include "servers/planner/zone_planner_service.h"
 
 namespace turmericshift {
 
--- a/servers/planner/planner_simulation_test.cc
+++ b/servers/planner/planner_simulation_test.cc
@@ -67,7 +67,7 @@
   std::unique_ptr<Writer> writer;
   std::unique_ptr<GangRunner> runner;
   std::vector<std::function<void()>> work;
-  std::unique_ptr<PlannerDuty> duty;
+  std::unique_ptr<ZonePlannerService> duty;
 };
 
 struct PlannerSimulation::Agent {
@@ -392,7 +392,7 @@
   options.zone = kZone;
   options.process = entry->name;
   options.own_zone = entry->name == "entry-0" ? kZone : "zone-b";
-  entry->duty = std::make_unique<PlannerDuty>(
+  entry->duty = std::make_unique<ZonePlannerService>(
       options, entry->directory.get(), entry->writer.get(), entry->jobs.get(), entry->config.get(),
       entry->runner.get(),
       [entry](std::function<void()> work) { entry->work.push_back(std::move(work)); }, &metrics_);
--- a/servers/planner/planner_duties.cc
+++ b/servers/planner/zone_planner_manager.cc
@@ -1,10 +1,9 @@
-#include "servers/planner/planner_duties.h"
-
 #include <atomic>
 
 #include "core/error.h"
 #include "core/logging.h"
 #include "core/thread_pool.h"
+#include "servers/planner/zone_planner_manager.h"
 
 namespace turmericshift {
 namespace {
@@ -20,8 +19,8 @@
 
 }  // namespace
 
-struct PlannerDuties::ZoneDuty {
-  ZoneDuty(const PlannerOptions& options, PlannerDuties* owner)
+struct ZonePlannerManager::ZoneDuty {
+  ZoneDuty(const PlannerOptions& options, ZonePlannerManager* owner)
       : steps("planner-step", kStepThreads),
         duty(
             options, owner->directory_, owner->jobs_, owner->job_fold_, owner->config_fold_,
@@ -29,14 +28,15 @@
             owner->metrics_) {}
 
   ThreadPool steps;
-  PlannerDuty duty;
+  ZonePlannerService duty;
   std::atomic<Time> stepped_at{Time()};
   Thread thread;
 };
 
-PlannerDuties::PlannerDuties(const PlannerDutiesOptions& options, AgentDirectory* directory,
-                             RecordWriter* jobs, const JobFold* job_fold,
-                             const ConfigFold* config_fold, MetricsRegistry* metrics)
+ZonePlannerManager::ZonePlannerManager(const ZonePlannerManagerOptions& options,
+                                       AgentDirectory* directory, RecordWriter* jobs,
+                                       const JobFold* job_fold, const ConfigFold* config_fold,
+                                       MetricsRegistry* metrics)
     : options_(options),
       directory_(directory),
       jobs_(jobs),
@@ -47,7 +47,7 @@
   thread_ = Thread("planners", [this] { Run(); });
 }
 
-PlannerDuties::~PlannerDuties() {
+ZonePlannerManager::~ZonePlannerManager() {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     stopping_ = true;
@@ -57,18 +57,18 @@
   for (auto& [name, zone] : zones_) zone->thread.Join();
 }
 
-bool PlannerDuties::Active(const std::string& zone) const {
+bool ZonePlannerManager::Active(const std::string& zone) const {
   const ZoneDuty* duty = Find(zone);
   if (duty == nullptr || !duty->duty.holds_duty()) return false;
   return DefaultClock().Now() - duty->stepped_at.load() <= kActiveAge;
 }
 
-std::string PlannerDuties::WaitReasonFor(const JobRecord& job) const {
+std::string ZonePlannerManager::WaitReasonFor(const JobRecord& job) const {
   const ZoneDuty* duty = Find(job.zone);
   return duty == nullptr ? "" : duty->duty.WaitReasonFor(job.id);
 }
 
-int64_t PlannerDuties::RunningAttempt(const JobRecord& job) const {
+int64_t ZonePlannerManager::RunningAttempt(const JobRecord& job) const {
   const ZoneDuty* duty = Find(job.zone);
   if (duty != nullptr && duty->duty.holds_duty()) return duty->duty.RunningAttempt(job.id);
   const ReportTable table(directory_->Agents(job.zone));
@@ -76,7 +76,7 @@
   return newest != nullptr && newest->running() > 0 ? newest->attempt : 0;
 }
 
-bool PlannerDuties::Leave(Duration limit) {
+bool ZonePlannerManager::Leave(Duration limit) {
   std::unique_lock<std::mutex> lock(mutex_);
   for (auto& [name, zone] : zones_) zone->duty.Leave();
   return changed_.wait_for(lock, limit, [this] {
@@ -87,7 +87,7 @@
   });
 }
 
-void PlannerDuties::Run() {
+void ZonePlannerManager::Run() {
   std::unique_lock<std::mutex> lock(mutex_);
   while (!stopping_) {
     if (const auto config = config_fold_->current()) {
@@ -108,7 +108,7 @@
   }
 }
 
-void PlannerDuties::RunZone(ZoneDuty* zone) {
+void ZonePlannerManager::RunZone(ZoneDuty* zone) {
   int64_t seen = -1;
   Time next = DefaultClock().Now();
   while (true) {
@@ -130,7 +130,7 @@
   }
 }
 
-const PlannerDuties::ZoneDuty* PlannerDuties::Find(const std::string& zone) const {
+const ZonePlannerManager::ZoneDuty* ZonePlannerManager::Find(const std::string& zone) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   const auto found = zones_.find(zone);
   return found == zones_.end() ? nullptr : found->second.get();
--- a/servers/planner/planner_duties.h
+++ b/servers/planner/zone_planner_manager.h
@@ -1,5 +1,6 @@
-// The planner's duties of one entry: one PlannerDuty on a thread of its own for every availability
-// zone of the document, so that a zone whose own entries are gone still gets a planner.
+// The planner's duties of one entry: one ZonePlannerService on a thread of its own for every
+// availability zone of the document, so that a zone whose own entries are gone still gets a
+// planner.
 #pragma once
 
 #include <condition_variable>
@@ -11,25 +12,26 @@
 #include "core/metrics.h"
 #include "core/thread.h"
 #include "servers/planner/gang_runner.h"
-#include "servers/planner/planner_duty.h"
+#include "servers/planner/zone_planner_service.h"
 
 namespace turmericshift {
 
-struct PlannerDutiesOptions {
+struct ZonePlannerManagerOptions {
   // This entry's name and zone.
   std::string process;
   std::string own_zone;
   std::string policy = "first_fit";
 };
 
-class PlannerDuties {
+class ZonePlannerManager {
  public:
   // All pointers must outlive the duties.
-  PlannerDuties(const PlannerDutiesOptions& options, AgentDirectory* directory, RecordWriter* jobs,
-                const JobFold* job_fold, const ConfigFold* config_fold, MetricsRegistry* metrics);
-  ~PlannerDuties();
-  PlannerDuties(const PlannerDuties&) = delete;
-  PlannerDuties& operator=(const PlannerDuties&) = delete;
+  ZonePlannerManager(const ZonePlannerManagerOptions& options, AgentDirectory* directory,
+                     RecordWriter* jobs, const JobFold* job_fold, const ConfigFold* config_fold,
+                     MetricsRegistry* metrics);
+  ~ZonePlannerManager();
+  ZonePlannerManager(const ZonePlannerManager&) = delete;
+  ZonePlannerManager& operator=(const ZonePlannerManager&) = delete;
 
   // This entry holds the zone's duty and its planner is at work.
   bool Active(const std::string& zone) const;
@@ -49,7 +51,7 @@
   // Null when there is none.
   const ZoneDuty* Find(const std::string& zone) const;
 
-  const PlannerDutiesOptions options_;
+  const ZonePlannerManagerOptions options_;
   AgentDirectory* const directory_;
   RecordWriter* const jobs_;
   const JobFold* const job_fold_;
--- a/servers/planner/planner_duty.cc
+++ b/servers/planner/zone_planner_service.cc
@@ -1,10 +1,9 @@
-#include "servers/planner/planner_duty.h"
-
 #include <algorithm>
 
 #include "core/error.h"
 #include "core/logging.h"
 #include "servers/planner/zone_choice.h"
+#include "servers/planner/zone_planner_service.h"
 #include "servers/state/stream_client.h"
 
 namespace turmericshift {
@@ -37,9 +36,10 @@
 
 }  // namespace
 
-PlannerDuty::PlannerDuty(const PlannerOptions& options, AgentDirectory* directory,
-                         RecordWriter* jobs, const JobFold* job_fold, const ConfigFold* config_fold,
-                         GangRunner* runner, Executor executor, MetricsRegistry* metrics)
+ZonePlannerService::ZonePlannerService(const PlannerOptions& options, AgentDirectory* directory,
+                                       RecordWriter* jobs, const JobFold* job_fold,
+                                       const ConfigFold* config_fold, GangRunner* runner,
+                                       Executor executor, MetricsRegistry* metrics)
     : options_(options),
       directory_(directory),
       jobs_(jobs),
@@ -51,12 +51,12 @@
       claim_rule_(options.process, options.own_zone, options.zone),
       jitter_(static_cast<unsigned>(std::hash<std::string>()(options.process + options.zone))) {}
 
-PlannerDuty::~PlannerDuty() {
+ZonePlannerService::~ZonePlannerService() {
   std::unique_lock<std::mutex> lock(posted_mutex_);
   posted_changed_.wait(lock, [this] { return in_flight_ == 0; });
 }
 
-void PlannerDuty::Step(Time now) {
+void ZonePlannerService::Step(Time now) {
   const std::lock_guard<std::mutex> lock(mutex_);
   DrainPosted(now);
   const std::vector<AgentState> agents = directory_->Agents(options_.zone);
@@ -87,22 +87,22 @@
   if (leaving_) ReleaseWhenIdle();
 }
 
-void PlannerDuty::Leave() {
+void ZonePlannerService::Leave() {
   const std::lock_guard<std::mutex> lock(mutex_);
   leaving_ = true;
 }
 
-bool PlannerDuty::has_news() const {
+bool ZonePlannerService::has_news() const {
   const std::lock_guard<std::mutex> lock(posted_mutex_);
   return !posted_.empty();
 }
 
-bool PlannerDuty::holds_duty() const {
+bool ZonePlannerService::holds_duty() const {
   const std::lock_guard<std::mutex> lock(mutex_);
   return epoch_ != kNoSequence;
 }
 
-std::string PlannerDuty::WaitReasonFor(const std::string& job) const {
+std::string ZonePlannerService::WaitReasonFor(const std::string& job) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   if (epoch_ == kNoSequence) return "";
   if (recordings_.count(job) != 0) return "its end is being recorded";
@@ -117,14 +117,14 @@
   return planner_->WaitReasonFor(job);
 }
 
-int64_t PlannerDuty::RunningAttempt(const std::string& job) const {
+int64_t ZonePlannerService::RunningAttempt(const std::string& job) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   const auto found = attempts_.find(job);
   const bool runs = found != attempts_.end() && found->second.stage == AttemptStage::kRunning;
   return runs ? found->second.order.attempt : 0;
 }
 
-void PlannerDuty::Run(std::function<Posted()> work) {
+void ZonePlannerService::Run(std::function<Posted()> work) {
   {
     const std::lock_guard<std::mutex> lock(posted_mutex_);
     ++in_flight_;
@@ -140,7 +140,7 @@
   });
 }
 
-void PlannerDuty::DrainPosted(Time now) {
+void ZonePlannerService::DrainPosted(Time now) {
   std::vector<Posted> posted;
   {
     const std::lock_guard<std::mutex> lock(posted_mutex_);
@@ -149,7 +149,7 @@
   for (const Posted& each : posted) each(now);
 }
 
-bool PlannerDuty::EnsureDuty(const std::vector<AgentState>& agents, Time now) {
+bool ZonePlannerService::EnsureDuty(const std::vector<AgentState>& agents, Time now) {
   const PlannerEpoch holder = job_fold_->Planner(options_.zone);
   if (epoch_ != kNoSequence) {
     if (holder.epoch == epoch_ && holder.process == options_.process) return true;
@@ -161,7 +161,7 @@
   return false;
 }
 
-void PlannerDuty::Claim(Sequence after) {
+void ZonePlannerService::Claim(Sequence after) {
   claiming_ = true;
   Run([this, after]() -> Posted {
     Sequence epoch = kNoSequence;
@@ -180,7 +180,7 @@
   });
 }
 
-void PlannerDuty::BecomeHolder(Sequence epoch, Time now) {
+void ZonePlannerService::BecomeHolder(Sequence epoch, Time now) {
   epoch_ = epoch;
   claimed_at_ = now;
   all_heard_ = false;
@@ -191,7 +191,7 @@
            {{"zone", options_.zone}, {"process", options_.process}, {"epoch", epoch}});
 }
 
-void PlannerDuty::Resign(const std::string& why) {
+void ZonePlannerService::Resign(const std::string& why) {
   LogEvent(LogLevel::kInfo, "planner_duty_lost",
            {{"zone", options_.zone}, {"epoch", epoch_}, {"reason", why}});
   epoch_ = kNoSequence;
@@ -205,7 +205,7 @@
   avoided_until_.clear();
 }
 
-void PlannerDuty::ReleaseWhenIdle() {
+void ZonePlannerService::ReleaseWhenIdle() {
   const bool starting = std::any_of(attempts_.begin(), attempts_.end(), [](const auto& each) {
     return each.second.stage == AttemptStage::kStarting;
   });
@@ -222,7 +222,8 @@
   });
 }
 
-std::vector<AgentState> PlannerDuty::Confirmed(const std::vector<AgentState>& agents, Time now) {
+std::vector<AgentState> ZonePlannerService::Confirmed(const std::vector<AgentState>& agents,
+                                                      Time now) {
   std::vector<AgentState> confirmed;
   for (const AgentState& agent : agents) {
     if (agent.hello.worker.processors == 0) continue;
@@ -239,7 +240,7 @@
   return confirmed;
 }
 
-void PlannerDuty::SyncWorkers(const std::vector<AgentState>& confirmed, Time now) {
+void ZonePlannerService::SyncWorkers(const std::vector<AgentState>& confirmed, Time now) {
   std::set<std::string> present;
   for (const AgentState& agent : confirmed) {
     const std::string& name = agent.hello.process;
@@ -262,7 +263,7 @@
   }
 }
 
-void PlannerDuty::SyncJobs(const ReportTable& table, Time now) {
+void ZonePlannerService::SyncJobs(const ReportTable& table, Time now) {
   std::set<std::string> open;
   for (const JobRecord& job : job_fold_->OpenJobs(options_.zone)) {
     open.insert(job.id);
@@ -287,7 +288,7 @@
   std::erase_if(resolved_, [&](const std::string& job) { return open.count(job) == 0; });
 }
 
-void PlannerDuty::CarryOut(const Plan& plan, Time now) {
+void ZonePlannerService::CarryOut(const Plan& plan, Time now) {
   for (const StopDecision& stop : plan.stops) Stop(stop, now);
   for (const StartDecision& start : plan.starts) Begin(start, now);
   for (const RefuseDecision& refusal : plan.refusals) {
@@ -295,7 +296,7 @@
   }
 }
 
-void PlannerDuty::Begin(const StartDecision& start, Time now) {
+void ZonePlannerService::Begin(const StartDecision& start, Time now) {
   const auto& running = planner_->view().running;
   const auto job = std::find_if(running.begin(), running.end(),
                                 [&](const RunningJob& each) { return each.id == start.job; });
@@ -348,8 +349,8 @@
   });
 }
 
-void PlannerDuty::OnStarted(const std::string& job, int64_t number, const GangStartResult& result,
-                            bool recorded, Time now) {
+void ZonePlannerService::OnStarted(const std::string& job, int64_t number,
+                                   const GangStartResult& result, bool recorded, Time now) {
   LiveAttempt* attempt = Find(job, number);
   if (attempt == nullptr) return;
   if (AnyFenced(result.failures)) return Resign("an agent obeys a newer planner");
@@ -376,7 +377,7 @@
   BeginEnding(attempt, result.may_run ? AttemptEnd::kStopped : AttemptEnd::kNotStarted, now);
 }
 
-void PlannerDuty::Stop(const StopDecision& stop, Time now) {
+void ZonePlannerService::Stop(const StopDecision& stop, Time now) {
   const auto found = attempts_.find(stop.job);
   if (found == attempts_.end()) return;
   LiveAttempt& attempt = found->second;
@@ -395,7 +396,7 @@
   BeginEnding(&attempt, AttemptEnd::kStopped, now);
 }
 
-void PlannerDuty::RenewAll(const std::vector<AgentState>& confirmed, Time now) {
+void ZonePlannerService::RenewAll(const std::vector<AgentState>& confirmed, Time now) {
   if (now - renewed_ < lease() / kRenewalsPerLease) return;
   renewed_ = now;
   std::map<std::string, const AgentState*> fresh;
@@ -432,7 +433,7 @@
   }
 }
 
-void PlannerDuty::MoveAway(Time now) {
+void ZonePlannerService::MoveAway(Time now) {
   if (now < next_move_) return;
   next_move_ = now + kMovePeriod;
   const std::vector<WaitingJob> waiting = planner_->view().waiting;
@@ -455,13 +456,13 @@
   }
 }
 
-LiveAttempt* PlannerDuty::Find(const std::string& job, int64_t number) {
+LiveAttempt* ZonePlannerService::Find(const std::string& job, int64_t number) {
   const auto found = attempts_.find(job);
   const bool same = found != attempts_.end() && found->second.order.attempt == number;
   return same ? &found->second : nullptr;
 }
 
-Duration PlannerDuty::lease() const {
+Duration ZonePlannerService::lease() const {
   const auto config = config_fold_->current();
   return config ? config->environment->bounds.lease : Bounds{}.lease;
 }
--- a/servers/planner/planner_duty.h
+++ b/servers/planner/zone_planner_service.h
@@ -36,19 +36,19 @@
   Duration agent_silence = std::chrono::seconds(5);
 };
 
-class PlannerDuty {
+class ZonePlannerService {
  public:
   // Runs work that may block, now or later, on any thread.
   using Executor = std::function<void(std::function<void()>)>;
 
   // All pointers must outlive the duty.
-  PlannerDuty(const PlannerOptions& options, AgentDirectory* directory, RecordWriter* jobs,
-              const JobFold* job_fold, const ConfigFold* config_fold, GangRunner* runner,
-              Executor executor, MetricsRegistry* metrics);
+  ZonePlannerService(const PlannerOptions& options, AgentDirectory* directory, RecordWriter* jobs,
+                     const JobFold* job_fold, const ConfigFold* config_fold, GangRunner* runner,
+                     Executor executor, MetricsRegistry* metrics);
   // Waits for the work it has given to the executor.
-  ~PlannerDuty();
-  PlannerDuty(const PlannerDuty&) = delete;
-  PlannerDuty& operator=(const PlannerDuty&) = delete;
+  ~ZonePlannerService();
+  ZonePlannerService(const ZonePlannerService&) = delete;
+  ZonePlannerService& operator=(const ZonePlannerService&) = delete;
 
   // One round: what is new, what to do about it. Blocks on nothing but the policy's decision.
   void Step(Time now);
--- a/servers/planner/planner_duty_endings.cc
+++ b/servers/planner/zone_planner_service_attempts.cc
@@ -1,9 +1,9 @@
-// How PlannerDuty follows attempts, proves them over, and gets their ends into the log.
+// How ZonePlannerService follows attempts, proves them over, and gets their ends into the log.
 #include <algorithm>
 
 #include "core/error.h"
 #include "core/logging.h"
-#include "servers/planner/planner_duty.h"
+#include "servers/planner/zone_planner_service.h"
 #include "servers/state/stream_client.h"
 
 namespace turmericshift {
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-bool PlannerDuty::Resolve(const JobRecord& job, const ReportTable& table, Time now) {
+bool ZonePlannerService::Resolve(const JobRecord& job, const ReportTable& table, Time now) {
   // An earlier planner reads the claim before it reads a job that came after it.
   if (job.sequence > epoch_) return true;
   const ReportedAttempt* found = table.Newest(job.id);
@@ -47,7 +47,7 @@
   return true;
 }
 
-void PlannerDuty::Adopt(const JobRecord& job, const ReportedAttempt& found, Time now) {
+void ZonePlannerService::Adopt(const JobRecord& job, const ReportedAttempt& found, Time now) {
   LiveAttempt attempt;
   attempt.view_attempt = found.attempt;
   attempt.stage = AttemptStage::kRunning;
@@ -75,7 +75,7 @@
               now);
 }
 
-void PlannerDuty::Follow(LiveAttempt* attempt, const ReportTable& table, Time now) {
+void ZonePlannerService::Follow(LiveAttempt* attempt, const ReportTable& table, Time now) {
   if (attempt->stage != AttemptStage::kRunning) return;
   const ReportedAttempt* found = table.Find(attempt->order.job, attempt->order.attempt);
   const size_t total = attempt->order.tasks.size();
@@ -114,7 +114,7 @@
   }
 }
 
-void PlannerDuty::BeginEnding(LiveAttempt* attempt, AttemptEnd end, Time now) {
+void ZonePlannerService::BeginEnding(LiveAttempt* attempt, AttemptEnd end, Time now) {
   attempt->stage = AttemptStage::kEnding;
   attempt->since = now;
   attempt->end = end;
@@ -123,7 +123,7 @@
   if (end == AttemptEnd::kNotStarted) attempt->next_ask += kLeastPause + Jitter();
 }
 
-void PlannerDuty::AskStop(LiveAttempt* attempt) {
+void ZonePlannerService::AskStop(LiveAttempt* attempt) {
   attempt->asking = true;
   Run([this, order = attempt->order, checkpoint = attempt->checkpoint]() -> Posted {
     const GangStopResult result = runner_->Stop(order, checkpoint);
@@ -138,7 +138,7 @@
   });
 }
 
-bool PlannerDuty::ContinueEnding(LiveAttempt* attempt, const ReportTable& table, Time now) {
+bool ZonePlannerService::ContinueEnding(LiveAttempt* attempt, const ReportTable& table, Time now) {
   if (attempt->stage != AttemptStage::kEnding || attempt->asking) return false;
   std::set<std::string> open = attempt->order.workers();
   for (const std::string& worker : attempt->over) open.erase(worker);
@@ -152,7 +152,7 @@
   return FinishEnding(attempt, table, now);
 }
 
-bool PlannerDuty::FinishEnding(LiveAttempt* attempt, const ReportTable& table, Time now) {
+bool ZonePlannerService::FinishEnding(LiveAttempt* attempt, const ReportTable& table, Time now) {
   const GangOrder& order = attempt->order;
   const ReportedAttempt* found = table.Find(order.job, order.attempt);
   const Duration waited = now - *attempt->over_since;
@@ -188,7 +188,7 @@
   return true;
 }
 
-void PlannerDuty::ClearStarting(LiveAttempt* attempt) {
+void ZonePlannerService::ClearStarting(LiveAttempt* attempt) {
   attempt->asking = true;
   Run([this, order = attempt->order]() -> Posted {
     bool cleared = false;
@@ -210,7 +210,7 @@
   });
 }
 
-void PlannerDuty::DropOldReports(const ReportTable& table) {
+void ZonePlannerService::DropOldReports(const ReportTable& table) {
   for (const auto& [key, reported] : table.attempts()) {
     const auto& [job, number] = key;
     if (Find(job, number) != nullptr || recordings_.count(job) != 0) continue;
@@ -236,15 +236,15 @@
   }
 }
 
-void PlannerDuty::EndJob(const std::string& job, int64_t number, JobState state,
-                         const std::string& reason, const GangOrder& forget) {
+void ZonePlannerService::EndJob(const std::string& job, int64_t number, JobState state,
+                                const std::string& reason, const GangOrder& forget) {
   const JobEnded ended{NewRecordId(), job, number, state, reason, DefaultClock().WallMillis(),
                        epoch_};
   WriteLater(job, ended, forget);
 }
 
-void PlannerDuty::WriteLater(const std::string& job, const Record& record,
-                             const GangOrder& forget) {
+void ZonePlannerService::WriteLater(const std::string& job, const Record& record,
+                                    const GangOrder& forget) {
   planner_->JobGone(job);
   Recording recording;
   recording.record = record;
@@ -252,7 +252,7 @@
   recordings_[job] = recording;
 }
 
-void PlannerDuty::WriteRecordings(Time now) {
+void ZonePlannerService::WriteRecordings(Time now) {
   for (auto& [job, recording] : recordings_) {
     if (recording.writing || now < recording.next_try) continue;
     recording.writing = true;
@@ -273,7 +273,7 @@
   }
 }
 
-void PlannerDuty::OnWritten(const std::string& job, const FoldVerdict& verdict) {
+void ZonePlannerService::OnWritten(const std::string& job, const FoldVerdict& verdict) {
   const auto found = recordings_.find(job);
   if (found == recordings_.end()) return;
   const Recording recording = found->second;
@@ -299,20 +299,20 @@
   });
 }
 
-Time PlannerDuty::LapsesAt(Time from) const {
+Time ZonePlannerService::LapsesAt(Time from) const {
   return from + FromSeconds(Seconds(lease()) * kClockRate) + kClockMargin;
 }
 
-Time PlannerDuty::UnheardLapsesAt() const {
+Time ZonePlannerService::UnheardLapsesAt() const {
   return LapsesAt(claimed_at_ + FromSeconds(Seconds(lease()) * kClockRate));
 }
 
-Duration PlannerDuty::Jitter() {
+Duration ZonePlannerService::Jitter() {
   return std::chrono::milliseconds(
       std::uniform_int_distribution<int>(0, kMostJitterMillis)(jitter_));
 }
 
-void PlannerDuty::LogJob(const char* event, const GangOrder& order) const {
+void ZonePlannerService::LogJob(const char* event, const GangOrder& order) const {
   const std::optional<JobRecord> record = job_fold_->Find(order.job);
   const int64_t waited = record ? DefaultClock().WallMillis() - record->submitted_wall_ms : 0;
   LogEvent(LogLevel::kInfo, event,
--- a/servers/planner/planner_duty_test.cc
+++ b/servers/planner/zone_planner_service_test.cc
@@ -1,11 +1,10 @@
 // Planners, their takeover and gangs, under faults in passed-in time.
-#include "servers/planner/planner_duty.h"
-
 #include <gtest/gtest.h>
 
 #include "modules/placement/register_types.h"
 #include "servers/planner/planner_simulation.h"
 #include "servers/planner/report_table.h"
+#include "servers/planner/zone_planner_service.h"
 
 namespace turmericshift {
 namespace {
--- a/servers/planner/zone_room.cc
+++ b/servers/planner/zone_room.cc
@@ -205,7 +205,7 @@
   if (!room.usable) return;
   for (const CellLevel level :
        {CellLevel::kAccelerator, CellLevel::kPair, CellLevel::kHalf, CellLevel::kWorker}) {
-    if (sizes_.Normal(level) != level) continue;
+    if (sizes_.Normalize(level) != level) continue;
     for (const uint32_t block : sizes_.Blocks(level)) {
       if ((block & room.held) == 0) supply_[At(level)] += sign;
     }
@@ -257,7 +257,7 @@
 
 bool ZoneRoom::BindNew(int workspace, CellLevel level, const TaskShape& shape, int worker,
                        TaskOnWorker* task, Journal* journal) {
-  if (sizes_.Normal(level) != level || shares_[workspace].unbound[At(level)] <= 0) return false;
+  if (sizes_.Normalize(level) != level || shares_[workspace].unbound[At(level)] <= 0) return false;
   const TaskShape cell_shape = sizes_.Shape(std::min(level, CellLevel::kWorker));
   if (!FitsIn(shape, cell_shape)) return false;
   const std::vector<uint32_t>& blocks = sizes_.Blocks(level);
--- a/servers/planner/zone_room.h
+++ b/servers/planner/zone_room.h
@@ -47,7 +47,7 @@
   std::vector<BoundCell> cells;
   std::vector<LentTask> lent;
   // Gathered for a waiting gang; other work goes elsewhere if it can.
-  bool gathered = false;
+  bool soft_reserved = false;
 };
 
 // Why a start was not admitted.
@@ -98,7 +98,7 @@
   void Take(const JobSpec& spec, const std::vector<TaskOnWorker>& tasks);
   // Keeps other starts off the free room at these places until the room is built again.
   void Reserve(const JobSpec& spec, const std::vector<TaskOnWorker>& tasks);
-  void MarkGathered(int worker) { workers_[worker].gathered = true; }
+  void MarkSoftReserved(int worker) { workers_[worker].soft_reserved = true; }
 
  private:
   struct Share {
--- a/servers/replay/replay_step.cc
+++ b/servers/replay/replay_step.cc
@@ -1,4 +1,4 @@
-// The steps of one zone's planning in a replay, in the order of PlannerDuty::Step.
+// The steps of one zone's planning in a replay, in the order of ZonePlannerService::Step.
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
