--- a/modules/routing/baselines.cc
+++ b/modules/routing/baselines.cc
@@ -13,7 +13,7 @@
                            const std::string& /*own_zone*/, Time /*now*/) {
   const auto least = std::min_element(candidates.begin(), candidates.end(),
                                       [](const TargetCandidate& a, const TargetCandidate& b) {
-                                        return BusyShare(a) < BusyShare(b);
+                                        return SlotUtilization(a) < SlotUtilization(b);
                                       });
   return static_cast<size_t>(least - candidates.begin());
 }
--- a/modules/routing/two_choices.cc
+++ b/modules/routing/two_choices.cc
@@ -47,7 +47,7 @@
 double TwoChoices::Score(const TargetCandidate& candidate) const {
   const auto known = latency_.find(candidate.agent);
   const double latency = known == latency_.end() ? kUnknownLatencySeconds : known->second;
-  return latency * (1 + BusyShare(candidate));
+  return latency * (1 + SlotUtilization(candidate));
 }
 
 }  // namespace turmericshift
--- a/servers/entry/agent_directory.h
+++ b/servers/entry/agent_directory.h
@@ -30,7 +30,7 @@
   // once: the agent opens a second connection because it takes the first one for dead.
   void Open(const AgentHello& hello, std::shared_ptr<AgentPort> port, Time now);
   // Ignored unless it comes from the newest session of that process.
-  void Heard(const AgentHello& hello, const AgentBeat& beat, Time now);
+  void RecordHeartbeat(const AgentHello& hello, const AgentBeat& beat, Time now);
   // Load that came with an answer.
   void Answered(const std::string& agent, const TargetLoad& load);
   void AddOutstanding(const std::string& agent, int change);
--- a/servers/entry/entry_server.cc
+++ b/servers/entry/entry_server.cc
@@ -57,7 +57,7 @@
       tokens_(&config_fold_) {
   RouterOptions router;
   router.sender.own_zone = options.zone;
-  router.sender.judge.enabled = options.eject_outliers;
+  router.sender.outliers.enabled = options.eject_outliers;
   router_ = std::make_unique<RequestRouter>(
       router, RoutingPolicyRegistry::Instance().Create(options.routing_policy, options.seed),
       &directory_, &request_stream_, &request_fold_, &config_fold_, metrics);
--- a/servers/entry/routing_policy.cc
+++ b/servers/entry/routing_policy.cc
@@ -4,7 +4,7 @@
 
 namespace turmericshift {
 
-double BusyShare(const TargetCandidate& candidate) {
+double SlotUtilization(const TargetCandidate& candidate) {
   const int said = candidate.load.running + candidate.load.queued;
   const int slots = std::max(1, candidate.load.slots);
   return static_cast<double>(std::max(said, candidate.outstanding)) / slots;
--- a/servers/entry/routing_policy.h
+++ b/servers/entry/routing_policy.h
@@ -22,7 +22,7 @@
 
 // Requests there for each of its slots: what the target last said, or what this entry knows it has
 // sent if that is more.
-double BusyShare(const TargetCandidate& candidate);
+double SlotUtilization(const TargetCandidate& candidate);
 
 class RoutingPolicy {
  public:
--- a/servers/planner/planner_simulation_test.cc
+++ b/servers/planner/planner_simulation_test.cc
@@ -354,7 +354,7 @@
   if (!entry->up || paused || agent->cut.count(entry->name) != 0) return;
   AgentBeat beat;
   agent->host->FillBeat(&beat, now);
-  entry->directory->Heard(HelloOf(agent->name), beat, now);
+  entry->directory->RecordHeartbeat(HelloOf(agent->name), beat, now);
   EntryBeat answer;
   const PlannerEpoch epoch = entry->jobs->Planner(kZone);
   answer.planner_epoch = epoch.epoch;
--- a/servers/requests/target_judge.cc
+++ b/servers/requests/outlier_detector.cc
@@ -1,7 +1,7 @@
-#include "servers/requests/target_judge.h"
-
 #include <algorithm>
 
+#include "servers/requests/outlier_detector.h"
+
 namespace turmericshift {
 namespace {
 
@@ -35,7 +35,7 @@
 }
 
 void TargetJudge::Eject(Opinion* opinion, Time now) const {
-  opinion->ejection = options_.first_ejection;
+  opinion->ejection = options_.base_ejection_time;
   opinion->out = true;
   opinion->probe_at = now + opinion->ejection;
 }
--- a/servers/requests/target_judge.h
+++ b/servers/requests/outlier_detector.h
@@ -25,7 +25,7 @@
   // Faster than this is never called slow.
   Duration slow_floor = std::chrono::milliseconds(2);
   // Time out before the first probe; doubles with each failed probe up to the longest.
-  Duration first_ejection = std::chrono::seconds(1);
+  Duration base_ejection_time = std::chrono::seconds(1);
   Duration longest_ejection = std::chrono::seconds(30);
 };
 
--- a/servers/requests/target_judge_test.cc
+++ b/servers/requests/outlier_detector_test.cc
@@ -1,7 +1,6 @@
-#include "servers/requests/target_judge.h"
-
 #include <gtest/gtest.h>
 
+#include "servers/requests/outlier_detector.h"
 #include "servers/requests/retry_budget.h"
 
 namespace turmericshift {
--- a/servers/requests/target_sender.cc
+++ b/servers/requests/target_sender.cc
@@ -89,7 +89,7 @@
       directory_(directory),
       settled_(&metrics->counter("router_settled_by_question")),
       unknown_(&metrics->counter("router_outcomes_unknown")),
-      judge_(options.judge),
+      judge_(options.outliers),
       watch_("silence-watch", [this] { RunWatch(); }) {}
 
 TargetSender::~TargetSender() {
@@ -111,7 +111,8 @@
 AgentState TargetSender::Choose(const std::string& service, const std::set<std::string>& avoid,
                                 bool may_probe) {
   const Time now = DefaultClock().Now();
-  std::vector<TargetCandidate> all = directory_->Candidates(service, now, options_.silence);
+  std::vector<TargetCandidate> all =
+      directory_->Candidates(service, now, options_.heartbeat_age_limit);
   if (all.empty()) {
     throw Error(ErrorKind::kUnavailable, "no target of service '" + service + "' is known");
   }
@@ -185,7 +186,7 @@
     const Time asked = DefaultClock().Now();
     if (seen) reached = asked;
     RequireTimeLeft(deadline, asked, Outcome::kUnknown);
-    if (asked - reached > options_.unreachable) {
+    if (asked - reached > options_.unreachable_timeout) {
       throw Error(ErrorKind::kConnectionLost, Outcome::kUnknown, "the target can't be asked");
     }
     std::this_thread::sleep_for(std::min<Duration>(pause, deadline - asked));
@@ -217,7 +218,7 @@
 
 Duration TargetSender::RetryAfter(const std::string& service) const {
   const std::vector<TargetCandidate> candidates =
-      directory_->Candidates(service, DefaultClock().Now(), options_.silence);
+      directory_->Candidates(service, DefaultClock().Now(), options_.heartbeat_age_limit);
   int busy = 0;
   int slots = 0;
   for (const TargetCandidate& candidate : candidates) {
--- a/servers/requests/target_sender.h
+++ b/servers/requests/target_sender.h
@@ -13,20 +13,20 @@
 #include "core/thread.h"
 #include "servers/entry/agent_directory.h"
 #include "servers/entry/routing_policy.h"
-#include "servers/requests/target_judge.h"
+#include "servers/requests/outlier_detector.h"
 
 namespace turmericshift {
 
 struct SenderOptions {
   std::string own_zone;
   // An agent not heard for this long gets no new requests.
-  Duration silence = std::chrono::seconds(3);
+  Duration heartbeat_age_limit = std::chrono::seconds(3);
   // The calls in flight to an agent not heard for this long end, and their ids are asked about
   // over its next connection.
   Duration dead = std::chrono::seconds(5);
   // How long an agent that can't be reached is tried before the outcome is called unknown.
-  Duration unreachable = std::chrono::seconds(5);
-  JudgeOptions judge;
+  Duration unreachable_timeout = std::chrono::seconds(5);
+  JudgeOptions outliers;
 };
 
 class TargetSender {
--- a/tests/stand_ins/request_cluster.cc
+++ b/tests/stand_ins/request_cluster.cc
@@ -17,10 +17,10 @@
 
 RouterOptions QuickOptions() {
   RouterOptions options;
-  options.sender.silence = std::chrono::milliseconds(400);
+  options.sender.heartbeat_age_limit = std::chrono::milliseconds(400);
   options.sender.dead = std::chrono::milliseconds(400);
-  options.sender.unreachable = std::chrono::milliseconds(200);
-  options.sender.judge.first_ejection = std::chrono::milliseconds(50);
+  options.sender.unreachable_timeout = std::chrono::milliseconds(200);
+  options.sender.outliers.base_ejection_time = std::chrono::milliseconds(50);
   return options;
 }
 
@@ -48,7 +48,7 @@
 
 EntryBeat BeatPort::Heartbeat(const AgentBeat& beat, Duration /*timeout*/) {
   if (entry_->gone.load()) throw Error(ErrorKind::kConnectionLost, "the entry has gone");
-  entry_->directory.Heard(hello_, beat, DefaultClock().Now());
+  entry_->directory.RecordHeartbeat(hello_, beat, DefaultClock().Now());
   return {};
 }
 
