--- a/main/benches/pool_rounds_bench.cc
+++ b/main/benches/pool_rounds_bench.cc
@@ -66,7 +66,7 @@
       workers_.push_back(worker);
     }
     planner_ =
-        std::make_unique<PoolPlanner>(pool::PlannerOptions(), 1, pool::JobBook(), nodes, now_);
+        std::make_unique<PoolPlanner>(pool::PlannerOptions(), 1, pool::JobTable(), nodes, now_);
     operators_ = std::make_shared<OperatorState>(Operators(workers));
   }
 
@@ -135,7 +135,7 @@
     now_ += kStep;
     planner_->ConfirmLeadership(now_);
     planner_->outbox().Take();
-    planner_->outbox().Kept();
+    planner_->outbox().MarkDurable();
     planner_->SetOperatorState(operators_, now_);
     std::poisson_distribution<int> arrivals(arrivals_ * Seconds(kStep));
     for (int left = arrivals(random_); left > 0; --left) Submit();
--- a/main/commands/pool_commands.cc
+++ b/main/commands/pool_commands.cc
@@ -6,7 +6,7 @@
 #include "main/commands.h"
 #include "main/settings/process_settings.h"
 #include "rpc/pool_session.h"
-#include "servers/pool/advice_asker.h"
+#include "servers/pool/advice_fetcher.h"
 #include "servers/pool/pool_agent.h"
 #include "servers/pool/pool_bounds.h"
 #include "servers/pool/pool_entry.h"
@@ -41,7 +41,7 @@
   LogToStandardOutput();
   MetricsRegistry metrics;
   const auto log = KeyedLogRegistry::Instance().Create(settings.adapter, settings.store_address);
-  const auto door = pool::CallerDoorRegistry::Instance().Create(settings.adapter);
+  const auto door = pool::CallerEndpointRegistry::Instance().Create(settings.adapter);
   RpcPlannerConnector connector;
   pool::PoolEntryOptions entry_options;
   entry_options.node = settings.name;
@@ -50,17 +50,17 @@
   entry_options.front.node = settings.name;
   entry_options.callers = HttpAt(settings.callers);
   entry_options.readiness = HttpAt(settings.readiness);
-  entry_options.planner.planner = pool::PlannerOptionsWithin(settings.bounds);
+  entry_options.planner.planner = pool::PlannerOptionsFor(settings.bounds);
   entry_options.planner.planner.disabled_mechanisms = settings.mechanisms_off;
-  pool::LimitWithin(settings.bounds, &entry_options.front);
-  for (const std::string& unmet : pool::UnmetBounds(settings.bounds)) {
+  pool::ApplyBounds(settings.bounds, &entry_options.front);
+  for (const std::string& unmet : pool::UnattainableBounds(settings.bounds)) {
     LogEvent(LogLevel::kWarning, "bound_unmet", {{"reason", unmet}});
   }
   pool::PoolEntry entry(entry_options, log.get(),
                         pool::OperatorDecoderRegistry::Instance().Create(settings.adapter),
                         door.get(), &connector, &metrics);
   std::unique_ptr<pool::AdviceService> advice;
-  std::optional<pool::AdviceAsker> asker;
+  std::optional<pool::AdviceFetcher> asker;
   if (!settings.advice_address.empty()) {
     advice =
         pool::AdviceServiceRegistry::Instance().Create(settings.adapter, settings.advice_address);
--- a/servers/pool/advice_book.cc
+++ b/servers/pool/advice_cache.cc
@@ -1,7 +1,7 @@
-#include "servers/pool/advice_book.h"
-
 #include <algorithm>
 
+#include "servers/pool/advice_cache.h"
+
 namespace turmericshift::pool {
 namespace {
 
@@ -16,53 +16,53 @@
 // milliseconds.
 constexpr Duration kPause = std::chrono::milliseconds(100);
 
-Duration Margin(Duration valid) { return std::min(kOnTheWay, valid / kShareOnTheWay); }
+Duration Margin(Duration valid_for) { return std::min(kOnTheWay, valid_for / kShareOnTheWay); }
 
 }  // namespace
 
-const AdviceBook::Verdict* AdviceBook::Find(const AdvisedStep& step,
-                                            const AdvisedWorker& worker) const {
+const AdviceCache::Verdict* AdviceCache::Find(const AdvisedStep& step,
+                                              const AdvisedWorker& worker) const {
   const auto verdicts = verdicts_.find(step);
   if (verdicts == verdicts_.end()) return nullptr;
   const auto found = verdicts->second.find(worker);
   return found == verdicts->second.end() ? nullptr : &found->second;
 }
 
-std::optional<std::string> AdviceBook::TicketFor(const AdvisedStep& step,
-                                                 const AdvisedWorker& worker, Time now) const {
+std::optional<std::string> AdviceCache::TicketFor(const AdvisedStep& step,
+                                                  const AdvisedWorker& worker, Time now) const {
   const Verdict* verdict = Find(step, worker);
   if (verdict == nullptr || verdict->ticket.empty()) return std::nullopt;
-  if (now >= verdict->asked + verdict->valid - Margin(verdict->valid)) return std::nullopt;
+  if (now >= verdict->asked + verdict->valid_for - Margin(verdict->valid_for)) return std::nullopt;
   return verdict->ticket;
 }
 
-bool AdviceBook::MayRun(const AdvisedStep& step, const AdvisedWorker& worker) const {
+bool AdviceCache::MayRun(const AdvisedStep& step, const AdvisedWorker& worker) const {
   const Verdict* verdict = Find(step, worker);
   return verdict == nullptr || verdict->may_run;
 }
 
-bool AdviceBook::Settled(const AdvisedStep& step, const AdvisedWorker& worker, Time now) const {
+bool AdviceCache::Settled(const AdvisedStep& step, const AdvisedWorker& worker, Time now) const {
   return !MayRun(step, worker) || TicketFor(step, worker, now);
 }
 
-void AdviceBook::Want(const AdvisedStep& step, const std::vector<AdvisedWorker>& workers,
-                      Time now) {
+void AdviceCache::RequestTickets(const AdvisedStep& step, const std::vector<AdvisedWorker>& workers,
+                                 Time now) {
   std::vector<AdvisedWorker> known_good;
   std::vector<AdvisedWorker> unknown;
   for (const AdvisedWorker& worker : workers) {
     if (Settled(step, worker, now)) continue;
     (Find(step, worker) != nullptr ? known_good : unknown).push_back(worker);
   }
-  AdviceQuestion question = {step, std::move(known_good)};
+  AdviceRequest question = {step, std::move(known_good)};
   question.workers.insert(question.workers.end(), unknown.begin(), unknown.end());
   if (question.workers.size() > kMostNamed) question.workers.resize(kMostNamed);
   if (!question.workers.empty()) wanted_.push_back(std::move(question));
 }
 
-std::optional<AdviceQuestion> AdviceBook::Next(Time now) {
+std::optional<AdviceRequest> AdviceCache::Next(Time now) {
   if (asking_ || now < not_before_) return std::nullopt;
   while (!wanted_.empty()) {
-    AdviceQuestion question = std::move(wanted_.front());
+    AdviceRequest question = std::move(wanted_.front());
     wanted_.erase(wanted_.begin());
     // The answer to the question before may have come after this one was wanted.
     std::erase_if(question.workers,
@@ -74,31 +74,31 @@
   return std::nullopt;
 }
 
-void AdviceBook::Take(const AdviceQuestion& question, const AdviceAnswer& answer, Time asked) {
+void AdviceCache::Take(const AdviceRequest& question, const AdviceResponse& answer, Time asked) {
   asking_ = false;
   std::map<std::string, std::string> tickets;
-  for (const AdviceTicket& good : answer.good) tickets[good.worker_id] = good.ticket;
+  for (const AdviceTicket& allowed : answer.allowed) tickets[allowed.worker_id] = allowed.ticket;
   Verdicts& verdicts = verdicts_[question.step];
   for (const AdvisedWorker& worker : question.workers) {
-    const auto good = tickets.find(worker.id);
-    const bool may_run = good != tickets.end();
-    verdicts[worker] = {may_run, may_run ? good->second : "", asked, answer.valid};
+    const auto allowed = tickets.find(worker.id);
+    const bool may_run = allowed != tickets.end();
+    verdicts[worker] = {may_run, may_run ? allowed->second : "", asked, answer.valid_for};
   }
 }
 
-void AdviceBook::Failed(Time now) {
+void AdviceCache::Failed(Time now) {
   asking_ = false;
   not_before_ = now + kPause;
 }
 
-void AdviceBook::TicketRefused(const AdvisedStep& step, const AdvisedWorker& worker) {
+void AdviceCache::TicketRefused(const AdvisedStep& step, const AdvisedWorker& worker) {
   const auto verdicts = verdicts_.find(step);
   if (verdicts == verdicts_.end()) return;
   const auto found = verdicts->second.find(worker);
   if (found != verdicts->second.end()) found->second.ticket.clear();
 }
 
-void AdviceBook::Forget(const std::string& job) {
+void AdviceCache::Forget(const std::string& job) {
   std::erase_if(verdicts_, [&](const auto& row) { return row.first.job == job; });
 }
 
--- a/servers/pool/advice_book.h
+++ b/servers/pool/advice_cache.h
@@ -1,6 +1,6 @@
 // What the advice service has said of the steps whose queue asks it: which workers may run a step,
 // and until when the tickets hold that their starts have to carry. Decides what to ask next; the
-// asking itself is AdviceAsker's.
+// asking itself is AdviceFetcher's.
 //
 // Load pattern: many steps wait at once, and the service answers one call at a time, each the later
 // the more workers it names. So a call names a bounded number of workers, the steps that go first
@@ -17,7 +17,7 @@
 
 namespace turmericshift::pool {
 
-class AdviceBook {
+class AdviceCache {
  public:
   // The ticket for a start on a worker, good for long enough to get there; empty when there is
   // none.
@@ -30,11 +30,11 @@
   void BeginRound() { wanted_.clear(); }
   // The step can't begin on what it has tickets for. `workers`: those on which it might, the best
   // first; those that it has a ticket for or may not run on are left out here.
-  void Want(const AdvisedStep& step, const std::vector<AdvisedWorker>& workers, Time now);
+  void RequestTickets(const AdvisedStep& step, const std::vector<AdvisedWorker>& workers, Time now);
   // What to ask now; nothing while an answer is awaited, or for a moment after a call that failed.
-  std::optional<AdviceQuestion> Next(Time now);
+  std::optional<AdviceRequest> Next(Time now);
   // The answer to a question that was asked at `asked`.
-  void Take(const AdviceQuestion& question, const AdviceAnswer& answer, Time asked);
+  void Take(const AdviceRequest& question, const AdviceResponse& answer, Time asked);
   // The question was not answered.
   void Failed(Time now);
   // A worker turned the ticket away.
@@ -49,7 +49,7 @@
     bool may_run = false;
     std::string ticket;
     Time asked{};
-    Duration valid{};
+    Duration valid_for{};
   };
   using Verdicts = std::map<AdvisedWorker, Verdict>;
 
@@ -58,7 +58,7 @@
   bool Settled(const AdvisedStep& step, const AdvisedWorker& worker, Time now) const;
 
   std::map<AdvisedStep, Verdicts> verdicts_;
-  std::vector<AdviceQuestion> wanted_;
+  std::vector<AdviceRequest> wanted_;
   bool asking_ = false;
   Time not_before_{};
 };
--- a/servers/pool/advice_book_test.cc
+++ b/servers/pool/advice_cache_test.cc
@@ -1,7 +1,6 @@
-#include "servers/pool/advice_book.h"
-
 #include <gtest/gtest.h>
 
+#include "servers/pool/advice_cache.h"
 #include "tests/stand_ins/pool_bed.h"
 
 namespace turmericshift::pool {
@@ -15,16 +14,16 @@
 const AdvisedWorker kOne = {"one", 1};
 const AdvisedWorker kTwo = {"two", 1};
 
-AdviceAnswer Good(const std::string& worker_id) {
+AdviceResponse Good(const std::string& worker_id) {
   return {{{worker_id, "ticket-" + worker_id}}, seconds(3)};
 }
 
-TEST(AdviceBook, KnowsWhoMayRunAStepOnceItIsTold) {
-  AdviceBook book;
+TEST(AdviceCache, KnowsWhoMayRunAStepOnceItIsTold) {
+  AdviceCache book;
   EXPECT_TRUE(book.MayRun(kStep, kOne));
   EXPECT_FALSE(book.TicketFor(kStep, kOne, kNow));
-  book.Want(kStep, {kOne, kTwo}, kNow);
-  const std::optional<AdviceQuestion> question = book.Next(kNow);
+  book.RequestTickets(kStep, {kOne, kTwo}, kNow);
+  const std::optional<AdviceRequest> question = book.Next(kNow);
   ASSERT_TRUE(question);
   EXPECT_EQ(question->workers, (std::vector<AdvisedWorker>{kOne, kTwo}));
   book.Take(*question, Good("one"), kNow);
@@ -34,55 +33,55 @@
 
 // The service answers one call at a time. A second one would wait there, and what it was to tell
 // would be out of date when it comes.
-TEST(AdviceBook, AsksOneQuestionAtATimeAndNoneTwice) {
-  AdviceBook book;
-  book.Want(kStep, {kOne}, kNow);
-  const std::optional<AdviceQuestion> question = book.Next(kNow);
+TEST(AdviceCache, AsksOneQuestionAtATimeAndNoneTwice) {
+  AdviceCache book;
+  book.RequestTickets(kStep, {kOne}, kNow);
+  const std::optional<AdviceRequest> question = book.Next(kNow);
   ASSERT_TRUE(question);
-  book.Want(kStep, {kOne}, kNow);
+  book.RequestTickets(kStep, {kOne}, kNow);
   EXPECT_FALSE(book.Next(kNow));
   book.Take(*question, Good("one"), kNow);
   EXPECT_FALSE(book.Next(kNow));
 }
 
 // A ticket that runs out on its way costs a refusal by the worker.
-TEST(AdviceBook, AsksAgainForATicketThatRunsOut) {
-  AdviceBook book;
-  book.Want(kStep, {kOne}, kNow);
+TEST(AdviceCache, AsksAgainForATicketThatRunsOut) {
+  AdviceCache book;
+  book.RequestTickets(kStep, {kOne}, kNow);
   book.Take(*book.Next(kNow), Good("one"), kNow);
   EXPECT_TRUE(book.TicketFor(kStep, kOne, kNow + seconds(2)));
   const Time late = kNow + milliseconds(2900);
   EXPECT_FALSE(book.TicketFor(kStep, kOne, late));
-  book.Want(kStep, {kOne}, late);
+  book.RequestTickets(kStep, {kOne}, late);
   EXPECT_TRUE(book.Next(late));
 }
 
 // A worker that was born again knows nothing of tickets for the life before.
-TEST(AdviceBook, TrustsNoTicketOfAnotherLife) {
-  AdviceBook book;
-  book.Want(kStep, {kOne}, kNow);
+TEST(AdviceCache, TrustsNoTicketOfAnotherLife) {
+  AdviceCache book;
+  book.RequestTickets(kStep, {kOne}, kNow);
   book.Take(*book.Next(kNow), Good("one"), kNow);
   EXPECT_FALSE(book.TicketFor(kStep, {"one", 2}, kNow));
 }
 
 // The service turns calls away while many wait there. Asked again at once it would do nothing else.
-TEST(AdviceBook, PausesAfterAQuestionThatWasNotAnswered) {
-  AdviceBook book;
-  book.Want(kStep, {kOne}, kNow);
+TEST(AdviceCache, PausesAfterAQuestionThatWasNotAnswered) {
+  AdviceCache book;
+  book.RequestTickets(kStep, {kOne}, kNow);
   ASSERT_TRUE(book.Next(kNow));
   book.Failed(kNow);
-  book.Want(kStep, {kOne}, kNow);
+  book.RequestTickets(kStep, {kOne}, kNow);
   EXPECT_FALSE(book.Next(kNow));
   EXPECT_TRUE(book.Next(kNow + seconds(1)));
 }
 
-TEST(AdviceBook, NamesNoMoreWorkersThanOneCallShould) {
-  AdviceBook book;
+TEST(AdviceCache, NamesNoMoreWorkersThanOneCallShould) {
+  AdviceCache book;
   constexpr int kWorkers = 67;
   std::vector<AdvisedWorker> many;
   many.reserve(kWorkers);
   for (int i = 0; i < kWorkers; ++i) many.push_back({"w" + std::to_string(i), 1});
-  book.Want(kStep, many, kNow);
+  book.RequestTickets(kStep, many, kNow);
   EXPECT_EQ(book.Next(kNow)->workers.size(), 30U);
 }
 
--- a/servers/pool/advice_asker.cc
+++ b/servers/pool/advice_fetcher.cc
@@ -1,7 +1,6 @@
-#include "servers/pool/advice_asker.h"
-
 #include "core/error.h"
 #include "core/logging.h"
+#include "servers/pool/advice_fetcher.h"
 
 namespace turmericshift::pool {
 namespace {
@@ -13,24 +12,24 @@
 
 }  // namespace
 
-AdviceAsker::AdviceAsker(AdviceService* advice, PlannerService* planner)
+AdviceFetcher::AdviceFetcher(AdviceService* advice, PlannerService* planner)
     : advice_(advice), planner_(planner), thread_("advice", [this] { Run(); }) {}
 
-AdviceAsker::~AdviceAsker() { stopping_.store(true); }
+AdviceFetcher::~AdviceFetcher() { stopping_.store(true); }
 
-void AdviceAsker::Run() {
+void AdviceFetcher::Run() {
   while (!stopping_.load()) {
-    const std::optional<AdviceQuestion> question = planner_->NextQuestion(kQuestionWait);
+    const std::optional<AdviceRequest> question = planner_->NextQuestion(kQuestionWait);
     if (!question) continue;
     const Time asked = LeaseClock().Now();
     try {
-      const AdviceAnswer answer = advice_->Ask(*question, kAnswerTimeout);
+      const AdviceResponse answer = advice_->Ask(*question, kAnswerTimeout);
       LogEvent(LogLevel::kInfo, "advice_given",
                {{"job", question->step.job},
                 {"step", question->step.place.step},
                 {"asked", question->workers.size()},
-                {"good", answer.good.size()},
-                {"valid_s", Seconds(answer.valid)},
+                {"good", answer.allowed.size()},
+                {"valid_s", Seconds(answer.valid_for)},
                 {"seconds", Seconds(LeaseClock().Now() - asked)}});
       planner_->TakeAdvice(*question, answer, asked);
     } catch (const Error& error) {
--- a/servers/pool/advice_asker.h
+++ b/servers/pool/advice_fetcher.h
@@ -10,13 +10,13 @@
 
 namespace turmericshift::pool {
 
-class AdviceAsker {
+class AdviceFetcher {
  public:
   // Both must outlive the asker.
-  AdviceAsker(AdviceService* advice, PlannerService* planner);
-  ~AdviceAsker();
-  AdviceAsker(const AdviceAsker&) = delete;
-  AdviceAsker& operator=(const AdviceAsker&) = delete;
+  AdviceFetcher(AdviceService* advice, PlannerService* planner);
+  ~AdviceFetcher();
+  AdviceFetcher(const AdviceFetcher&) = delete;
+  AdviceFetcher& operator=(const AdviceFetcher&) = delete;
 
  private:
   void Run();
--- a/servers/pool/advice_service.h
+++ b/servers/pool/advice_service.h
@@ -27,7 +27,7 @@
   auto operator<=>(const AdvisedWorker&) const = default;
 };
 
-struct AdviceQuestion {
+struct AdviceRequest {
   AdvisedStep step;
   std::vector<AdvisedWorker> workers;
 };
@@ -37,11 +37,11 @@
   std::string ticket;
 };
 
-struct AdviceAnswer {
+struct AdviceResponse {
   // Workers that may run the step; the others that were named may not.
-  std::vector<AdviceTicket> good;
+  std::vector<AdviceTicket> allowed;
   // How long the tickets hold.
-  Duration valid{};
+  Duration valid_for{};
 };
 
 class AdviceService {
@@ -49,7 +49,7 @@
   virtual ~AdviceService() = default;
   // Throws Error: kOverloaded when too many calls wait there, kUnavailable, kConnectionLost or
   // kDeadlineExceeded when it does not answer, kInvalidInput for an answer that can't be read.
-  virtual AdviceAnswer Ask(const AdviceQuestion& question, Duration timeout) = 0;
+  virtual AdviceResponse Ask(const AdviceRequest& question, Duration timeout) = 0;
 };
 
 // Clients by name; the argument is the service's address ("10.0.0.1:8080").
--- a/servers/pool/duty_keeper.cc
+++ b/servers/pool/duty_keeper.cc
@@ -104,7 +104,7 @@
   if (options_.planning_capacity >= agents) return better;
   for (const auto& [node, entry] : members_->entries()) {
     if (node == options_.node) continue;
-    if (!LeavesPlanningTo(entry.planning_capacity, options_.planning_capacity, agents)) continue;
+    if (!ShouldYieldTo(entry.planning_capacity, options_.planning_capacity, agents)) continue;
     better.push_back(entry);
   }
   std::stable_sort(better.begin(), better.end(), [](const auto& left, const auto& right) {
@@ -160,7 +160,7 @@
 
 void DutyKeeper::Claim(Time now) {
   DutyView basis;
-  const JobBook book = work_->book(&basis);
+  const JobTable book = work_->book(&basis);
   // Another entry's claim may have been read since the last look. A claim on top of it would hold,
   // being made from the newest view, and end the duty of a planner that has just begun: one notices
   // by two planners within a tick and by callers that are told "unknown" twice.
--- a/servers/pool/duty_keeper.h
+++ b/servers/pool/duty_keeper.h
@@ -23,7 +23,7 @@
   std::string address;
   std::string zone;
   // What this entry's VM can carry; see planning_capacity.h.
-  int planning_capacity = kAnyPool;
+  int planning_capacity = kUnlimitedCapacity;
   // A planner that has written nothing for so long is taken for gone. It writes every 0.25 s, and a
   // slow store takes up to 0.4 s for each append and as much for the read that shows it.
   Duration silence = std::chrono::milliseconds(1200);
--- a/servers/pool/duty_keeper_test.cc
+++ b/servers/pool/duty_keeper_test.cc
@@ -83,7 +83,8 @@
 struct Candidate {
   Candidate(KeyedLog* log, const std::string& node) : Candidate(log, node, nullptr) {}
   // `neighbours`: whom it reaches; null: nobody.
-  Candidate(KeyedLog* log, const std::string& node, Neighbours* neighbours, int capacity = kAnyPool)
+  Candidate(KeyedLog* log, const std::string& node, Neighbours* neighbours,
+            int capacity = kUnlimitedCapacity)
       : work(log),
         operators(log, std::make_unique<platform::OperatorRecords>()),
         members(log, milliseconds(200)),
@@ -177,7 +178,7 @@
 TEST(DutyKeeper, PlansOnAWeakVmWhereTheBetterOneIsGone) {
   MemoryKeyedLog log;
   ListAgents(&log);
-  const EntryRecord gone = {"gone", "a", "gone:1", kAnyPool};
+  const EntryRecord gone = {"gone", "a", "gone:1", kUnlimitedCapacity};
   log.Append(kMembersTopic, {{"entry/gone", EncodeEntry(gone), kNoOffset}}, {},
              std::chrono::seconds(1));
   Candidate weak(&log, "a", nullptr, kWeak);
--- a/servers/pool/job_front.cc
+++ b/servers/pool/job_api.cc
@@ -1,9 +1,8 @@
-#include "servers/pool/job_front.h"
-
 #include <algorithm>
 #include <thread>
 
 #include "core/logging.h"
+#include "servers/pool/job_api.h"
 #include "servers/pool/local_port.h"
 
 namespace turmericshift::pool {
@@ -18,9 +17,8 @@
 
 }  // namespace
 
-JobFront::JobFront(const JobFrontOptions& options, const WorkView* work,
-                   const OperatorView* operators, PlannerGate* local, PlannerReach* reach,
-                   MetricsRegistry* metrics)
+JobApi::JobApi(const JobApiOptions& options, const WorkView* work, const OperatorView* operators,
+               PlannerGate* local, PlannerReach* reach, MetricsRegistry* metrics)
     : options_(options),
       work_(work),
       operators_(operators),
@@ -31,13 +29,13 @@
       unknown_(metrics->counter("calls_unknown")),
       submit_seconds_(metrics->distribution("submit_seconds")) {}
 
-bool JobFront::Ready(Time now) const {
+bool JobApi::Ready(Time now) const {
   return operators_->state()->config.version > 0 &&
          operators_->freshness().within(options_.key_limit, now) &&
          work_->freshness().within(options_.key_limit, now);
 }
 
-JobAnswer JobFront::NotAccepted(const std::string& message) const {
+JobAnswer JobApi::NotAccepted(const std::string& message) const {
   JobAnswer answer;
   answer.kind = JobAnswerKind::kNotAccepted;
   answer.message = message;
@@ -45,7 +43,7 @@
   return answer;
 }
 
-JobAnswer JobFront::Handle(const JobCall& call, Time now) {
+JobAnswer JobApi::Handle(const JobCall& call, Time now) {
   JobAnswer answer = HandleCall(call, now);
   if (call.kind != JobCall::Kind::kSubmit) return answer;
   const std::string name = call.host + call.path;
@@ -58,7 +56,7 @@
   return answer;
 }
 
-JobAnswer JobFront::HandleCall(const JobCall& call, Time now) {
+JobAnswer JobApi::HandleCall(const JobCall& call, Time now) {
   // Read first, so that the document is at least as new as this says.
   const Freshness freshness = operators_->freshness();
   const std::shared_ptr<const OperatorState> state = operators_->state();
@@ -74,7 +72,7 @@
   if (!freshness.within(options_.key_limit, now)) {
     return NotAccepted("keys can't be checked: the store does not answer");
   }
-  const Workspace* workspace = state->config.Owner(call.key);
+  const Workspace* workspace = state->config.WorkspaceForKey(call.key);
   if (workspace == nullptr) {
     JobAnswer answer;
     answer.kind = JobAnswerKind::kUnknownKey;
@@ -84,8 +82,8 @@
   return HandleRouted(call, *queue, workspace->name, now);
 }
 
-JobAnswer JobFront::HandleRouted(const JobCall& call, const Queue& queue,
-                                 const std::string& workspace, Time now) {
+JobAnswer JobApi::HandleRouted(const JobCall& call, const Queue& queue,
+                               const std::string& workspace, Time now) {
   const std::string id = call.path.substr(queue.path_prefix.size());
   if (id.empty()) {
     if (call.kind != JobCall::Kind::kState) {
@@ -108,12 +106,12 @@
     case JobCall::Kind::kState:
       return State(id, now);
     case JobCall::Kind::kCancel:
-      return Cancel(id, call.patience, now);
+      return Cancel(id, call.timeout, now);
   }
   return NotAccepted("");
 }
 
-JobAnswer JobFront::State(const std::string& id, Time now) const {
+JobAnswer JobApi::State(const std::string& id, Time now) const {
   JobAnswer answer;
   // Read first: a view that catches up in between would vouch for what it did not show yet.
   const Freshness freshness = work_->freshness();
@@ -131,8 +129,8 @@
   return answer;
 }
 
-JobAnswer JobFront::Submit(const JobCall& call, const Queue& queue, const std::string& id,
-                           const std::string& workspace, Time now) {
+JobAnswer JobApi::Submit(const JobCall& call, const Queue& queue, const std::string& id,
+                         const std::string& workspace, Time now) {
   JobSpec spec;
   spec.id = id;
   spec.queue = queue.name;
@@ -155,7 +153,7 @@
   }
   answer = AskPlanner([&](PlannerPort* port, Duration limit) { port->Submit(spec, limit); },
                       [&] { return work_->StateOf(id).has_value(); }, JobAnswerKind::kAccepted,
-                      now + call.patience - options_.reserve);
+                      now + call.timeout - options_.reserve);
   const Time end = LeaseClock().Now();
   submit_seconds_.Record(Seconds(end - now));
   const bool accepted = answer.kind == JobAnswerKind::kAccepted;
@@ -168,7 +166,7 @@
             {"steps", spec.steps.size()},
             {"tasks", TotalTasks(spec)},
             {"accelerators", TotalAccelerators(spec)},
-            {"chain_s", Seconds(EstimatedChain(spec))},
+            {"chain_s", Seconds(EstimatedCriticalPath(spec))},
             {"gang", spec.steps.front().gang},
             {"one_rack", spec.steps.front().one_rack},
             {"data_rack", spec.steps.front().data_rack},
@@ -179,7 +177,7 @@
   return answer;
 }
 
-JobAnswer JobFront::Cancel(const std::string& id, Duration patience, Time now) {
+JobAnswer JobApi::Cancel(const std::string& id, Duration timeout, Time now) {
   const std::optional<JobState> state = work_->StateOf(id);
   JobAnswer answer;
   if (state && IsOver(*state)) {
@@ -191,7 +189,7 @@
                         const std::optional<JobState> seen = work_->StateOf(id);
                         return seen && IsOver(*seen);
                       },
-                      JobAnswerKind::kCancelled, now + patience - options_.reserve);
+                      JobAnswerKind::kCancelled, now + timeout - options_.reserve);
   LogEvent(LogLevel::kInfo, "job_cancel",
            {{"job", id},
             {"cancelled", answer.kind == JobAnswerKind::kCancelled},
@@ -199,7 +197,7 @@
   return answer;
 }
 
-std::shared_ptr<PlannerPort> JobFront::Port(Duration limit) {
+std::shared_ptr<PlannerPort> JobApi::Port(Duration limit) {
   // This entry may have lost the store and been told of a planner that it can't read of.
   const PlannerRecord read = work_->duty().planner;
   const PlannerRecord told = local_->Successor();
@@ -218,13 +216,13 @@
   return port;
 }
 
-void JobFront::DropPort(const std::shared_ptr<PlannerPort>& port) {
+void JobApi::DropPort(const std::shared_ptr<PlannerPort>& port) {
   const std::lock_guard<std::mutex> lock(mutex_);
   if (port_ == port) port_.reset();
 }
 
-JobAnswer JobFront::AskPlanner(const std::function<void(PlannerPort*, Duration)>& ask,
-                               const std::function<bool()>& known, JobAnswerKind done, Time until) {
+JobAnswer JobApi::AskPlanner(const std::function<void(PlannerPort*, Duration)>& ask,
+                             const std::function<bool()>& known, JobAnswerKind done, Time until) {
   JobAnswer answer;
   bool maybe = false;
   while (true) {
--- a/servers/pool/job_front.h
+++ b/servers/pool/job_api.h
@@ -31,7 +31,7 @@
   // Empty when the caller showed none.
   std::string key;
   // How long the caller waits.
-  Duration patience = std::chrono::seconds(3);
+  Duration timeout = std::chrono::seconds(3);
   size_t body_bytes = 0;
   // Reads the body's payload, steps and schedule into a job; throws Error(kInvalidInput).
   std::function<void(JobSpec*)> read_body;
@@ -63,7 +63,7 @@
   Duration retry_after{};
 };
 
-struct JobFrontOptions {
+struct JobApiOptions {
   std::string node;
   // Without word of the operators for so long, a key may have been taken away unheard of.
   Duration key_limit = std::chrono::milliseconds(4000);
@@ -78,15 +78,15 @@
   Duration retry_after = std::chrono::seconds(1);
 };
 
-class JobFront {
+class JobApi {
  public:
   // `local`: the planner of this process, used when the duty is here.
-  JobFront(const JobFrontOptions& options, const WorkView* work, const OperatorView* operators,
-           PlannerGate* local, PlannerReach* reach, MetricsRegistry* metrics);
+  JobApi(const JobApiOptions& options, const WorkView* work, const OperatorView* operators,
+         PlannerGate* local, PlannerReach* reach, MetricsRegistry* metrics);
 
   JobAnswer Handle(const JobCall& call, Time now);
   // Every call has its answer by then, also one whose caller would wait longer: the process ends.
-  void AnswerBy(Time limit) { answer_by_.store(limit); }
+  void SetAnswerDeadline(Time limit) { answer_by_.store(limit); }
   // Whether callers are served well here.
   bool Ready(Time now) const;
 
@@ -97,7 +97,7 @@
   JobAnswer Submit(const JobCall& call, const Queue& queue, const std::string& id,
                    const std::string& workspace, Time now);
   JobAnswer State(const std::string& id, Time now) const;
-  JobAnswer Cancel(const std::string& id, Duration patience, Time now);
+  JobAnswer Cancel(const std::string& id, Duration timeout, Time now);
   // Tries `ask` at whoever plans until it is answered or `until`; `known` tells whether the view
   // shows that it has happened.
   JobAnswer AskPlanner(const std::function<void(PlannerPort*, Duration)>& ask,
@@ -106,7 +106,7 @@
   void DropPort(const std::shared_ptr<PlannerPort>& port);
   JobAnswer NotAccepted(const std::string& message) const;
 
-  const JobFrontOptions options_;
+  const JobApiOptions options_;
   const WorkView* const work_;
   const OperatorView* const operators_;
   PlannerGate* const local_;
@@ -123,14 +123,14 @@
 };
 
 // Reads a platform's calls and writes its answers.
-class CallerDoor {
+class CallerEndpoint {
  public:
-  virtual ~CallerDoor() = default;
-  virtual HttpResponse Handle(const HttpRequest& request, JobFront* front, Time now) const = 0;
+  virtual ~CallerEndpoint() = default;
+  virtual HttpResponse Handle(const HttpRequest& request, JobApi* front, Time now) const = 0;
   // The path at which the platform's balancer asks whether this entry is ready.
   virtual std::string ready_path() const = 0;
 };
 
-using CallerDoorRegistry = PluginRegistry<CallerDoor>;
+using CallerEndpointRegistry = PluginRegistry<CallerEndpoint>;
 
 }  // namespace turmericshift::pool
--- a/servers/pool/job_front_test.cc
+++ b/servers/pool/job_api_test.cc
@@ -1,5 +1,3 @@
-#include "servers/pool/job_front.h"
-
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -7,6 +5,7 @@
 
 #include "core/error.h"
 #include "modules/stand_ins/memory_keyed_log.h"
+#include "servers/pool/job_api.h"
 
 namespace turmericshift::pool {
 namespace {
@@ -91,20 +90,20 @@
     log.Append("documents", {{"document", "1"}}, {}, std::chrono::seconds(1));
     log.Append(kWorkTopic, {{kPlannerKey, EncodePlanner({1, "e1", "here"})}}, {},
                std::chrono::seconds(1));
-    JobFrontOptions options;
+    JobApiOptions options;
     options.node = "e1";
-    front = std::make_unique<JobFront>(options, &work, &operators, gate.get(), &reach, &metrics);
+    front = std::make_unique<JobApi>(options, &work, &operators, gate.get(), &reach, &metrics);
     while (operators.state()->config.version == 0 || work.duty().planner.epoch == 0) {
       std::this_thread::yield();
     }
   }
 
-  JobAnswerKind Submit(const std::string& id, Duration patience) {
+  JobAnswerKind Submit(const std::string& id, Duration timeout) {
     JobCall call;
     call.kind = JobCall::Kind::kSubmit;
     call.host = "plans.example";
     call.path = "/jobs/" + id;
-    call.patience = patience;
+    call.timeout = timeout;
     call.read_body = [](JobSpec* spec) { spec->steps.emplace_back(); };
     return front->Handle(call, LeaseClock().Now()).kind;
   }
@@ -117,13 +116,13 @@
   MembersView members{&log, std::chrono::milliseconds(200)};
   PlannerReach reach{"e1", "a", &members, connector.get()};
   MetricsRegistry metrics;
-  std::unique_ptr<JobFront> front;
+  std::unique_ptr<JobApi> front;
 };
 
 // The store goes silent as a job is on its way into it, and the caller is told that nobody knows.
 // It comes again with little patience left, too little to ask anyone. Were it told that its job
 // never runs, it would order anew, and be charged twice once the store is back.
-TEST(JobFront, DoesNotRefuseAJobThatItMayHaveTakenInBefore) {
+TEST(JobApi, DoesNotRefuseAJobThatItMayHaveTakenInBefore) {
   Front front;
   EXPECT_EQ(front.Submit("j", milliseconds(500)), JobAnswerKind::kUnknown);
   EXPECT_EQ(front.Submit("j", milliseconds(100)), JobAnswerKind::kUnknown);
@@ -133,18 +132,18 @@
 // The planner has lost the store and is followed, and its own view of the store still shows itself.
 // A caller that comes to it then waited until its patience was gone, and had none left to try
 // another entry.
-TEST(JobFront, GoesToThePlannerThatItHasBeenToldOf) {
+TEST(JobApi, GoesToThePlannerThatItHasBeenToldOf) {
   Front front(std::make_unique<FollowedGate>(), std::make_unique<OneNeighbour>());
   EXPECT_EQ(front.Submit("j", milliseconds(1000)), JobAnswerKind::kAccepted);
 }
 
 // The process ends before the caller's patience does: the call must be answered, not cut, and a job
 // that no planner was asked about never runs.
-TEST(JobFront, AnswersBeforeTheProcessEnds) {
+TEST(JobApi, AnswersBeforeTheProcessEnds) {
   auto gate = std::make_unique<SilentGate>();
   const SilentGate& planner = *gate;
   Front front(std::move(gate), std::make_unique<NoConnector>());
-  front.front->AnswerBy(LeaseClock().Now());
+  front.front->SetAnswerDeadline(LeaseClock().Now());
   EXPECT_EQ(front.Submit("j", std::chrono::hours(1)), JobAnswerKind::kNotAccepted);
   EXPECT_EQ(planner.submissions(), 0);
 }
--- a/servers/pool/job_appraiser.cc
+++ b/servers/pool/job_estimator.cc
@@ -1,7 +1,7 @@
-#include "servers/pool/job_appraiser.h"
-
 #include <algorithm>
 
+#include "servers/pool/job_estimator.h"
+
 namespace turmericshift::pool {
 namespace {
 
@@ -26,60 +26,60 @@
 
 }  // namespace
 
-int64_t BegunMs(const JobSpec& spec, int occurrence) {
+int64_t ReleaseMs(const JobSpec& spec, int occurrence) {
   if (spec.schedule.occurrences == 0) return spec.accepted_ms;
   return spec.schedule.first_due_ms + occurrence * spec.schedule.interval_ms;
 }
 
-void JobAppraiser::NoteRun(const std::string& queue, Duration estimate, Duration actual) {
+void JobEstimator::RecordRun(const std::string& queue, Duration estimate, Duration actual) {
   run_times_.Note(queue, estimate, actual);
 }
 
-void JobAppraiser::BeginJobs() { usual_work_.clear(); }
+void JobEstimator::ResetJobs() { usual_work_.clear(); }
 
-void JobAppraiser::NoteJob(const JobSpec& spec) {
+void JobEstimator::RecordJob(const JobSpec& spec) {
   Mean& mean = usual_work_[spec.queue];
   mean.sum += WorkOf(spec);
   ++mean.count;
 }
 
-Duration JobAppraiser::ExpectedTime(const JobSpec& spec, const StepSpec& step) const {
+Duration JobEstimator::ExpectedTime(const JobSpec& spec, const StepSpec& step) const {
   if (!Uses(Mechanism::kLearnedTimes)) return step.estimate;
   return run_times_.ExpectedTime(spec.queue, step.estimate);
 }
 
-JobTiming JobAppraiser::TimingOf(const JobSpec& spec, const QueueTerms& terms,
+JobTiming JobEstimator::TimingOf(const JobSpec& spec, const QueueTerms& terms,
                                  const StepPlace& place, int64_t wall_ms) const {
   JobTiming timing;
-  timing.elapsed = std::chrono::milliseconds(wall_ms - BegunMs(spec, place.occurrence));
-  timing.rest =
-      ChainFrom(spec, place.step, [&](const StepSpec& step) { return ExpectedTime(spec, step); });
-  timing.chain = FairChain(spec, terms.service);
+  timing.elapsed = std::chrono::milliseconds(wall_ms - ReleaseMs(spec, place.occurrence));
+  timing.remaining = CriticalPathFrom(
+      spec, place.step, [&](const StepSpec& step) { return ExpectedTime(spec, step); });
+  timing.critical_path = FairChain(spec, terms.service);
   timing.stretch = terms.stretch;
-  timing.target = terms.target_latency;
+  timing.target_latency = terms.target_latency;
   if (Uses(Mechanism::kOnTimeProbability)) timing.spread = run_times_.SpreadOf(spec.queue);
   return timing;
 }
 
-double JobAppraiser::WorthOf(const JobSpec& spec, const QueueTerms& terms) const {
+double JobEstimator::ValueOf(const JobSpec& spec, const QueueTerms& terms) const {
   const double work = WorkOf(spec);
   const auto found = usual_work_.find(spec.queue);
   const double usual = found == usual_work_.end() ? work : found->second.sum / found->second.count;
-  return WorthInTime(terms.priority, work, usual);
+  return ValueOnTime(terms.priority, work, usual);
 }
 
-double JobAppraiser::WorkOf(const JobSpec& spec) const {
+double JobEstimator::WorkOf(const JobSpec& spec) const {
   double work = 0;
   for (const StepSpec& step : spec.steps) {
-    work += Cores(step.need) * step.tasks * Seconds(ExpectedTime(spec, step));
+    work += CoreEquivalent(step.need) * step.tasks * Seconds(ExpectedTime(spec, step));
   }
   return work;
 }
 
-Duration JobAppraiser::FairChain(const JobSpec& spec, const std::string& service) const {
+Duration JobEstimator::FairChain(const JobSpec& spec, const std::string& service) const {
   const auto found = capacity_.find(service);
   const Room whole = found == capacity_.end() ? Room() : found->second;
-  return LongestChain(spec, [&](const StepSpec& step) {
+  return CriticalPath(spec, [&](const StepSpec& step) {
     return ExpectedTime(spec, step) * (Uses(Mechanism::kWideInWaves) ? WavesOf(step, whole) : 1);
   });
 }
--- a/servers/pool/job_appraiser.h
+++ b/servers/pool/job_estimator.h
@@ -8,23 +8,23 @@
 #include "core/clock.h"
 #include "servers/pool/job_model.h"
 #include "servers/pool/job_progress.h"
-#include "servers/pool/job_worth.h"
+#include "servers/pool/job_value.h"
 #include "servers/pool/mechanism.h"
 #include "servers/pool/run_times.h"
 
 namespace turmericshift::pool {
 
-class JobAppraiser {
+class JobEstimator {
  public:
-  explicit JobAppraiser(const DisabledMechanisms& off) : off_(off) {}
+  explicit JobEstimator(const DisabledMechanisms& off) : off_(off) {}
 
   // A task of the queue that was estimated to take `estimate` took `actual`, undisturbed.
-  void NoteRun(const std::string& queue, Duration estimate, Duration actual);
+  void RecordRun(const std::string& queue, Duration estimate, Duration actual);
   // What the workers of a service hold when nothing runs there, all of them together.
   void SetCapacity(const std::map<std::string, Room>& by_service) { capacity_ = by_service; }
   // Jobs that queues have had of late, as one list: what is usual is their mean.
-  void BeginJobs();
-  void NoteJob(const JobSpec& spec);
+  void ResetJobs();
+  void RecordJob(const JobSpec& spec);
 
   // What a task of the step should take.
   Duration ExpectedTime(const JobSpec& spec, const StepSpec& step) const;
@@ -33,7 +33,7 @@
   JobTiming TimingOf(const JobSpec& spec, const QueueTerms& terms, const StepPlace& place,
                      int64_t wall_ms) const;
   // What it is worth to have the job in time, in core-seconds of others' work.
-  double WorthOf(const JobSpec& spec, const QueueTerms& terms) const;
+  double ValueOf(const JobSpec& spec, const QueueTerms& terms) const;
 
  private:
   struct Mean {
@@ -56,6 +56,6 @@
 };
 
 // Milliseconds since 1970 when the job was handed in or its occurrence was due to begin.
-int64_t BegunMs(const JobSpec& spec, int occurrence);
+int64_t ReleaseMs(const JobSpec& spec, int occurrence);
 
 }  // namespace turmericshift::pool
--- a/servers/pool/job_appraiser_test.cc
+++ b/servers/pool/job_estimator_test.cc
@@ -1,7 +1,7 @@
-#include "servers/pool/job_appraiser.h"
-
 #include <gtest/gtest.h>
 
+#include "servers/pool/job_estimator.h"
+
 namespace turmericshift::pool {
 namespace {
 
@@ -28,19 +28,19 @@
   return terms;
 }
 
-JobAppraiser OfAPool(const DisabledMechanisms& off) {
-  JobAppraiser appraiser(off);
+JobEstimator OfAPool(const DisabledMechanisms& off) {
+  JobEstimator appraiser(off);
   appraiser.SetCapacity({{"plans", {640'000, 1'310'720, 80}}});
   return appraiser;
 }
 
-Duration ChainOf(const JobAppraiser& appraiser, const JobSpec& spec) {
-  return appraiser.TimingOf(spec, Terms(), {0, 0}, kAcceptedMs).chain;
+Duration ChainOf(const JobEstimator& appraiser, const JobSpec& spec) {
+  return appraiser.TimingOf(spec, Terms(), {0, 0}, kAcceptedMs).critical_path;
 }
 
 // A caller can't expect more than a quarter of the pool at once, twenty accelerators here.
-TEST(JobAppraiser, GivesAWideStepTheTimeOfSeveralGoes) {
-  const JobAppraiser appraiser = OfAPool({});
+TEST(JobEstimator, GivesAWideStepTheTimeOfSeveralGoes) {
+  const JobEstimator appraiser = OfAPool({});
   EXPECT_EQ(ChainOf(appraiser, OneStep(2, 8)), seconds(2));
   EXPECT_EQ(ChainOf(appraiser, OneStep(3, 8)), seconds(4));
   EXPECT_EQ(ChainOf(appraiser, OneStep(16, 8)), seconds(14));
@@ -50,21 +50,21 @@
   EXPECT_EQ(ChainOf(OfAPool({Mechanism::kWideInWaves}), OneStep(16, 8)), seconds(2));
 }
 
-TEST(JobAppraiser, CountsWhatHasGoneBy) {
+TEST(JobEstimator, CountsWhatHasGoneBy) {
   const JobTiming timing = OfAPool({}).TimingOf(OneStep(1, 1), Terms(), {0, 0}, kAcceptedMs + 1500);
   EXPECT_EQ(timing.elapsed, std::chrono::milliseconds(1500));
 }
 
 // Worth goes by size against what is usual of the queue, so that a deployment with larger jobs
 // does not take each of them for a treasure.
-TEST(JobAppraiser, MeasuresAJobAgainstTheUsualOnesOfItsQueue) {
-  JobAppraiser appraiser = OfAPool({});
-  const double alone = appraiser.WorthOf(OneStep(4, 1), Terms());
-  appraiser.BeginJobs();
-  for (int i = 0; i < 3; ++i) appraiser.NoteJob(OneStep(1, 1));
-  const double among_small = appraiser.WorthOf(OneStep(4, 1), Terms());
+TEST(JobEstimator, MeasuresAJobAgainstTheUsualOnesOfItsQueue) {
+  JobEstimator appraiser = OfAPool({});
+  const double alone = appraiser.ValueOf(OneStep(4, 1), Terms());
+  appraiser.ResetJobs();
+  for (int i = 0; i < 3; ++i) appraiser.RecordJob(OneStep(1, 1));
+  const double among_small = appraiser.ValueOf(OneStep(4, 1), Terms());
   EXPECT_LT(among_small, alone);
-  EXPECT_GT(among_small, appraiser.WorthOf(OneStep(1, 1), Terms()));
+  EXPECT_GT(among_small, appraiser.ValueOf(OneStep(1, 1), Terms()));
 }
 
 }  // namespace
--- a/servers/pool/job_intake.cc
+++ b/servers/pool/job_intake.cc
@@ -28,7 +28,7 @@
              {{"job", spec.id},
               {"epoch", planner->epoch()},
               {"ticket", ticket},
-              {"kept", planner->outbox().kept()}});
+              {"kept", planner->outbox().durable()}});
   }
   waiters_.push_back({spec.id, ticket, now, std::move(done)});
 }
@@ -48,9 +48,9 @@
 
 void JobIntake::Answer(std::optional<Time> append_sent, PoolPlanner* planner, Time now,
                        Replies* replies) {
-  const Ticket kept = planner->outbox().kept();
+  const Ticket durable = planner->outbox().durable();
   std::erase_if(waiters_, [&](Waiter& waiter) {
-    if (waiter.ticket > kept) return false;
+    if (waiter.ticket > durable) return false;
     replies->push_back(Succeeded(std::move(waiter.done), Done{}));
     return true;
   });
--- a/servers/pool/job_intake_test.cc
+++ b/servers/pool/job_intake_test.cc
@@ -27,7 +27,7 @@
   std::vector<Outcome> submitted(const std::string& id) const { return At(submitted_, id); }
   std::vector<Outcome> cancelled(const std::string& id) const { return At(cancelled_, id); }
   // What the store has of a job.
-  const JobEntry* Find(const std::string& id) const { return book_.Find(id); }
+  const StoredJob* Find(const std::string& id) const { return book_.Find(id); }
   // False once a job was called accepted that the store does not have.
   bool truthful() const { return truthful_; }
 
@@ -108,7 +108,7 @@
     }
     if (sent_ && store_up_) Land();
     if (sent_ && store_up_ && !answers_lost_) {
-      planner_->outbox().Kept();
+      planner_->outbox().MarkDurable();
       planner_->ConfirmLeadership(now_);
       last_write_ = *sent_;
       sent_.reset();
@@ -122,7 +122,7 @@
 
   JobIntake intake_{kStuckAfter};
   std::unique_ptr<PoolPlanner> planner_;
-  JobBook book_;
+  JobTable book_;
   Offset offset_ = 0;
   int64_t epoch_ = 0;
   Time now_ = kBegin;
--- a/servers/pool/job_model.cc
+++ b/servers/pool/job_model.cc
@@ -69,7 +69,7 @@
   return accelerators;
 }
 
-Room WidestNeed(const JobSpec& spec) {
+Room PeakNeed(const JobSpec& spec) {
   Room widest;
   for (const StepSpec& step : spec.steps) {
     const Room& need = step.need;
@@ -80,11 +80,11 @@
   return widest;
 }
 
-Duration EstimatedChain(const JobSpec& spec) {
-  return LongestChain(spec, [](const StepSpec& step) { return step.estimate; });
+Duration EstimatedCriticalPath(const JobSpec& spec) {
+  return CriticalPath(spec, [](const StepSpec& step) { return step.estimate; });
 }
 
-Duration LongestChain(const JobSpec& spec,
+Duration CriticalPath(const JobSpec& spec,
                       const std::function<Duration(const StepSpec& step)>& time_of) {
   std::vector<Duration> ends;
   Duration longest{};
@@ -99,8 +99,8 @@
   return longest;
 }
 
-Duration ChainFrom(const JobSpec& spec, int step,
-                   const std::function<Duration(const StepSpec& step)>& time_of) {
+Duration CriticalPathFrom(const JobSpec& spec, int step,
+                          const std::function<Duration(const StepSpec& step)>& time_of) {
   // When each step ends, counted from the beginning of `step`; none for those that do not follow.
   std::vector<std::optional<Duration>> ends(spec.steps.size());
   Duration longest{};
--- a/servers/pool/job_model.h
+++ b/servers/pool/job_model.h
@@ -36,15 +36,15 @@
   // Copies of a task may run side by side; the first to finish counts.
   bool copies_allowed = false;
   // Runs until the job is cancelled, and is started again however it ends.
-  bool lasting = false;
+  bool long_running = false;
   // Takes what others leave unused; its processors do not count against a worker.
-  bool fills = false;
+  bool best_effort = false;
   // The worker must carry this label; empty: any.
   std::string label;
   // Tasks are slowed down on any other rack; empty: none.
   std::string data_rack;
   // At most so many tasks of the step on one worker; 0: any number.
-  int most_per_worker = 0;
+  int max_per_worker = 0;
   std::string image;
 };
 
@@ -92,15 +92,15 @@
 int64_t TotalTasks(const JobSpec& spec);
 int64_t TotalAccelerators(const JobSpec& spec);
 // The most of each kind that a step needs when all its tasks run at once.
-Room WidestNeed(const JobSpec& spec);
+Room PeakNeed(const JobSpec& spec);
 // The longest chain of steps by the caller's estimates.
-Duration EstimatedChain(const JobSpec& spec);
+Duration EstimatedCriticalPath(const JobSpec& spec);
 // The longest chain of steps by `time_of` each.
-Duration LongestChain(const JobSpec& spec,
+Duration CriticalPath(const JobSpec& spec,
                       const std::function<Duration(const StepSpec& step)>& time_of);
 // The longest chain that begins with `step` (counted from 0), that step included.
-Duration ChainFrom(const JobSpec& spec, int step,
-                   const std::function<Duration(const StepSpec& step)>& time_of);
+Duration CriticalPathFrom(const JobSpec& spec, int step,
+                          const std::function<Duration(const StepSpec& step)>& time_of);
 
 // Names one task: occurrence, step and index within the step.
 struct TaskId {
--- a/servers/pool/job_model_test.cc
+++ b/servers/pool/job_model_test.cc
@@ -24,17 +24,17 @@
 Duration EstimateOf(const StepSpec& step) { return step.estimate; }
 
 TEST(JobModel, FollowsTheLongestWayThroughAllSteps) {
-  EXPECT_EQ(LongestChain(Diamond(), EstimateOf), seconds(9));
+  EXPECT_EQ(CriticalPath(Diamond(), EstimateOf), seconds(9));
 }
 
 // A job at its last step needs no more than that. Taken for one that has all before it, it would be
 // held for hopeless and passed over just before its end.
 TEST(JobModel, CountsOnlyWhatComesFromAStepOn) {
-  EXPECT_EQ(ChainFrom(Diamond(), 0, EstimateOf), seconds(9));
-  EXPECT_EQ(ChainFrom(Diamond(), 1, EstimateOf), seconds(8));
-  EXPECT_EQ(ChainFrom(Diamond(), 2, EstimateOf), seconds(5));
-  EXPECT_EQ(ChainFrom(Diamond(), 3, EstimateOf), seconds(9));
-  EXPECT_EQ(ChainFrom(Diamond(), 4, EstimateOf), seconds(3));
+  EXPECT_EQ(CriticalPathFrom(Diamond(), 0, EstimateOf), seconds(9));
+  EXPECT_EQ(CriticalPathFrom(Diamond(), 1, EstimateOf), seconds(8));
+  EXPECT_EQ(CriticalPathFrom(Diamond(), 2, EstimateOf), seconds(5));
+  EXPECT_EQ(CriticalPathFrom(Diamond(), 3, EstimateOf), seconds(9));
+  EXPECT_EQ(CriticalPathFrom(Diamond(), 4, EstimateOf), seconds(3));
 }
 
 }  // namespace
--- a/servers/pool/job_progress.cc
+++ b/servers/pool/job_progress.cc
@@ -18,7 +18,7 @@
   return done_count(place) >= spec.steps[static_cast<size_t>(place.step)].tasks;
 }
 
-bool JobProgress::turn_has_come(const JobSpec& spec, const StepPlace& place) const {
+bool JobProgress::dependencies_done(const JobSpec& spec, const StepPlace& place) const {
   const std::vector<int>& after = spec.steps[static_cast<size_t>(place.step)].after;
   return std::all_of(after.begin(), after.end(), [&](int earlier) {
     return step_done(spec, {place.occurrence, earlier});
--- a/servers/pool/job_progress.h
+++ b/servers/pool/job_progress.h
@@ -46,7 +46,7 @@
   bool task_done(const TaskPlace& place) const;
   bool step_done(const JobSpec& spec, const StepPlace& place) const;
   // All earlier steps that `place` waits for are done.
-  bool turn_has_come(const JobSpec& spec, const StepPlace& place) const;
+  bool dependencies_done(const JobSpec& spec, const StepPlace& place) const;
   bool all_done(const JobSpec& spec) const;
 };
 
--- a/servers/pool/job_records.cc
+++ b/servers/pool/job_records.cc
@@ -20,11 +20,11 @@
   if (step.one_rack) out["one_rack"] = true;
   if (step.checkpoints) out["checkpoints"] = true;
   if (step.copies_allowed) out["copies"] = true;
-  if (step.lasting) out["lasting"] = true;
-  if (step.fills) out["fills"] = true;
+  if (step.long_running) out["lasting"] = true;
+  if (step.best_effort) out["fills"] = true;
   if (!step.label.empty()) out["label"] = step.label;
   if (!step.data_rack.empty()) out["data_rack"] = step.data_rack;
-  if (step.most_per_worker > 0) out["most_per_worker"] = step.most_per_worker;
+  if (step.max_per_worker > 0) out["most_per_worker"] = step.max_per_worker;
   if (!step.image.empty()) out["image"] = step.image;
   return out;
 }
@@ -41,11 +41,11 @@
   step.one_rack = in.value("one_rack", false);
   step.checkpoints = in.value("checkpoints", false);
   step.copies_allowed = in.value("copies", false);
-  step.lasting = in.value("lasting", false);
-  step.fills = in.value("fills", false);
+  step.long_running = in.value("lasting", false);
+  step.best_effort = in.value("fills", false);
   step.label = in.value("label", "");
   step.data_rack = in.value("data_rack", "");
-  step.most_per_worker = in.value("most_per_worker", 0);
+  step.max_per_worker = in.value("most_per_worker", 0);
   step.image = in.value("image", "");
   return step;
 }
--- a/servers/pool/job_records.h
+++ b/servers/pool/job_records.h
@@ -17,7 +17,7 @@
 inline constexpr const char* kSpecPrefix = "j/";
 inline constexpr const char* kProgressPrefix = "p/";
 inline constexpr const char* kPlannerKey = "planner";
-inline constexpr const char* kBeatKey = "beat";
+inline constexpr const char* kHeartbeatKey = "beat";
 
 // Who plans the pool.
 struct PlannerRecord {
--- a/servers/pool/job_book.cc
+++ b/servers/pool/job_table.cc
@@ -1,11 +1,11 @@
-#include "servers/pool/job_book.h"
-
 #include <algorithm>
 #include <utility>
 
+#include "servers/pool/job_table.h"
+
 namespace turmericshift::pool {
 
-bool JobBook::IsNews(const KeyedRecord& record) {
+bool JobTable::IsNews(const KeyedRecord& record) {
   const auto known = offsets_.find(record.key);
   if (known != offsets_.end() && known->second >= record.offset) return false;
   // A dropped key needs no memory: its records lie before this offset and are read in order.
@@ -17,9 +17,9 @@
   return true;
 }
 
-void JobBook::Apply(const KeyedRecord& record) {
+void JobTable::Apply(const KeyedRecord& record) {
   newest_beat_ = std::max(newest_beat_, record.offset);
-  if (record.key == kBeatKey) return;
+  if (record.key == kHeartbeatKey) return;
   const Offset before = offsets_.count(record.key) > 0 ? offsets_[record.key] : kNoOffset;
   if (!IsNews(record)) return;
   try {
@@ -36,13 +36,13 @@
   }
 }
 
-void JobBook::ApplySpec(const std::string& id, const KeyedRecord& record) {
+void JobTable::ApplySpec(const std::string& id, const KeyedRecord& record) {
   if (record.value.empty()) {
     jobs_.erase(id);
     return;
   }
   JobSpec spec = DecodeSpec(id, record.value);
-  JobEntry& entry = jobs_[id];
+  StoredJob& entry = jobs_[id];
   entry.spec = std::move(spec);
   const auto waiting = early_.find(id);
   if (waiting == early_.end()) return;
@@ -50,7 +50,7 @@
   early_.erase(waiting);
 }
 
-void JobBook::ApplyProgress(const std::string& id, const KeyedRecord& record) {
+void JobTable::ApplyProgress(const std::string& id, const KeyedRecord& record) {
   if (record.value.empty()) {
     early_.erase(id);
     return;
@@ -64,12 +64,12 @@
   found->second.progress = std::move(progress);
 }
 
-const JobEntry* JobBook::Find(const std::string& id) const {
+const StoredJob* JobTable::Find(const std::string& id) const {
   const auto found = jobs_.find(id);
   return found == jobs_.end() ? nullptr : &found->second;
 }
 
-int JobBook::Waiting(const std::string& queue) const {
+int JobTable::Waiting(const std::string& queue) const {
   return static_cast<int>(std::count_if(jobs_.begin(), jobs_.end(), [&](const auto& row) {
     return row.second.spec.queue == queue && row.second.progress.state == JobState::kQueued;
   }));
--- a/servers/pool/job_book.h
+++ b/servers/pool/job_table.h
@@ -10,21 +10,21 @@
 
 namespace turmericshift::pool {
 
-struct JobEntry {
+struct StoredJob {
   JobSpec spec;
   JobProgress progress;
 };
 
-class JobBook {
+class JobTable {
  public:
   // Takes one record in. Pages of the newest records and the history overlap: a record that is
   // older than what the book has of its key changes nothing. Throws Error(kInvalidInput) for bytes
   // that can't be read, with the book unchanged.
   void Apply(const KeyedRecord& record);
 
-  const std::map<std::string, JobEntry>& jobs() const { return jobs_; }
+  const std::map<std::string, StoredJob>& jobs() const { return jobs_; }
   // Null when there is no such job.
-  const JobEntry* Find(const std::string& id) const;
+  const StoredJob* Find(const std::string& id) const;
   const PlannerRecord& planner() const { return planner_; }
   // Offset of the newest sign of life of the planner.
   Offset newest_beat() const { return newest_beat_; }
@@ -37,7 +37,7 @@
   void ApplySpec(const std::string& id, const KeyedRecord& record);
   void ApplyProgress(const std::string& id, const KeyedRecord& record);
 
-  std::map<std::string, JobEntry> jobs_;
+  std::map<std::string, StoredJob> jobs_;
   // Progress whose job has not been read yet: pages come in the order of keys.
   std::map<std::string, JobProgress> early_;
   std::map<std::string, Offset> offsets_;
--- a/servers/pool/job_book_test.cc
+++ b/servers/pool/job_table_test.cc
@@ -1,8 +1,7 @@
-#include "servers/pool/job_book.h"
-
 #include <gtest/gtest.h>
 
 #include "core/error.h"
+#include "servers/pool/job_table.h"
 #include "tests/stand_ins/pool_bed.h"
 
 namespace turmericshift::pool {
@@ -15,7 +14,7 @@
   step.checkpoints = true;
   step.label = "big";
   step.data_rack = "r1";
-  step.most_per_worker = 2;
+  step.max_per_worker = 2;
   JobSpec spec = BedJob("0123456789abcdef", "batch", "one", step);
   spec.payload = "text with \"quotes\" and \n";
   spec.terms = {"plans", 1, 3, 2.5, std::chrono::seconds(1)};
@@ -54,8 +53,8 @@
   }
 }
 
-TEST(JobBook, TakesProgressThatComesBeforeItsJob) {
-  JobBook book;
+TEST(JobTable, TakesProgressThatComesBeforeItsJob) {
+  JobTable book;
   JobProgress progress;
   progress.state = JobState::kCompleted;
   book.Apply({"p/x", EncodeProgress(progress), 7});
@@ -66,8 +65,8 @@
 
 // Pages of the newest records overlap with the history that is read after them. An older record
 // that is read later must not bring a finished job back to life.
-TEST(JobBook, IgnoresRecordsOlderThanWhatItHas) {
-  JobBook book;
+TEST(JobTable, IgnoresRecordsOlderThanWhatItHas) {
+  JobTable book;
   JobProgress progress;
   book.Apply({"j/x", EncodeSpec(FullJob()), 1});
   progress.state = JobState::kCompleted;
@@ -77,8 +76,8 @@
   EXPECT_EQ(book.Find("x")->progress.state, JobState::kCompleted);
 }
 
-TEST(JobBook, ForgetsADroppedJob) {
-  JobBook book;
+TEST(JobTable, ForgetsADroppedJob) {
+  JobTable book;
   book.Apply({"j/x", EncodeSpec(FullJob()), 1});
   book.Apply({"j/x", "", 2});
   book.Apply({"p/x", "", 3});
--- a/servers/pool/job_worth.cc
+++ b/servers/pool/job_value.cc
@@ -1,8 +1,8 @@
-#include "servers/pool/job_worth.h"
-
 #include <algorithm>
 #include <cmath>
 
+#include "servers/pool/job_value.h"
+
 namespace turmericshift::pool {
 namespace {
 
@@ -29,30 +29,31 @@
 
 }  // namespace
 
-double LikelyDone(const JobTiming& timing, double factor, Duration wait) {
+double CompletionProbability(const JobTiming& timing, double factor, Duration wait) {
   // With times that are F times what is expected the job is done in time if
   //   elapsed + wait + rest F <= factor (target + stretch chain F),
   // that is, if F slack >= late, where both may be negative.
-  const double slack = factor * timing.stretch * Seconds(timing.chain) - Seconds(timing.rest);
-  const double late = Seconds(timing.elapsed + wait) - factor * Seconds(timing.target);
+  const double slack =
+      factor * timing.stretch * Seconds(timing.critical_path) - Seconds(timing.remaining);
+  const double late = Seconds(timing.elapsed + wait) - factor * Seconds(timing.target_latency);
   if (slack >= 0 && late <= 0) return 1;
   if (slack <= 0 && late >= 0) return 0;
   const double deviations = std::log(late / slack) / std::max(timing.spread, kLeastSpread);
   return slack > 0 ? Normal(-deviations) : Normal(deviations);
 }
 
-double ExpectedShare(const JobTiming& timing, Duration wait) {
-  const double in_time = LikelyDone(timing, 1, wait);
-  const double of_use = std::max(in_time, LikelyDone(timing, kUselessAfter, wait));
+double ExpectedValueShare(const JobTiming& timing, Duration wait) {
+  const double in_time = CompletionProbability(timing, 1, wait);
+  const double of_use = std::max(in_time, CompletionProbability(timing, kUselessFactor, wait));
   return in_time + kShareWhenLate * (of_use - in_time);
 }
 
-double Cores(const Room& room) {
+double CoreEquivalent(const Room& room) {
   return static_cast<double>(room.processor_millis) / kMillisPerCore +
          kCoresPerAccelerator * static_cast<double>(room.accelerators);
 }
 
-double WorthInTime(int priority, double work, double usual_work) {
+double ValueOnTime(int priority, double work, double usual_work) {
   const double most = kMostSizes * usual_work;
   const double sized = kWorthOfAnySize * usual_work + (1 - kWorthOfAnySize) * work;
   return kWorthOfWork * std::pow(kWorthByPriority, priority) * std::min(sized, most);
--- a/servers/pool/job_worth_test.cc
+++ b/servers/pool/job_value_test.cc
@@ -1,7 +1,7 @@
-#include "servers/pool/job_worth.h"
-
 #include <gtest/gtest.h>
 
+#include "servers/pool/job_value.h"
+
 namespace turmericshift::pool {
 namespace {
 
@@ -11,23 +11,23 @@
 // Two seconds of work that should be done within three and a quarter.
 JobTiming Short() {
   JobTiming timing;
-  timing.rest = seconds(2);
-  timing.chain = seconds(2);
+  timing.remaining = seconds(2);
+  timing.critical_path = seconds(2);
   timing.stretch = 1.5;
-  timing.target = milliseconds(250);
+  timing.target_latency = milliseconds(250);
   timing.spread = 0.5;
   return timing;
 }
 
 TEST(JobWorth, IsSureOfAJobThatIsInTimeHoweverLongItTakes) {
-  EXPECT_EQ(LikelyDone(Short(), 1, Duration::zero()), 1);
-  EXPECT_EQ(ExpectedShare(Short(), Duration::zero()), 1);
+  EXPECT_EQ(CompletionProbability(Short(), 1, Duration::zero()), 1);
+  EXPECT_EQ(ExpectedValueShare(Short(), Duration::zero()), 1);
 }
 
 TEST(JobWorth, IsLessSureTheLongerTheJobWaits) {
   double before = 1;
   for (int wait = 400; wait <= 6000; wait += 200) {
-    const double likely = LikelyDone(Short(), 1, milliseconds(wait));
+    const double likely = CompletionProbability(Short(), 1, milliseconds(wait));
     EXPECT_LT(likely, before) << wait;
     before = likely;
   }
@@ -37,28 +37,28 @@
 // By the mean alone a wait of a second and a quarter is just in time, and a moment more is late:
 // half of such jobs are late then, and half are not.
 TEST(JobWorth, TakesTheMeanForAnEvenChance) {
-  EXPECT_NEAR(LikelyDone(Short(), 1, milliseconds(1250)), 0.5, 0.01);
+  EXPECT_NEAR(CompletionProbability(Short(), 1, milliseconds(1250)), 0.5, 0.01);
 }
 
 TEST(JobWorth, KeepsSomeWorthWhenLateAndNoneWhenTooLate) {
-  const double late = ExpectedShare(Short(), seconds(4));
+  const double late = ExpectedValueShare(Short(), seconds(4));
   EXPECT_GT(late, 0.2);
   EXPECT_LT(late, 0.3);
-  EXPECT_LT(ExpectedShare(Short(), seconds(60)), 0.01);
+  EXPECT_LT(ExpectedValueShare(Short(), seconds(60)), 0.01);
 }
 
 // More is left than the whole should have taken, as after a run that was lost at its very end.
 TEST(JobWorth, KnowsAJobThatCanOnlyBeInTimeIfItIsShort) {
   JobTiming timing = Short();
-  timing.rest = seconds(4);
-  EXPECT_LT(LikelyDone(timing, 1, Duration::zero()), 0.2);
-  EXPECT_EQ(LikelyDone(timing, 1, seconds(1)), 0);
+  timing.remaining = seconds(4);
+  EXPECT_LT(CompletionProbability(timing, 1, Duration::zero()), 0.2);
+  EXPECT_EQ(CompletionProbability(timing, 1, seconds(1)), 0);
 }
 
 TEST(JobWorth, RisesWithSizeUpToABound) {
-  EXPECT_LT(WorthInTime(0, 100, 400), WorthInTime(0, 400, 400));
-  EXPECT_EQ(WorthInTime(0, 4000, 400), WorthInTime(0, 8000, 400));
-  EXPECT_GT(WorthInTime(0, 400, 400), WorthInTime(1, 400, 400));
+  EXPECT_LT(ValueOnTime(0, 100, 400), ValueOnTime(0, 400, 400));
+  EXPECT_EQ(ValueOnTime(0, 4000, 400), ValueOnTime(0, 8000, 400));
+  EXPECT_GT(ValueOnTime(0, 400, 400), ValueOnTime(1, 400, 400));
 }
 
 }  // namespace
--- a/servers/pool/outbox.cc
+++ b/servers/pool/outbox.cc
@@ -41,6 +41,6 @@
   return records;
 }
 
-void Outbox::Kept() { kept_ = std::max(kept_, on_way_); }
+void Outbox::MarkDurable() { kept_ = std::max(kept_, on_way_); }
 
 }  // namespace turmericshift::pool
--- a/servers/pool/outbox.h
+++ b/servers/pool/outbox.h
@@ -27,12 +27,12 @@
   // The records of the next append, at most as many as one may carry; they count as on their way.
   std::vector<KeyedRecord> Take();
   // The append of what Take gave last is answered.
-  void Kept();
+  void MarkDurable();
 
   bool empty() const { return waiting_.empty(); }
   size_t waiting() const { return waiting_.size(); }
   Ticket newest() const { return next_ - 1; }
-  Ticket kept() const { return kept_; }
+  Ticket durable() const { return kept_; }
 
  private:
   struct Waiting {
--- a/servers/pool/outbox_test.cc
+++ b/servers/pool/outbox_test.cc
@@ -10,9 +10,9 @@
   const Ticket first = outbox.Put("a", "1");
   const Ticket second = outbox.Put("b", "2");
   EXPECT_EQ(outbox.Take().size(), 2U);
-  EXPECT_LT(outbox.kept(), first);
-  outbox.Kept();
-  EXPECT_GE(outbox.kept(), second);
+  EXPECT_LT(outbox.durable(), first);
+  outbox.MarkDurable();
+  EXPECT_GE(outbox.durable(), second);
 }
 
 TEST(Outbox, SendsOnlyTheNewestValueOfAKey) {
@@ -22,8 +22,8 @@
   const std::vector<KeyedRecord> records = outbox.Take();
   ASSERT_EQ(records.size(), 1U);
   EXPECT_EQ(records[0].value, "2");
-  outbox.Kept();
-  EXPECT_GE(outbox.kept(), newest);
+  outbox.MarkDurable();
+  EXPECT_GE(outbox.durable(), newest);
 }
 
 // Records put while an append is on its way are not in it. Were their tickets counted as kept with
@@ -33,8 +33,8 @@
   outbox.Put("a", "1");
   outbox.Take();
   const Ticket later = outbox.Put("b", "2");
-  outbox.Kept();
-  EXPECT_LT(outbox.kept(), later);
+  outbox.MarkDurable();
+  EXPECT_LT(outbox.durable(), later);
 }
 
 TEST(Outbox, SplitsWhatOneAppendMayNotCarry) {
@@ -42,11 +42,11 @@
   outbox.Put("a", std::string(20, 'x'));
   const Ticket second = outbox.Put("b", std::string(20, 'y'));
   EXPECT_EQ(outbox.Take().size(), 1U);
-  outbox.Kept();
-  EXPECT_LT(outbox.kept(), second);
+  outbox.MarkDurable();
+  EXPECT_LT(outbox.durable(), second);
   EXPECT_EQ(outbox.Take().size(), 1U);
-  outbox.Kept();
-  EXPECT_GE(outbox.kept(), second);
+  outbox.MarkDurable();
+  EXPECT_GE(outbox.durable(), second);
 }
 
 TEST(Outbox, TakesBackOnlyWhatHasNotLeft) {
--- a/servers/pool/planner_service.cc
+++ b/servers/pool/planner_service.cc
@@ -53,7 +53,7 @@
   return {ErrorKind::kConflict, Outcome::kNotRun, "this process does not plan the pool"};
 }
 
-void PlannerService::Begin(int64_t epoch, int64_t sequence, const JobBook& book,
+void PlannerService::Begin(int64_t epoch, int64_t sequence, const JobTable& book,
                            const std::set<std::string>& agents, Time asked) {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
@@ -122,15 +122,15 @@
   if (!planner_) return silent;
   for (const std::string& node : agents) {
     const auto known = planner_->workers().find(node);
-    if (known != planner_->workers().end() && now - known->second.heard < limit) continue;
+    if (known != planner_->workers().end() && now - known->second.last_report < limit) continue;
     silent.push_back(node);
   }
   return silent;
 }
 
-std::optional<AdviceQuestion> PlannerService::NextQuestion(Duration limit) {
+std::optional<AdviceRequest> PlannerService::NextQuestion(Duration limit) {
   std::unique_lock<std::mutex> lock(mutex_);
-  std::optional<AdviceQuestion> question;
+  std::optional<AdviceRequest> question;
   to_ask_.wait_for(lock, limit, [&] {
     if (planner_) question = planner_->advice().Next(LeaseClock().Now());
     return question.has_value() || stopping_;
@@ -138,7 +138,7 @@
   return question;
 }
 
-void PlannerService::TakeAdvice(const AdviceQuestion& question, const AdviceAnswer& answer,
+void PlannerService::TakeAdvice(const AdviceRequest& question, const AdviceResponse& answer,
                                 Time asked) {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
@@ -341,7 +341,7 @@
       const Time now = LeaseClock().Now();
       if (!planner_ || (planner_->outbox().empty() && now - last_write_ < options_.beat)) continue;
       records = planner_->outbox().Take();
-      if (records.empty()) records.push_back({kBeatKey, "1", kNoOffset});
+      if (records.empty()) records.push_back({kHeartbeatKey, "1", kNoOffset});
       epoch = planner_->epoch();
       sequence = ++sequence_;
       writing_since_ = now;
@@ -370,7 +370,7 @@
     append_seconds_.Record(Seconds(LeaseClock().Now() - asked));
     const std::lock_guard<std::mutex> lock(mutex_);
     if (!planner_ || planner_->epoch() != epoch) return true;
-    planner_->outbox().Kept();
+    planner_->outbox().MarkDurable();
     planner_->ConfirmLeadership(asked);
     writing_since_.reset();
     last_write_ = asked;
--- a/servers/pool/planner_service.h
+++ b/servers/pool/planner_service.h
@@ -46,7 +46,7 @@
   PlannerService& operator=(const PlannerService&) = delete;
 
   // Takes the duty up. The claim was written under `sequence`; `book` is all that came before it.
-  void Begin(int64_t epoch, int64_t sequence, const JobBook& book,
+  void Begin(int64_t epoch, int64_t sequence, const JobTable& book,
              const std::set<std::string>& agents, Time asked);
   // The planner before is known to plan no more.
   void PredecessorGone();
@@ -56,8 +56,8 @@
   // the silence; at most `limit`.
   void Release(Duration limit);
   // Waits up to `limit` for something that the advice service should be asked.
-  std::optional<AdviceQuestion> NextQuestion(Duration limit);
-  void TakeAdvice(const AdviceQuestion& question, const AdviceAnswer& answer, Time asked);
+  std::optional<AdviceRequest> NextQuestion(Duration limit);
+  void TakeAdvice(const AdviceRequest& question, const AdviceResponse& answer, Time asked);
   void AdviceFailed(Time now);
   // What this entry has read of the duty, and whether it would claim it if it were free.
   void NoteDuty(const PlannerRecord& planner, bool would_claim);
--- a/servers/pool/planner_service_test.cc
+++ b/servers/pool/planner_service_test.cc
@@ -43,7 +43,7 @@
 class PlannerServiceTest : public testing::Test {
  protected:
   PlannerServiceTest() {
-    service_.Begin(1, 1, JobBook(), {}, LeaseClock().Now());
+    service_.Begin(1, 1, JobTable(), {}, LeaseClock().Now());
     WaitForAppends(1);
   }
 
--- a/servers/pool/planning_capacity.cc
+++ b/servers/pool/planning_capacity.cc
@@ -11,7 +11,7 @@
 constexpr double kLinkMbitPerAgent = 0.06;
 
 int Capacity(double resource, double per_agent) {
-  return resource > 0 ? static_cast<int>(resource / per_agent) : kAnyPool;
+  return resource > 0 ? static_cast<int>(resource / per_agent) : kUnlimitedCapacity;
 }
 
 }  // namespace
@@ -21,6 +21,6 @@
                   Capacity(vm.link_mbit_s, kLinkMbitPerAgent));
 }
 
-bool LeavesPlanningTo(int other, int own, int agents) { return own < agents && other > own; }
+bool ShouldYieldTo(int other, int own, int agents) { return own < agents && other > own; }
 
 }  // namespace turmericshift::pool
--- a/servers/pool/planning_capacity.h
+++ b/servers/pool/planning_capacity.h
@@ -17,13 +17,13 @@
 };
 
 // Of a VM whose resources are not known.
-inline constexpr int kAnyPool = std::numeric_limits<int>::max();
+inline constexpr int kUnlimitedCapacity = std::numeric_limits<int>::max();
 
 // How many agents a planner on the VM can serve, also while many of them report at once.
 int PlanningCapacity(const VmResources& vm);
 
 // Whether a VM of `own` capacity is too weak for a pool of `agents` that one of `other` would carry
 // better.
-bool LeavesPlanningTo(int other, int own, int agents);
+bool ShouldYieldTo(int other, int own, int agents);
 
 }  // namespace turmericshift::pool
--- a/servers/pool/planning_capacity_test.cc
+++ b/servers/pool/planning_capacity_test.cc
@@ -15,22 +15,22 @@
 }
 
 TEST(PlanningCapacity, TakesAVmOfUnknownResourcesForAnyPool) {
-  EXPECT_EQ(PlanningCapacity({}), kAnyPool);
+  EXPECT_EQ(PlanningCapacity({}), kUnlimitedCapacity);
 }
 
 // A weak entry held the duty of a pool of 240 agents for good, late with everything.
 TEST(PlanningCapacity, LeavesALargePoolToTheStrongerVm) {
-  EXPECT_TRUE(LeavesPlanningTo(PlanningCapacity(kStrong), PlanningCapacity(kWeak), 240));
-  EXPECT_FALSE(LeavesPlanningTo(PlanningCapacity(kWeak), PlanningCapacity(kStrong), 240));
+  EXPECT_TRUE(ShouldYieldTo(PlanningCapacity(kStrong), PlanningCapacity(kWeak), 240));
+  EXPECT_FALSE(ShouldYieldTo(PlanningCapacity(kWeak), PlanningCapacity(kStrong), 240));
 }
 
 // Handing on what a VM carries easily would cost callers a gap for nothing.
 TEST(PlanningCapacity, KeepsASmallPoolWhereItIs) {
-  EXPECT_FALSE(LeavesPlanningTo(PlanningCapacity(kStrong), PlanningCapacity(kWeak), 11));
+  EXPECT_FALSE(ShouldYieldTo(PlanningCapacity(kStrong), PlanningCapacity(kWeak), 11));
 }
 
 TEST(PlanningCapacity, KeepsALargePoolWhereNobodyIsStronger) {
-  EXPECT_FALSE(LeavesPlanningTo(PlanningCapacity(kWeak), PlanningCapacity(kWeak), 240));
+  EXPECT_FALSE(ShouldYieldTo(PlanningCapacity(kWeak), PlanningCapacity(kWeak), 240));
 }
 
 }  // namespace
--- a/servers/pool/pool_bounds.cc
+++ b/servers/pool/pool_bounds.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "core/error.h"
-#include "servers/pool/job_front.h"
+#include "servers/pool/job_api.h"
 #include "servers/pool/pool_planner.h"
 
 namespace turmericshift::pool {
@@ -62,7 +62,7 @@
 
 }  // namespace
 
-PlannerOptions PlannerOptionsWithin(const PoolBounds& bounds) {
+PlannerOptions PlannerOptionsFor(const PoolBounds& bounds) {
   PlannerOptions options;
   options.lease =
       NotBelow("the longest lease", std::min(kLongestLease, bounds.longest_lease - kLeaseReserve),
@@ -96,14 +96,14 @@
   return options;
 }
 
-void LimitWithin(const PoolBounds& bounds, JobFrontOptions* options) {
+void ApplyBounds(const PoolBounds& bounds, JobApiOptions* options) {
   options->key_limit =
       NotBelow("the bound on withdrawn keys", bounds.key_withdrawn - kCallReserve, kLeastLimit);
   options->view_limit =
       NotBelow("the bound on knowing accepted jobs", bounds.visible - kCallReserve, kLeastLimit);
 }
 
-std::vector<std::string> UnmetBounds(const PoolBounds& bounds) {
+std::vector<std::string> UnattainableBounds(const PoolBounds& bounds) {
   std::vector<std::string> unmet;
   if (bounds.reclaim < bounds.stop + kStart + kWeighAgain) {
     unmet.push_back("room that others use comes back after up to " +
--- a/servers/pool/pool_bounds.h
+++ b/servers/pool/pool_bounds.h
@@ -10,7 +10,7 @@
 
 namespace turmericshift::pool {
 
-struct JobFrontOptions;
+struct JobApiOptions;
 struct PlannerOptions;
 
 struct PoolBounds {
@@ -40,12 +40,12 @@
 
 // Limits within the bounds. Throw Error(kInvalidInput) when a bound leaves too little to work with:
 // an entry that may never start anything would look well and serve nobody.
-PlannerOptions PlannerOptionsWithin(const PoolBounds& bounds);
+PlannerOptions PlannerOptionsFor(const PoolBounds& bounds);
 // Sets what of the options bounds decide.
-void LimitWithin(const PoolBounds& bounds, JobFrontOptions* options);
+void ApplyBounds(const PoolBounds& bounds, JobApiOptions* options);
 
 // Bounds that can be missed on a sound pool, each as a sentence. They are worked towards all the
 // same, since a guarantee that comes late is better than none.
-std::vector<std::string> UnmetBounds(const PoolBounds& bounds);
+std::vector<std::string> UnattainableBounds(const PoolBounds& bounds);
 
 }  // namespace turmericshift::pool
--- a/servers/pool/pool_bounds_test.cc
+++ b/servers/pool/pool_bounds_test.cc
@@ -5,7 +5,7 @@
 #include <random>
 
 #include "core/error.h"
-#include "servers/pool/job_front.h"
+#include "servers/pool/job_api.h"
 #include "servers/pool/pool_planner.h"
 
 namespace turmericshift::pool {
@@ -46,7 +46,7 @@
   BoundsDraw draw(1);
   for (int i = 0; i < kDraws; ++i) {
     const PoolBounds bounds = draw.Next();
-    const PlannerOptions options = PlannerOptionsWithin(bounds);
+    const PlannerOptions options = PlannerOptionsFor(bounds);
     EXPECT_LT(options.lease, bounds.longest_lease);
     EXPECT_LT(options.confirm_age_limit + options.start_window, bounds.cancel);
     EXPECT_LT(options.document_age_limit + options.start_window, bounds.zone_out);
@@ -56,8 +56,8 @@
     EXPECT_LT(options.guaranteed_off_rack_delay, bounds.reclaim);
     EXPECT_LT(options.guaranteed_wait_limit, bounds.reclaim);
     EXPECT_GT(options.reservation_limit, bounds.stop);
-    JobFrontOptions front;
-    LimitWithin(bounds, &front);
+    JobApiOptions front;
+    ApplyBounds(bounds, &front);
     EXPECT_LT(front.key_limit, bounds.key_withdrawn);
     EXPECT_LT(front.view_limit, bounds.visible);
   }
@@ -69,9 +69,9 @@
   BoundsDraw draw(2);
   for (int i = 0; i < kDraws; ++i) {
     const PoolBounds bounds = draw.Next();
-    const PlannerOptions options = PlannerOptionsWithin(bounds);
+    const PlannerOptions options = PlannerOptionsFor(bounds);
     const Duration stop_and_start = bounds.stop + milliseconds(200);
-    if (!UnmetBounds(bounds).empty()) {
+    if (!UnattainableBounds(bounds).empty()) {
       EXPECT_LT(bounds.reclaim, stop_and_start + milliseconds(300));
       continue;
     }
@@ -85,25 +85,25 @@
 TEST(PoolBounds, RefuseWhatLeavesNoTime) {
   PoolBounds bounds;
   bounds.cancel = milliseconds(600);
-  EXPECT_THROW(PlannerOptionsWithin(bounds), Error);
+  EXPECT_THROW(PlannerOptionsFor(bounds), Error);
   bounds = PoolBounds();
   bounds.zone_out = milliseconds(600);
-  EXPECT_THROW(PlannerOptionsWithin(bounds), Error);
+  EXPECT_THROW(PlannerOptionsFor(bounds), Error);
   bounds = PoolBounds();
   bounds.gang_wait = bounds.stop;
-  EXPECT_THROW(PlannerOptionsWithin(bounds), Error);
+  EXPECT_THROW(PlannerOptionsFor(bounds), Error);
   bounds = PoolBounds();
   bounds.key_withdrawn = milliseconds(1000);
-  JobFrontOptions front;
-  EXPECT_THROW(LimitWithin(bounds, &front), Error);
+  JobApiOptions front;
+  EXPECT_THROW(ApplyBounds(bounds, &front), Error);
 }
 
 TEST(PoolBounds, TellOfAGuaranteeThatComesTooLate) {
   PoolBounds bounds;
-  EXPECT_TRUE(UnmetBounds(bounds).empty());
+  EXPECT_TRUE(UnattainableBounds(bounds).empty());
   bounds.reclaim = bounds.stop;
-  EXPECT_EQ(UnmetBounds(bounds).size(), 1U);
-  EXPECT_EQ(PlannerOptionsWithin(bounds).guaranteed_wait_limit, Duration::zero());
+  EXPECT_EQ(UnattainableBounds(bounds).size(), 1U);
+  EXPECT_EQ(PlannerOptionsFor(bounds).guaranteed_wait_limit, Duration::zero());
 }
 
 }  // namespace
--- a/servers/pool/pool_config.cc
+++ b/servers/pool/pool_config.cc
@@ -18,7 +18,7 @@
   return best;
 }
 
-const Workspace* PoolConfig::Owner(const std::string& key) const {
+const Workspace* PoolConfig::WorkspaceForKey(const std::string& key) const {
   for (const Workspace& workspace : workspaces) {
     if (workspace.keys.count(key) > 0) return &workspace;
   }
--- a/servers/pool/pool_config.h
+++ b/servers/pool/pool_config.h
@@ -40,7 +40,7 @@
   // The queue of `host` whose prefix is the longest that `path` begins with; null if there is none.
   const Queue* Route(const std::string& host, const std::string& path) const;
   // The workspace that holds `key`; null if none does.
-  const Workspace* Owner(const std::string& key) const;
+  const Workspace* WorkspaceForKey(const std::string& key) const;
   const Workspace* FindWorkspace(const std::string& name) const;
 };
 
--- a/servers/pool/pool_entry.cc
+++ b/servers/pool/pool_entry.cc
@@ -14,7 +14,7 @@
 }  // namespace
 
 PoolEntry::PoolEntry(const PoolEntryOptions& options, KeyedLog* log,
-                     std::unique_ptr<OperatorDecoder> decoder, const CallerDoor* door,
+                     std::unique_ptr<OperatorDecoder> decoder, const CallerEndpoint* door,
                      PlannerConnector* connector, MetricsRegistry* metrics)
     : options_(options),
       log_(log),
@@ -58,7 +58,7 @@
 bool PoolEntry::Leave(Duration limit) {
   const Time until = LeaseClock().Now() + limit;
   leaving_.store(true);
-  front_.AnswerBy(until - kAnswerReserve);
+  front_.SetAnswerDeadline(until - kAnswerReserve);
   LogEvent(LogLevel::kInfo, "leaving", {{"epoch", service_.epoch()}});
   if (duty_) duty_->Leave();
   service_.Release(kReleaseLimit);
--- a/servers/pool/pool_entry.h
+++ b/servers/pool/pool_entry.h
@@ -9,7 +9,7 @@
 #include "core/http_server.h"
 #include "core/metrics.h"
 #include "servers/pool/duty_keeper.h"
-#include "servers/pool/job_front.h"
+#include "servers/pool/job_api.h"
 #include "servers/pool/planner_service.h"
 #include "servers/pool/pool_view.h"
 
@@ -23,7 +23,7 @@
   HttpServerOptions readiness;
   PlannerServiceOptions planner;
   DutyOptions duty;
-  JobFrontOptions front;
+  JobApiOptions front;
   // How long a look at the list of members waits for a change.
   Duration members_wait = std::chrono::seconds(4);
   // How long a leaving entry goes on taking callers in, so that the balancer notices first: it asks
@@ -35,7 +35,7 @@
  public:
   // All arguments must outlive the entry.
   PoolEntry(const PoolEntryOptions& options, KeyedLog* log,
-            std::unique_ptr<OperatorDecoder> decoder, const CallerDoor* door,
+            std::unique_ptr<OperatorDecoder> decoder, const CallerEndpoint* door,
             PlannerConnector* connector, MetricsRegistry* metrics);
   ~PoolEntry();
   PoolEntry(const PoolEntry&) = delete;
@@ -57,7 +57,7 @@
 
   const PoolEntryOptions options_;
   KeyedLog* const log_;
-  const CallerDoor* const door_;
+  const CallerEndpoint* const door_;
   PlannerConnector* const connector_;
   MetricsRegistry* const metrics_;
   std::atomic<bool> leaving_{false};
@@ -67,7 +67,7 @@
   PlannerReach reach_;
   PlannerService service_;
   std::unique_ptr<DutyKeeper> duty_;
-  JobFront front_;
+  JobApi front_;
   std::unique_ptr<HttpServer> callers_;
   std::unique_ptr<HttpServer> readiness_;
 };
--- a/servers/pool/pool_load_test.cc
+++ b/servers/pool/pool_load_test.cc
@@ -148,7 +148,7 @@
   ASSERT_TRUE(bed.RunUntil("seen", JobState::kCompleted, seconds(4)));
   const Time submitted = bed.now();
   StepSpec service = BedStep(48, 1, seconds(15));
-  service.lasting = true;
+  service.long_running = true;
   bed.Submit(BedJob("service", "bulk", "two", service));
   bed.RunFor(seconds(1));
   EXPECT_EQ(bed.RunsOf("service").size(), 48U);
--- a/servers/pool/pool_planner.cc
+++ b/servers/pool/pool_planner.cc
@@ -7,7 +7,7 @@
 
 namespace turmericshift::pool {
 
-PoolPlanner::PoolPlanner(const PlannerOptions& options, int64_t epoch, const JobBook& book,
+PoolPlanner::PoolPlanner(const PlannerOptions& options, int64_t epoch, const JobTable& book,
                          const std::set<std::string>& nodes, Time now)
     : options_(options),
       epoch_(epoch),
@@ -101,23 +101,23 @@
   if (MayStart(now)) orders.start_window = options_.start_window;
   for (const auto& [id, run] : worker.live) {
     if (run.phase == RunPhase::kStopping) orders.stops.push_back(id);
-    if (run.phase != RunPhase::kOrdered || run.released_by > outbox_.kept()) continue;
+    if (run.phase != RunPhase::kOrdered || run.start_after > outbox_.durable()) continue;
     orders.starts.push_back({id, run.payload, run.checkpoint, run.ticket});
   }
   return orders;
 }
 
 void PoolPlanner::NoteDurable() {
-  while (!pending_starts_.empty() && pending_starts_.begin()->first <= outbox_.kept()) {
+  while (!pending_starts_.empty() && pending_starts_.begin()->first <= outbox_.durable()) {
     NotePendingOrders(&workers_[pending_starts_.begin()->second]);
     pending_starts_.erase(pending_starts_.begin());
   }
-  while (!pending_submissions_.empty() && *pending_submissions_.begin() <= outbox_.kept()) {
+  while (!pending_submissions_.empty() && *pending_submissions_.begin() <= outbox_.durable()) {
     pending_submissions_.erase(pending_submissions_.begin());
     needs_planning_ = true;
   }
   for (auto& [node, worker] : workers_) {
-    while (!worker.ends.empty() && worker.ends.front().ticket <= outbox_.kept()) {
+    while (!worker.ends.empty() && worker.ends.front().ticket <= outbox_.durable()) {
       worker.ends_kept = worker.ends.front().number;
       worker.ends.pop_front();
       NotePendingOrders(&worker);
--- a/servers/pool/pool_planner.h
+++ b/servers/pool/pool_planner.h
@@ -16,9 +16,9 @@
 #include <utility>
 #include <vector>
 
-#include "servers/pool/advice_book.h"
-#include "servers/pool/job_appraiser.h"
-#include "servers/pool/job_book.h"
+#include "servers/pool/advice_cache.h"
+#include "servers/pool/job_estimator.h"
+#include "servers/pool/job_table.h"
 #include "servers/pool/mechanism.h"
 #include "servers/pool/outbox.h"
 #include "servers/pool/placer.h"
@@ -28,12 +28,12 @@
 #include "servers/pool/reclaimer.h"
 #include "servers/pool/room_forecast.h"
 #include "servers/pool/urgent_reserve.h"
-#include "servers/pool/worker_judge.h"
-#include "servers/pool/worker_roster.h"
+#include "servers/pool/worker_health_tracker.h"
+#include "servers/pool/worker_state.h"
 
 namespace turmericshift::pool {
 
-// Limits and timings of a planner. PlannerOptionsWithin in pool_bounds.h derives them from the
+// Limits and timings of a planner. PlannerOptionsFor in pool_bounds.h derives them from the
 // platform's bounds.
 struct PlannerOptions {
   // How long a running task may go on after the last contact with its planner. Must be below the
@@ -97,7 +97,7 @@
  public:
   // `book`: the contents of the work topic when this planner became the active one. `nodes`: agents
   // that may have tasks running.
-  PoolPlanner(const PlannerOptions& options, int64_t epoch, const JobBook& book,
+  PoolPlanner(const PlannerOptions& options, int64_t epoch, const JobTable& book,
               const std::set<std::string>& nodes, Time now);
 
   int64_t epoch() const { return epoch_; }
@@ -143,7 +143,7 @@
   void NoteDurable();
 
   // Questions for the advice service, and its answers.
-  AdviceBook& advice() { return advice_; }
+  AdviceCache& advice() { return advice_; }
   // Advice has arrived that may affect placement.
   void NoteAdvice() { needs_planning_ = true; }
 
@@ -331,13 +331,13 @@
   const size_t listed_agents_;
   // Listed agents that must report before inherited work is started.
   std::set<std::string> unreported_agents_;
-  AdviceBook advice_;
+  AdviceCache advice_;
   Time inherited_start_time_{};
   std::shared_ptr<const OperatorState> operator_state_ = std::make_shared<OperatorState>();
   std::optional<Time> operator_state_read_;
   std::optional<Time> leadership_confirmed_;
-  WorkerJudge judge_;
-  JobAppraiser appraiser_;
+  WorkerHealthTracker judge_;
+  JobEstimator appraiser_;
   std::map<UnitKey, ReclaimReservation> reclaim_reservations_;
   int64_t start_count_ = 0;
   // Something that affects placement has changed since the last round.
--- a/servers/pool/pool_planner_advice.cc
+++ b/servers/pool/pool_planner_advice.cc
@@ -33,7 +33,7 @@
   for (const WorkerRoom& room : rooms) {
     workers.push_back(AdvisedWorkerOf(workers_.at(std::string(room.node))));
   }
-  advice_.Want({unit.job->spec.id, unit.place}, workers, now);
+  advice_.RequestTickets({unit.job->spec.id, unit.place}, workers, now);
 }
 
 }  // namespace turmericshift::pool
--- a/servers/pool/pool_planner_backfilling.cc
+++ b/servers/pool/pool_planner_backfilling.cc
@@ -48,7 +48,7 @@
   if (!inserted) return ends;
   for (const auto& [id, run] : worker.live) {
     Room room = run.need;
-    if (run.fills) room.processor_millis = 0;
+    if (run.best_effort) room.processor_millis = 0;
     const bool stopping = run.phase == RunPhase::kStopping;
     ends.push_back({room, stopping ? Duration::zero()
                                    : run.progress.RemainingTime(run.estimate, run.since, now)});
--- a/servers/pool/pool_planner_planning.cc
+++ b/servers/pool/pool_planner_planning.cc
@@ -50,12 +50,12 @@
 }
 
 // Free share of the pool's scarcest resource.
-double FreeShare(const Room& free, const Room& whole) {
+double FreeShare(const Room& free, const Room& total) {
   const auto share = [](int64_t part, int64_t all) {
     return all > 0 ? static_cast<double>(part) / static_cast<double>(all) : 0.0;
   };
-  return std::min(share(free.accelerators, whole.accelerators),
-                  share(free.processor_millis, whole.processor_millis));
+  return std::min(share(free.accelerators, total.accelerators),
+                  share(free.processor_millis, total.processor_millis));
 }
 
 }  // namespace
@@ -92,14 +92,14 @@
 void PoolPlanner::LogQueue(const std::vector<Unit>& units, Time now) {
   if (units.empty() || (last_queue_log_ && now - *last_queue_log_ < kQueueLogInterval)) return;
   last_queue_log_ = now;
-  Room whole;
+  Room total;
   Room free;
   int usable = 0;
   for (const auto& [node, worker] : workers_) {
-    if (!worker.usable(now) || judge_.SetAside(node, now)) continue;
+    if (!worker.usable(now) || judge_.IsQuarantined(node, now)) continue;
     if (operator_state_->zones_out.count(worker.zone) > 0) continue;
     ++usable;
-    whole += worker.facts.capacity;
+    total += worker.facts.capacity;
     free += worker.left;
   }
   std::map<int, int> waiting;
@@ -114,9 +114,9 @@
             {"late_s", Seconds(planner_lag_.lag())},
             {"starts_under_way", starts_in_flight_},
             {"workers", usable},
-            {"accelerators", whole.accelerators},
+            {"accelerators", total.accelerators},
             {"accelerators_free", free.accelerators},
-            {"processor_millis", whole.processor_millis},
+            {"processor_millis", total.processor_millis},
             {"processor_millis_free", free.processor_millis},
             {"epoch", epoch_}});
 }
@@ -155,24 +155,24 @@
     all += worker.facts.capacity;
     all_left += worker.left;
     if (!worker.usable(now)) continue;
-    pool_room_.whole += worker.facts.capacity;
+    pool_room_.total += worker.facts.capacity;
     pool_room_.free += worker.left;
   }
-  mostly_idle_ = FreeShare(pool_room_.free, pool_room_.whole) > kMostlyIdleShare;
+  mostly_idle_ = FreeShare(pool_room_.free, pool_room_.total) > kMostlyIdleShare;
   if (FreeShare(all_left, all) <= kHalfIdleShare) {
     half_idle_since_.reset();
   } else if (!half_idle_since_) {
     half_idle_since_ = now;
   }
   appraiser_.SetCapacity(capacity);
-  appraiser_.BeginJobs();
-  for (const auto& [id, job] : jobs_) appraiser_.NoteJob(job.spec);
+  appraiser_.ResetJobs();
+  for (const auto& [id, job] : jobs_) appraiser_.RecordJob(job.spec);
   urgent_use_.clear();
   urgent_need_.clear();
   Room demand;
   for (const auto& [id, job] : jobs_) {
     if (Terms(job).priority != 0 || IsOver(job.progress.state)) continue;
-    const Room need = WidestNeed(job.spec);
+    const Room need = PeakNeed(job.spec);
     demand += need;
     urgent_need_[job.spec.workspace] += need.accelerators;
     int64_t& use = urgent_use_[job.spec.workspace];
@@ -180,7 +180,7 @@
       use += job.spec.steps[static_cast<size_t>(place.step)].need.accelerators;
     }
   }
-  reserve_.NoteDemand(pool_room_, demand, now);
+  reserve_.RecordDemand(pool_room_, demand, now);
 }
 
 void PoolPlanner::ExpireLeases(Time now) {
@@ -211,9 +211,9 @@
                {{"job", id.task.job},
                 {"task", TaskName(id.task)},
                 {"node", node},
-                {"unheard_s", Seconds(now - worker.heard)},
+                {"unheard_s", Seconds(now - worker.last_report)},
                 {"planner_late_s", Seconds(planner_lag_.lag())}});
-      if (planner_lag_.lag() == Duration::zero()) judge_.OrderNotTaken(node, now);
+      if (planner_lag_.lag() == Duration::zero()) judge_.OrderFailed(node, now);
       StopRun(&worker, &run);
       if (gang) StopGang(*job, id);
     }
@@ -223,7 +223,7 @@
 std::vector<PoolPlanner::Unit> PoolPlanner::CollectUnits(int64_t wall_ms, Time now) {
   std::vector<Unit> units;
   for (auto& [id, job] : jobs_) {
-    if (IsOver(job.progress.state) || job.accepted_ticket > outbox_.kept()) continue;
+    if (IsOver(job.progress.state) || job.accepted_ticket > outbox_.durable()) continue;
     if (job.inherited && !MayStartInherited(now)) continue;
     const Schedule& schedule = job.spec.schedule;
     for (int occurrence = 0; occurrence < job.spec.occurrences(); ++occurrence) {
@@ -241,9 +241,9 @@
 }
 
 PoolPlanner::Prospect PoolPlanner::ProspectOf(const Unit& unit, int64_t wall_ms) const {
-  const int64_t over_ms = wall_ms + Millis(unit.timing.rest);
+  const int64_t over_ms = wall_ms + Millis(unit.timing.remaining);
   if (over_ms <= unit.due_ms) return Prospect::kOnTime;
-  const int64_t worthless_ms = unit.start_ms + kUselessAfter * (unit.due_ms - unit.start_ms);
+  const int64_t worthless_ms = unit.start_ms + kUselessFactor * (unit.due_ms - unit.start_ms);
   if (over_ms > worthless_ms) return Prospect::kWorthless;
   if (!IsEnabled(Mechanism::kExpiringJobsFirst)) return Prospect::kPastDue;
   return over_ms + Millis(kExpiringWindow) > worthless_ms ? Prospect::kExpiring
@@ -254,7 +254,7 @@
                               std::vector<Unit>* units) {
   const StepSpec& step = job->spec.steps[static_cast<size_t>(place.step)];
   if (job->progress.step_done(job->spec, place)) return;
-  if (!job->progress.turn_has_come(job->spec, place)) return;
+  if (!job->progress.dependencies_done(job->spec, place)) return;
   Unit unit;
   for (int index = 0; index < step.tasks; ++index) {
     const TaskPlace task = {place.occurrence, place.step, index};
@@ -273,11 +273,11 @@
   unit.job = job;
   unit.place = place;
   unit.priority = terms.priority;
-  unit.start_ms = BegunMs(job->spec, place.occurrence);
+  unit.start_ms = ReleaseMs(job->spec, place.occurrence);
   unit.timing = appraiser_.TimingOf(job->spec, terms, place, wall_ms);
   unit.expected = appraiser_.ExpectedTime(job->spec, step);
   unit.due_ms = unit.start_ms + Millis(terms.target_latency) +
-                Millis(Scaled(unit.timing.chain, terms.stretch));
+                Millis(Scaled(unit.timing.critical_path, terms.stretch));
   unit.prospect = ProspectOf(unit, wall_ms);
   if (terms.priority == 0) {
     const int64_t wanted = step.need.accelerators * static_cast<int64_t>(unit.waiting.size());
@@ -305,22 +305,22 @@
     if (!worker.usable(now) || worker.facts.service != service) continue;
     if (operator_state_->zones_out.count(worker.zone) > 0) continue;
     if (!step.label.empty() && !Contains(worker.facts.labels, step.label)) continue;
-    if (!empty && judge_.SetAside(node, now)) continue;
+    if (!empty && judge_.IsQuarantined(node, now)) continue;
     if (Terms(*unit.job).advised &&
         !advice_.MayRun({unit.job->spec.id, unit.place}, AdvisedWorkerOf(worker))) {
       continue;
     }
-    if (only_healthy && judge_.Doubtful(node, now)) continue;
+    if (only_healthy && judge_.IsSuspect(node, now)) continue;
     WorkerRoom room;
     room.node = node;
     room.rack = worker.facts.rack;
     room.free = empty ? worker.facts.capacity : worker.left;
-    room.doubtful = judge_.Doubtful(node, now);
+    room.doubtful = judge_.IsSuspect(node, now);
     room.occupancy =
         empty || !IsEnabled(Mechanism::kGroupSimilarTasks) ? Occupancy::kNone : worker.occupancy;
     room.max_tasks = static_cast<int>(unit.waiting.size());
-    if (step.most_per_worker > 0) {
-      room.max_tasks = step.most_per_worker - TasksOnWorker(*unit.job, unit.place, node);
+    if (step.max_per_worker > 0) {
+      room.max_tasks = step.max_per_worker - TasksOnWorker(*unit.job, unit.place, node);
     }
     rooms.push_back(room);
   }
@@ -401,14 +401,14 @@
   const StepSpec& step = unit.job->spec.steps[static_cast<size_t>(unit.place.step)];
   if (unit.priority == 0 || !IsEnabled(Mechanism::kUrgentReserve)) return all;
   // Lasting tasks serve from their start on, so that any waiting counts against them.
-  if (step.lasting || !CanWait(unit.timing)) return all;
+  if (step.long_running || !CanWait(unit.timing)) return all;
   // A job that waits longer beside idle workers counts as forgotten.
   const Time ready_since = *unit.job->steps.at(unit.place).ready_since;
   if (half_idle_since_ && unit.job->runs.empty() &&
       now - std::max(*half_idle_since_, ready_since) > kMaxWaitWhenIdle) {
     return all;
   }
-  return reserve_.TasksBeside(pool_room_, step.need, all, now);
+  return reserve_.TasksOutsideReserve(pool_room_, step.need, all, now);
 }
 
 int64_t PoolPlanner::GuaranteedFor(const std::string& workspace) const {
@@ -441,7 +441,7 @@
     LiveRun run;
     run.run = {{job->spec.id, place.occurrence, place.step, place.index}, number};
     run.need = step.need;
-    run.fills = step.fills;
+    run.best_effort = step.best_effort;
     run.since = now;
     run.payload = job->spec.payload;
     if (Terms(*job).advised) {
@@ -451,7 +451,7 @@
     const bool away_from_data = !step.data_rack.empty() && worker.facts.rack != step.data_rack;
     run.estimate =
         Scaled(unit.expected, over_racks || away_from_data ? options_.off_rack_slowdown : 1.0);
-    run.released_by = job->running_ticket;
+    run.start_after = job->running_ticket;
     const auto saved =
         job->progress.checkpoints.find({place.occurrence, place.step, step.gang ? 0 : index});
     if (saved != job->progress.checkpoints.end()) run.checkpoint = saved->second;
@@ -459,13 +459,13 @@
     if (worker.occupancy != Occupancy::kNotResumable) {
       worker.occupancy = step.checkpoints ? Occupancy::kResumable : Occupancy::kNotResumable;
     }
-    run.clean = run.checkpoint.empty() && !over_racks && !away_from_data;
+    run.representative = run.checkpoint.empty() && !over_racks && !away_from_data;
     worker.live[run.run] = run;
     worker.left -= run.need;
     pool_room_.free -= run.need;
-    if (run.fills) worker.left.processor_millis += run.need.processor_millis;
-    if (run.released_by > outbox_.kept()) {
-      pending_starts_.emplace(run.released_by, worker.node);
+    if (run.best_effort) worker.left.processor_millis += run.need.processor_millis;
+    if (run.start_after > outbox_.durable()) {
+      pending_starts_.emplace(run.start_after, worker.node);
     } else {
       NotePendingOrders(&worker);
     }
--- a/servers/pool/pool_planner_reclaiming.cc
+++ b/servers/pool/pool_planner_reclaiming.cc
@@ -32,12 +32,13 @@
 
 }  // namespace
 
-double PoolPlanner::MaxReclaimCost(const Unit& unit, const PlacementRequest& rest, Time now) const {
-  const std::optional<RoomForecast> forecast = ForecastRoom(rest, FutureRoomsFor(unit, now));
+double PoolPlanner::MaxReclaimCost(const Unit& unit, const PlacementRequest& remaining,
+                                   Time now) const {
+  const std::optional<RoomForecast> forecast = ForecastRoom(remaining, FutureRoomsFor(unit, now));
   // A request that never fits has a wait beyond any due time.
   const Duration wait = forecast ? forecast->delay : Duration(std::chrono::hours(1));
-  const double gain =
-      std::max(0.0, ExpectedShare(unit.timing, mean_stop_time_) - ExpectedShare(unit.timing, wait));
+  const double gain = std::max(0.0, ExpectedValueShare(unit.timing, mean_stop_time_) -
+                                        ExpectedValueShare(unit.timing, wait));
   if (unit.within_guarantee) {
     const Duration waited = now - *unit.job->steps.at(unit.place).ready_since;
     const bool frees_up_anyway = IsEnabled(Mechanism::kWaitForGuaranteedRoom) &&
@@ -45,7 +46,7 @@
     return frees_up_anyway ? 0 : kUnlimitedCost;
   }
   return IsEnabled(Mechanism::kPreemptForBorrowedRoom)
-             ? gain * appraiser_.WorthOf(unit.job->spec, Terms(*unit.job))
+             ? gain * appraiser_.ValueOf(unit.job->spec, Terms(*unit.job))
              : 0;
 }
 
@@ -56,16 +57,16 @@
   JobTiming timing = appraiser_.TimingOf(job.spec, Terms(job), place, wall_ms);
   const Duration whole = appraiser_.ExpectedTime(job.spec, step);
   const Duration left = run.progress.RemainingTime(run.estimate, run.since, now);
-  const Duration rest_after = timing.rest - whole;
-  timing.rest = rest_after + left;
-  const double share_now = ExpectedShare(timing, Duration::zero());
-  timing.rest = rest_after + (step.checkpoints ? left + options_.restore : whole);
-  const double share_then = ExpectedShare(timing, mean_stop_time_ + room_taken_for);
-  double loss = std::max(0.0, share_now - share_then) * appraiser_.WorthOf(job.spec, Terms(job));
+  const Duration rest_after = timing.remaining - whole;
+  timing.remaining = rest_after + left;
+  const double share_now = ExpectedValueShare(timing, Duration::zero());
+  timing.remaining = rest_after + (step.checkpoints ? left + options_.restore : whole);
+  const double share_then = ExpectedValueShare(timing, mean_stop_time_ + room_taken_for);
+  double loss = std::max(0.0, share_now - share_then) * appraiser_.ValueOf(job.spec, Terms(job));
   if (!IsEnabled(Mechanism::kVictimLoss)) loss = 0;
   // The members of a gang are stopped together and share the loss.
   if (step.gang) loss /= step.tasks;
-  double lost_work = Cores(run.need) * LostSeconds(run, step, options_.restore, now);
+  double lost_work = CoreEquivalent(run.need) * LostSeconds(run, step, options_.restore, now);
   const auto state = job.steps.find(place);
   if (state != job.steps.end() && IsEnabled(Mechanism::kRepeatPreemptionCost)) {
     lost_work *= 1 + kRepeatCostFactor * state->second.preemptions;
@@ -115,18 +116,18 @@
   if (planner_lag_.overloaded() && !unit.within_guarantee) return;
   --reclaims_left_;
   state.last_reclaim_attempt = now;
-  PlacementRequest rest = request;
+  PlacementRequest remaining = request;
   if (!request.step->gang) {
     // Tasks that fit have been started already.
-    rest.tasks = 0;
+    remaining.tasks = 0;
     for (const int index : unit.waiting) {
-      rest.tasks += unit.job->runs.count({unit.place.occurrence, unit.place.step, index}) == 0;
+      remaining.tasks += unit.job->runs.count({unit.place.occurrence, unit.place.step, index}) == 0;
     }
   }
-  const double limit = MaxReclaimCost(unit, rest, now);
+  const double limit = MaxReclaimCost(unit, remaining, now);
   if (limit <= 0) return;
   const std::optional<ReclaimPlan> plan =
-      ChooseVictims(rest, StartRoomsFor(unit, now), VictimsFor(unit, wall_ms, now));
+      ChooseVictims(remaining, StartRoomsFor(unit, now), VictimsFor(unit, wall_ms, now));
   if (!plan || plan->cost > limit) return;
   for (const RunId& stop : plan->stops) {
     for (auto& [node, worker] : workers_) {
--- a/servers/pool/pool_planner_reports.cc
+++ b/servers/pool/pool_planner_reports.cc
@@ -31,7 +31,7 @@
   planner_lag_.NoteReportRead(report.node, now);
   if (report.wait > Duration::zero()) planner_lag_.NotePollHeld(report.node, now + report.wait);
   worker.zone = report.zone;
-  worker.heard = now;
+  worker.last_report = now;
   // The answer will grant a lease that counts from now, and a previous planner may just have
   // granted one.
   worker.lease_until = std::max(worker.lease_until, now + options_.lease);
@@ -79,7 +79,7 @@
   worker->sequence = -1;
   NotePendingOrders(worker);
   for (auto& [id, run] : worker->live) {
-    if (run.phase == RunPhase::kOrdered) run.phase = RunPhase::kUnclear;
+    if (run.phase == RunPhase::kOrdered) run.phase = RunPhase::kUncertain;
   }
   return true;
 }
@@ -129,7 +129,7 @@
     known->second.checkpoint = running.checkpoint;
     known->second.progress.Update(running.percent, now);
     const RunPhase phase = known->second.phase;
-    if (phase != RunPhase::kOrdered && phase != RunPhase::kUnclear) continue;
+    if (phase != RunPhase::kOrdered && phase != RunPhase::kUncertain) continue;
     known->second.phase = RunPhase::kRunning;
     Job* job = FindJob(running.run.task.job);
     if (job != nullptr) MarkRunning(job);
@@ -155,7 +155,7 @@
 void PoolPlanner::StopUnclearRuns(WorkerState* worker) {
   if (!worker->facts.reachable) return;
   for (auto& [id, run] : worker->live) {
-    if (run.phase != RunPhase::kUnclear) continue;
+    if (run.phase != RunPhase::kUncertain) continue;
     StopRun(worker, &run);
     Job* job = FindJob(id.task.job);
     const StepSpec* step = job == nullptr ? nullptr : FindStep(*job, id.task);
@@ -177,7 +177,7 @@
                       !job->progress.task_done(place) && job->runs.count(place) == 0;
   if (step != nullptr) {
     live.need = step->need;
-    live.fills = step->fills;
+    live.best_effort = step->best_effort;
     live.estimate = step->estimate;
     live.saved = step->checkpoints;
   }
@@ -216,7 +216,7 @@
   if (result.outcome == StartOutcome::kTicketRefused) {
     advice_.TicketRefused({task.job, {task.occurrence, task.step}}, AdvisedWorkerOf(*worker));
   }
-  if (result.outcome == StartOutcome::kNotRun) judge_.OrderNotTaken(worker->node, now);
+  if (result.outcome == StartOutcome::kNotRun) judge_.OrderFailed(worker->node, now);
   job->steps[{task.occurrence, task.step}].retry_after = now + kStartRetryDelay;
   if (step != nullptr && step->gang) StopGang(*job, result.run);
   LogEvent(LogLevel::kWarning, "start_not_taken",
@@ -237,7 +237,7 @@
       live != worker->live.end() && live->second.phase == RunPhase::kStopping;
   std::optional<Duration> clean_time;
   if (live != worker->live.end()) {
-    if (live->second.clean) clean_time = now - live->second.since;
+    if (live->second.representative) clean_time = now - live->second.since;
     if (asked_to_stop && end.kind == EndKind::kStopped) RecordStopTime(live->second, now);
     worker->live.erase(live);
   }
@@ -250,7 +250,7 @@
     RemoveRun(end.run, job);
     if (end.kind == EndKind::kDone) {
       judge_.RunDone(worker->node);
-      if (clean_time) appraiser_.NoteRun(job->spec.queue, step->estimate, *clean_time);
+      if (clean_time) appraiser_.RecordRun(job->spec.queue, step->estimate, *clean_time);
       // Skips a run that was given up when its lease expired; another run has been started since.
       if (!replaced) ApplyDone(end, job, wall_ms);
     } else if (end.kind == EndKind::kFailed) {
@@ -289,7 +289,7 @@
 void PoolPlanner::ApplyDone(const EndedTask& end, Job* job, int64_t wall_ms) {
   const TaskId& task = end.run.task;
   const StepSpec& step = *FindStep(*job, task);
-  if (step.lasting) return;
+  if (step.long_running) return;
   std::set<int>& done = job->progress.done[{task.occurrence, task.step}];
   if (step.gang) {
     for (int index = 0; index < step.tasks; ++index) done.insert(index);
@@ -309,7 +309,7 @@
   const TaskId& task = end.run.task;
   const StepSpec& step = *FindStep(*job, task);
   // A lasting task is restarted however often it fails.
-  if (step.lasting) return;
+  if (step.long_running) return;
   std::set<int64_t>& failed = job->progress.failures[StoredAt(step, task)];
   if (!failed.insert(end.run.number).second) return;
   if (static_cast<int>(failed.size()) >= Terms(*job).max_attempts) {
--- a/servers/pool/pool_planner_test.cc
+++ b/servers/pool/pool_planner_test.cc
@@ -44,8 +44,8 @@
 }
 
 // The stored records of job "j", which is running: one task of `estimate`.
-JobBook BookOfRunningJob(Duration estimate) {
-  JobBook book;
+JobTable BookOfRunningJob(Duration estimate) {
+  JobTable book;
   book.Apply({"j/j", EncodeSpec(BedJob("j", "batch", "one", BedStep(1, 1, estimate))), 1});
   JobProgress progress;
   progress.state = JobState::kRunning;
@@ -130,7 +130,7 @@
 // depends on whether the previous planner is known to grant no more leases.
 TEST(PoolPlanner, WaitsLessForAMissingAgentOnceThePredecessorIsGone) {
   const PlannerOptions options;
-  const JobBook book = BookOfRunningJob(seconds(2));
+  const JobTable book = BookOfRunningJob(seconds(2));
   const Time now = Time(std::chrono::hours(1));
   PoolPlanner planner(options, 1, book, {"n", "missing"}, now);
   const auto placed_after = [&](Duration waited) {
@@ -206,13 +206,13 @@
 
 // A planner with one worker, to which one task has just been assigned.
 struct OneWorker {
-  OneWorker() : planner(PlannerOptions(), 1, JobBook(), {}, now) {
+  OneWorker() : planner(PlannerOptions(), 1, JobTable(), {}, now) {
     planner.ConfirmLeadership(now);
     planner.SetOperatorState(std::make_shared<OperatorState>(BedOperators(0)), now);
     planner.ApplyReport(Report("first", 1), 0, now);
     planner.Submit(BedJob("j", "batch", "one", BedStep(1, 1, seconds(2))));
     planner.outbox().Take();
-    planner.outbox().Kept();
+    planner.outbox().MarkDurable();
     planner.Plan(0, now);
   }
 
@@ -334,7 +334,7 @@
 // failure is durable. Its successor receives the later failure first. If the earlier one were taken
 // for a repeat, the task would run once more than its queue allows.
 TEST(PoolPlanner, CountsFailuresReportedInAnyOrder) {
-  const JobBook book = BookOfRunningJob(seconds(1));
+  const JobTable book = BookOfRunningJob(seconds(1));
   const Time now = Time(std::chrono::hours(1));
   PoolPlanner planner(PlannerOptions(), 1, book, {"n", "m"}, now);
   planner.SetOperatorState(std::make_shared<OperatorState>(BedOperators(0)), now);
--- a/servers/pool/pool_view.cc
+++ b/servers/pool/pool_view.cc
@@ -74,7 +74,7 @@
   return {book_.planner(), end_, freshness_, newest_record_at_};
 }
 
-JobBook WorkView::book(DutyView* duty) const {
+JobTable WorkView::book(DutyView* duty) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   *duty = DutyLocked();
   return book_;
@@ -82,7 +82,7 @@
 
 std::optional<JobState> WorkView::StateOf(const std::string& id) const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  const JobEntry* entry = book_.Find(id);
+  const StoredJob* entry = book_.Find(id);
   if (entry == nullptr) return std::nullopt;
   return entry->progress.state;
 }
--- a/servers/pool/pool_view.h
+++ b/servers/pool/pool_view.h
@@ -10,7 +10,7 @@
 #include <set>
 #include <string>
 
-#include "servers/pool/job_book.h"
+#include "servers/pool/job_table.h"
 #include "servers/pool/pool_config.h"
 #include "servers/pool/topic_follower.h"
 
@@ -49,7 +49,7 @@
 
   DutyView duty() const;
   // A copy of everything, and what a claim made from it rests on, as of the same moment.
-  JobBook book(DutyView* duty) const;
+  JobTable book(DutyView* duty) const;
   // Empty when the job is unknown to this view.
   std::optional<JobState> StateOf(const std::string& id) const;
   int Waiting(const std::string& queue) const;
@@ -64,9 +64,9 @@
   DutyView DutyLocked() const;
 
   mutable std::mutex mutex_;
-  JobBook book_;
+  JobTable book_;
   // Filled aside after a restart, so that nobody sees half of it.
-  std::optional<JobBook> rebuilding_;
+  std::optional<JobTable> rebuilding_;
   Offset end_ = 0;
   Freshness freshness_;
   std::optional<Time> newest_record_at_;
--- a/servers/pool/urgent_reserve.cc
+++ b/servers/pool/urgent_reserve.cc
@@ -17,12 +17,12 @@
 constexpr Duration kWait = std::chrono::seconds(5);
 constexpr double kLittleWorth = 0.05;
 
-double ShareOf(int64_t part, int64_t whole) {
-  return whole > 0 ? static_cast<double>(part) / static_cast<double>(whole) : 0.0;
+double ShareOf(int64_t part, int64_t total) {
+  return total > 0 ? static_cast<double>(part) / static_cast<double>(total) : 0.0;
 }
 
-int64_t Part(int64_t whole, double share) {
-  return static_cast<int64_t>(std::ceil(static_cast<double>(whole) * share));
+int64_t Part(int64_t total, double share) {
+  return static_cast<int64_t>(std::ceil(static_cast<double>(total) * share));
 }
 
 }  // namespace
@@ -31,23 +31,25 @@
   return peak_at_ ? peak_ * std::exp2(-Seconds(now - *peak_at_) / Seconds(kHalfLife)) : 0.0;
 }
 
-void UrgentReserve::NoteDemand(const PoolRoom& pool, const Room& demand, Time now) {
-  const double share = std::max(ShareOf(demand.accelerators, pool.whole.accelerators),
-                                ShareOf(demand.processor_millis, pool.whole.processor_millis));
+void UrgentReserve::RecordDemand(const PoolRoom& pool, const Room& demand, Time now) {
+  const double share = std::max(ShareOf(demand.accelerators, pool.total.accelerators),
+                                ShareOf(demand.processor_millis, pool.total.processor_millis));
   peak_ = std::max(Peak(now), share);
   peak_at_ = now;
 }
 
-int UrgentReserve::TasksBeside(const PoolRoom& pool, const Room& need, int tasks, Time now) const {
+int UrgentReserve::TasksOutsideReserve(const PoolRoom& pool, const Room& need, int tasks,
+                                       Time now) const {
   // Room that is short of either is of no use to those for whom it is kept.
   const double kept = std::min(Peak(now), kMostKept);
   Room spare = pool.free;
-  spare -= {Part(pool.whole.processor_millis, kept), 0, Part(pool.whole.accelerators, kept)};
+  spare -= {Part(pool.total.processor_millis, kept), 0, Part(pool.total.accelerators, kept)};
   return FitCount(spare, need, tasks);
 }
 
 bool CanWait(const JobTiming& timing) {
-  return ExpectedShare(timing, Duration::zero()) - ExpectedShare(timing, kWait) < kLittleWorth;
+  return ExpectedValueShare(timing, Duration::zero()) - ExpectedValueShare(timing, kWait) <
+         kLittleWorth;
 }
 
 }  // namespace turmericshift::pool
--- a/servers/pool/urgent_reserve.h
+++ b/servers/pool/urgent_reserve.h
@@ -11,23 +11,23 @@
 
 #include "core/clock.h"
 #include "servers/pool/job_model.h"
-#include "servers/pool/job_worth.h"
+#include "servers/pool/job_value.h"
 
 namespace turmericshift::pool {
 
 // Room of the workers that may be used.
 struct PoolRoom {
-  Room whole;
+  Room total;
   Room free;
 };
 
 class UrgentReserve {
  public:
   // All urgent jobs that have not ended need `demand` together.
-  void NoteDemand(const PoolRoom& pool, const Room& demand, Time now);
+  void RecordDemand(const PoolRoom& pool, const Room& demand, Time now);
 
   // How many of `tasks` of `need` may begin with what is kept left free.
-  int TasksBeside(const PoolRoom& pool, const Room& need, int tasks, Time now) const;
+  int TasksOutsideReserve(const PoolRoom& pool, const Room& need, int tasks, Time now) const;
 
  private:
   // The share of the pool that was wanted at the highest, less the longer that is ago.
--- a/servers/pool/urgent_reserve_test.cc
+++ b/servers/pool/urgent_reserve_test.cc
@@ -11,40 +11,40 @@
 constexpr int kMany = 1000;
 
 PoolRoom Empty() {
-  const Room whole = {100'000, 100'000, 100};
-  return {whole, whole};
+  const Room total = {100'000, 100'000, 100};
+  return {total, total};
 }
 
 TEST(UrgentReserve, KeepsWhatWasWantedAtTheHighest) {
   UrgentReserve reserve;
-  reserve.NoteDemand(Empty(), {5'000, 0, 20}, kStart);
-  reserve.NoteDemand(Empty(), {0, 0, 0}, kStart);
-  EXPECT_EQ(reserve.TasksBeside(Empty(), {1'000, 0, 1}, kMany, kStart), 80);
+  reserve.RecordDemand(Empty(), {5'000, 0, 20}, kStart);
+  reserve.RecordDemand(Empty(), {0, 0, 0}, kStart);
+  EXPECT_EQ(reserve.TasksOutsideReserve(Empty(), {1'000, 0, 1}, kMany, kStart), 80);
 }
 
 // Room without processors is of no use for tasks that need some of both.
 TEST(UrgentReserve, KeepsTheSameShareOfProcessors) {
   UrgentReserve reserve;
-  reserve.NoteDemand(Empty(), {1'000, 0, 20}, kStart);
-  EXPECT_EQ(reserve.TasksBeside(Empty(), {1'000, 0, 0}, kMany, kStart), 80);
+  reserve.RecordDemand(Empty(), {1'000, 0, 20}, kStart);
+  EXPECT_EQ(reserve.TasksOutsideReserve(Empty(), {1'000, 0, 0}, kMany, kStart), 80);
 }
 
 TEST(UrgentReserve, LeavesOthersTheLargerPart) {
   UrgentReserve reserve;
-  reserve.NoteDemand(Empty(), {0, 0, 900}, kStart);
-  EXPECT_GT(reserve.TasksBeside(Empty(), {0, 0, 1}, kMany, kStart), 50);
+  reserve.RecordDemand(Empty(), {0, 0, 900}, kStart);
+  EXPECT_GT(reserve.TasksOutsideReserve(Empty(), {0, 0, 1}, kMany, kStart), 50);
 }
 
 TEST(UrgentReserve, ForgetsOldDemand) {
   UrgentReserve reserve;
-  reserve.NoteDemand(Empty(), {0, 0, 20}, kStart);
-  EXPECT_GT(reserve.TasksBeside(Empty(), {0, 0, 1}, kMany, kStart + seconds(600)), 98);
+  reserve.RecordDemand(Empty(), {0, 0, 20}, kStart);
+  EXPECT_GT(reserve.TasksOutsideReserve(Empty(), {0, 0, 1}, kMany, kStart + seconds(600)), 98);
 }
 
 TEST(UrgentReserve, KeepsOutNobodyWhoIsPressed) {
   JobTiming timing;
-  timing.rest = seconds(10);
-  timing.chain = seconds(10);
+  timing.remaining = seconds(10);
+  timing.critical_path = seconds(10);
   timing.stretch = 3;
   timing.spread = 0.3;
   EXPECT_TRUE(CanWait(timing));
--- a/servers/pool/worker_judge.cc
+++ b/servers/pool/worker_health_tracker.cc
@@ -1,8 +1,8 @@
-#include "servers/pool/worker_judge.h"
-
 #include <algorithm>
 #include <set>
 
+#include "servers/pool/worker_health_tracker.h"
+
 namespace turmericshift::pool {
 namespace {
 
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-int WorkerJudge::BlamedJobs(const std::string& worker, const Sheet& sheet, Time now) const {
+int WorkerHealthTracker::BlamedJobs(const std::string& worker, const Sheet& sheet, Time now) const {
   std::set<std::string> jobs;
   for (const Failure& failure : sheet.failures) {
     if (now - failure.at > kMemory) continue;
@@ -37,7 +37,7 @@
   return static_cast<int>(jobs.size());
 }
 
-void WorkerJudge::Judge(const std::string& worker, Time now) {
+void WorkerHealthTracker::Judge(const std::string& worker, Time now) {
   Sheet& sheet = sheets_[worker];
   if (BlamedJobs(worker, sheet, now) < kJobsToCondemn) return;
   sheet.aside_until = now + kAside * (1 << std::min(sheet.times_aside, kMostDoublings));
@@ -45,7 +45,7 @@
   sheet.failures.clear();
 }
 
-void WorkerJudge::RunFailed(const std::string& worker, const std::string& job, Time now) {
+void WorkerHealthTracker::RunFailed(const std::string& worker, const std::string& job, Time now) {
   Sheet& sheet = sheets_[worker];
   while (!sheet.failures.empty() && now - sheet.failures.front().at > kMemory) {
     sheet.failures.pop_front();
@@ -54,34 +54,34 @@
   Judge(worker, now);
 }
 
-void WorkerJudge::RunDone(const std::string& worker) {
+void WorkerHealthTracker::RunDone(const std::string& worker) {
   const auto found = sheets_.find(worker);
   if (found == sheets_.end()) return;
   found->second.failures.clear();
   found->second.times_aside = 0;
 }
 
-void WorkerJudge::KeepAside(const std::string& worker, Time until) {
+void WorkerHealthTracker::KeepAside(const std::string& worker, Time until) {
   Sheet& sheet = sheets_[worker];
   sheet.aside_until = std::max(sheet.aside_until, until);
 }
 
-void WorkerJudge::OrderNotTaken(const std::string& worker, Time now) {
+void WorkerHealthTracker::OrderFailed(const std::string& worker, Time now) {
   KeepAside(worker, now + kNotTakenAside);
 }
 
-void WorkerJudge::StandsStill(const std::string& worker, Time now) {
+void WorkerHealthTracker::StandsStill(const std::string& worker, Time now) {
   KeepAside(worker, now + kStillAside);
 }
 
-void WorkerJudge::Forget(const std::string& worker) { sheets_.erase(worker); }
+void WorkerHealthTracker::Forget(const std::string& worker) { sheets_.erase(worker); }
 
-bool WorkerJudge::SetAside(const std::string& worker, Time now) const {
+bool WorkerHealthTracker::IsQuarantined(const std::string& worker, Time now) const {
   const auto found = sheets_.find(worker);
   return found != sheets_.end() && now < found->second.aside_until;
 }
 
-bool WorkerJudge::Doubtful(const std::string& worker, Time now) const {
+bool WorkerHealthTracker::IsSuspect(const std::string& worker, Time now) const {
   const auto found = sheets_.find(worker);
   if (found == sheets_.end()) return false;
   return std::any_of(found->second.failures.begin(), found->second.failures.end(),
--- a/servers/pool/worker_judge.h
+++ b/servers/pool/worker_health_tracker.h
@@ -11,21 +11,21 @@
 
 namespace turmericshift::pool {
 
-class WorkerJudge {
+class WorkerHealthTracker {
  public:
   void RunFailed(const std::string& worker, const std::string& job, Time now);
   void RunDone(const std::string& worker);
   // The worker turned an order away or did not answer it.
-  void OrderNotTaken(const std::string& worker, Time now);
+  void OrderFailed(const std::string& worker, Time now);
   // Nothing that runs at the worker gets any further.
   void StandsStill(const std::string& worker, Time now);
   // A new life of a worker starts with a clean sheet.
   void Forget(const std::string& worker);
 
   // Gets no work now.
-  bool SetAside(const std::string& worker, Time now) const;
+  bool IsQuarantined(const std::string& worker, Time now) const;
   // Failed something lately: comes last.
-  bool Doubtful(const std::string& worker, Time now) const;
+  bool IsSuspect(const std::string& worker, Time now) const;
 
  private:
   struct Failure {
--- a/servers/pool/worker_roster.cc
+++ b/servers/pool/worker_state.cc
@@ -1,4 +1,4 @@
-#include "servers/pool/worker_roster.h"
+#include "servers/pool/worker_state.h"
 
 namespace turmericshift::pool {
 namespace {
@@ -13,13 +13,14 @@
   Room room = facts.capacity;
   for (const auto& [id, run] : live) {
     room -= run.need;
-    if (run.fills) room.processor_millis += run.need.processor_millis;
+    if (run.best_effort) room.processor_millis += run.need.processor_millis;
   }
   return room;
 }
 
 bool WorkerState::usable(Time now) const {
-  return known && !facts.id.empty() && facts.reachable && !facts.draining && now - heard < kSilence;
+  return known && !facts.id.empty() && facts.reachable && !facts.draining &&
+         now - last_report < kSilence;
 }
 
 }  // namespace turmericshift::pool
--- a/servers/pool/worker_roster.h
+++ b/servers/pool/worker_state.h
@@ -20,7 +20,7 @@
   kOrdered,
   // Ordered from an agent whose process has been replaced since: it may run or may not, and the
   // new process can't tell by itself.
-  kUnclear,
+  kUncertain,
   kRunning,
   kStopping,
 };
@@ -38,19 +38,19 @@
   // It can be stopped and go on later from where it was.
   bool saved = false;
   // Begun from nothing, where it takes no longer than it must: its time tells of others.
-  bool clean = false;
+  bool representative = false;
   // When it was asked to stop for another's sake.
   std::optional<Time> stopping_since;
   // The start is ordered once this record is kept; see PoolPlanner::Start.
-  Ticket released_by = 0;
+  Ticket start_after = 0;
   // What the start hands over; empty for runs that were found running.
   std::string payload;
   std::string ticket;
   // Its processors do not count.
-  bool fills = false;
+  bool best_effort = false;
 };
 
-struct KeptEnd {
+struct RecordedEnd {
   int64_t number = 0;
   Ticket ticket = 0;
 };
@@ -68,12 +68,12 @@
   // The lists under this planner's epoch have been heard, so nothing older can start there.
   bool known = false;
   // When the last report came.
-  Time heard{};
+  Time last_report{};
   // Whatever runs there has ended by then, unless a lease is renewed.
   Time lease_until{};
   std::map<RunId, LiveRun> live;
   // Ends that were taken in, with the ticket of the record that keeps each.
-  std::deque<KeptEnd> ends;
+  std::deque<RecordedEnd> ends;
   int64_t ends_seen = 0;
   int64_t ends_kept = 0;
   // What the agent has been told, and what there is to tell.
--- a/tests/stand_ins/pool_bed.cc
+++ b/tests/stand_ins/pool_bed.cc
@@ -56,7 +56,7 @@
 PoolBed::PoolBed(const std::vector<BedWorker>& workers, const OperatorState& operators,
                  const PoolBounds& bounds)
     : bounds_(bounds),
-      options_(PlannerOptionsWithin(bounds)),
+      options_(PlannerOptionsFor(bounds)),
       operators_(operators),
       now_(Time(std::chrono::hours(1))) {
   std::set<std::string> nodes;
@@ -104,7 +104,7 @@
 }
 
 JobState PoolBed::StateOf(const std::string& id) const {
-  const JobEntry* entry = book_.Find(id);
+  const StoredJob* entry = book_.Find(id);
   return entry == nullptr ? JobState::kQueued : entry->progress.state;
 }
 
@@ -183,12 +183,12 @@
 
 void PoolBed::TickAdvice() {
   if (question_ && now_ - asked_ >= kAdviceTakes) {
-    AdviceAnswer answer;
-    answer.valid = kTicketValid;
+    AdviceResponse answer;
+    answer.valid_for = kTicketValid;
     for (const AdvisedWorker& each : question_->workers) {
       const std::string node = each.id.substr(0, each.id.find('/'));
       if (advises && !advises(question_->step.job, node)) continue;
-      answer.good.push_back(
+      answer.allowed.push_back(
           {each.id, question_->step.job + "@" + each.id + "@" +
                         std::to_string(wall_ms() + kTicketValid.count() / 1000000)});
     }
@@ -220,7 +220,7 @@
     record.offset = offset_++;
     book_.Apply(record);
   }
-  planner_->outbox().Kept();
+  planner_->outbox().MarkDurable();
 }
 
 bool PoolBed::GangComplete(const RunId& run) const {
--- a/tests/stand_ins/pool_bed.h
+++ b/tests/stand_ins/pool_bed.h
@@ -54,7 +54,7 @@
   bool RunUntil(const std::string& id, JobState state, Duration limit);
   JobState StateOf(const std::string& id) const;
   // All that the store has kept.
-  const JobBook& book() const { return book_; }
+  const JobTable& book() const { return book_; }
   const std::vector<BedRun>& runs() const { return runs_; }
   std::vector<BedRun> RunsOf(const std::string& job) const;
   Time now() const { return now_; }
@@ -126,7 +126,7 @@
   std::map<std::string, std::unique_ptr<Worker>> workers_;
   std::map<std::string, JobSpec> specs_;
   std::unique_ptr<PoolPlanner> planner_;
-  JobBook book_;
+  JobTable book_;
   Offset offset_ = 0;
   int64_t epoch_ = 1;
   Time now_{};
@@ -134,7 +134,7 @@
   int incarnations_ = 0;
   bool store_down_ = false;
   // What the advice service is asked now, and since when.
-  std::optional<AdviceQuestion> question_;
+  std::optional<AdviceRequest> question_;
   Time asked_{};
   int questions_ = 0;
   int tickets_refused_ = 0;
