--- a/main/benches/pool_rounds_bench.cc
+++ b/main/benches/pool_rounds_bench.cc
@@ -177,7 +177,7 @@
     report.epoch = 1;
     report.orders_seen = worker->orders_seen;
     report.worker.id = worker->node;
-    report.worker.born_ms = 1;
+    report.worker.start_time_ms = 1;
     report.worker.service = "plans";
     report.worker.rack = worker->rack;
     report.worker.capacity = kWorkerRoom;
@@ -199,7 +199,7 @@
     report_seconds_ += Seconds(DefaultClock().Now() - begun);
     ++reports_;
     worker->orders_seen = orders.version;
-    worker->ended.erase(worker->ended.begin(), worker->ended.upper_bound(orders.ends_kept));
+    worker->ended.erase(worker->ended.begin(), worker->ended.upper_bound(orders.acked_ends));
     for (const pool::StartOrder& start : orders.starts) {
       const bool urgent = start.run.task.job.back() % 2 == 0;
       const Duration takes = std::chrono::milliseconds(urgent ? 2500 : 6000);
--- a/main/commands/pool_commands.cc
+++ b/main/commands/pool_commands.cc
@@ -96,7 +96,7 @@
   const auto log = KeyedLogRegistry::Instance().Create(settings.adapter, settings.store_address);
   const auto worker =
       pool::PoolWorkerRegistry::Instance().Create(settings.adapter, settings.worker_address);
-  const auto door = pool::WorkerDoorRegistry::Instance().Create(settings.adapter);
+  const auto door = pool::WorkerEndpointRegistry::Instance().Create(settings.adapter);
   RpcPlannerConnector connector;
   pool::PoolAgentOptions agent_options;
   agent_options.node = settings.name;
--- a/modules/stand_ins/fake_pool_worker.cc
+++ b/modules/stand_ins/fake_pool_worker.cc
@@ -97,10 +97,10 @@
 
 std::optional<EndKind> FakePoolWorker::EndOf(const RunId& run, const Live& live, Time now) {
   if (live.gang && board_->Done(run)) return EndKind::kDone;
-  if (live.gang && board_->Broken(run)) return EndKind::kBroken;
-  if (Clock(now) >= lease_until_) return EndKind::kLapsed;
+  if (live.gang && board_->Broken(run)) return EndKind::kGangBroken;
+  if (Clock(now) >= lease_until_) return EndKind::kLeaseExpired;
   if (live.gang && !board_->WorksSince(run)) {
-    if (now - live.begun >= options_.gang_wait) return EndKind::kAlone;
+    if (now - live.begun >= options_.gang_wait) return EndKind::kPartialGang;
     return std::nullopt;
   }
   if (Worked(run, live, now) < live.takes) return std::nullopt;
@@ -132,24 +132,24 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   crashed_ = true;
   for (const auto& [run, state] : live_) {
-    if (state.gang) board_->Leave(run, EndKind::kBroken);
+    if (state.gang) board_->Leave(run, EndKind::kGangBroken);
   }
   live_.clear();
 }
 
 OrderAnswer FakePoolWorker::Start(const StartCall& call, Duration /*timeout*/) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  if (crashed_) return OrderAnswer::kUnwell;
+  if (crashed_) return OrderAnswer::kUnhealthy;
   const Time now = LeaseClock().Now();
   Settle(now);
   if (call.fence < fence_) return OrderAnswer::kFenced;
   fence_ = call.fence;
-  if (live_.count(call.run) > 0) return OrderAnswer::kTaken;
+  if (live_.count(call.run) > 0) return OrderAnswer::kAccepted;
   const auto over = newest_over_.find(call.run.task);
   const bool old = over != newest_over_.end() && call.run.number <= over->second;
-  if (!old && Clock(now) >= call.lease_until) return OrderAnswer::kLate;
+  if (!old && Clock(now) >= call.lease_until) return OrderAnswer::kExpired;
   lease_until_ = std::max(lease_until_, call.lease_until);
-  if (old) return OrderAnswer::kOld;
+  if (old) return OrderAnswer::kStaleRun;
   const int size = watch_ == nullptr ? 0 : watch_->GangSize(call.run.task);
   const bool gang = board_ != nullptr && size > 0;
   Live live;
@@ -165,30 +165,30 @@
   if (gang) board_->Join(call.run, size, now);
   if (watch_ != nullptr) watch_->Begun(call);
   begun_.push_back(call.run);
-  return OrderAnswer::kTaken;
+  return OrderAnswer::kAccepted;
 }
 
 OrderAnswer FakePoolWorker::Stop(const std::string& /*worker_id*/, const RunId& run, int64_t fence,
                                  Duration /*timeout*/) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  if (crashed_) return OrderAnswer::kUnwell;
+  if (crashed_) return OrderAnswer::kUnhealthy;
   if (fence < fence_) return OrderAnswer::kFenced;
   fence_ = fence;
   newest_over_[run.task] = std::max(newest_over_[run.task], run.number);
   if (live_.count(run) > 0) End(run, EndKind::kStopped, LeaseClock().Now());
-  return OrderAnswer::kTaken;
+  return OrderAnswer::kAccepted;
 }
 
 HoldAnswer FakePoolWorker::Hold(const HoldCall& call, Duration /*timeout*/) {
   std::unique_lock<std::mutex> lock(mutex_);
   HoldAnswer answer;
-  answer.answer = crashed_ ? OrderAnswer::kUnwell : OrderAnswer::kFenced;
+  answer.answer = crashed_ ? OrderAnswer::kUnhealthy : OrderAnswer::kFenced;
   if (crashed_ || call.fence < fence_) return answer;
   fence_ = call.fence;
   Settle(LeaseClock().Now());
   if (call.lease_until) lease_until_ = std::max(lease_until_, *call.lease_until);
-  ended_.erase(ended_.begin(), ended_.upper_bound(call.ends_kept));
-  if (watch_ != nullptr) watch_->EndsKept(call.ends_kept);
+  ended_.erase(ended_.begin(), ended_.upper_bound(call.acked_ends));
+  if (watch_ != nullptr) watch_->EndsKept(call.acked_ends);
   const Time until = LeaseClock().Now() + call.wait;
   while (ended_.empty() && LeaseClock().Now() < until) {
     changed_.wait_for(lock, kLookEvery);
@@ -196,11 +196,11 @@
   }
   // A life that has ended says nothing more; its empty list would look as if its runs were over.
   if (crashed_) {
-    answer.answer = OrderAnswer::kUnwell;
+    answer.answer = OrderAnswer::kUnhealthy;
     return answer;
   }
-  answer.answer = OrderAnswer::kTaken;
-  answer.lists.born_ms = options_.born_ms;
+  answer.answer = OrderAnswer::kAccepted;
+  answer.lists.start_time_ms = options_.start_time_ms;
   const Time now = LeaseClock().Now();
   answer.lists.clock = Clock(now);
   for (const auto& [run, live] : live_) {
--- a/modules/stand_ins/fake_pool_worker.h
+++ b/modules/stand_ins/fake_pool_worker.h
@@ -65,7 +65,7 @@
 };
 
 struct FakeWorkerOptions {
-  int64_t born_ms = 0;
+  int64_t start_time_ms = 0;
   // Its steady clock runs at so many seconds a second.
   double clock_rate = 1.0;
   // Progress is saved each time that so much work has been done, and at a stop.
@@ -76,7 +76,8 @@
 
 class FakePoolWorker : public PoolWorker {
  public:
-  explicit FakePoolWorker(int64_t born_ms) : FakePoolWorker({born_ms}, nullptr, nullptr) {}
+  explicit FakePoolWorker(int64_t start_time_ms)
+      : FakePoolWorker({start_time_ms}, nullptr, nullptr) {}
   // `board` and `watch` must outlive the worker; each may be null.
   FakePoolWorker(const FakeWorkerOptions& options, GangBoard* board, WorkerWatch* watch)
       : options_(options), board_(board), watch_(watch), born_(LeaseClock().Now()) {}
--- a/rpc/pool_convert.cc
+++ b/rpc/pool_convert.cc
@@ -22,7 +22,7 @@
 
 void Write(const pool::WorkerFacts& from, wire::PoolWorker::Builder to) {
   to.setId(from.id);
-  to.setBornMs(from.born_ms);
+  to.setBornMs(from.start_time_ms);
   to.setService(from.service);
   to.setMachine(from.machine);
   to.setRack(from.rack);
@@ -39,7 +39,7 @@
 pool::WorkerFacts Read(wire::PoolWorker::Reader from) {
   pool::WorkerFacts facts;
   facts.id = Text(from.getId());
-  facts.born_ms = from.getBornMs();
+  facts.start_time_ms = from.getBornMs();
   facts.service = Text(from.getService());
   facts.machine = Text(from.getMachine());
   facts.rack = Text(from.getRack());
@@ -136,9 +136,9 @@
   to.setVersion(from.version);
   to.setLeaseNanos(from.lease.count());
   to.setStartWindowNanos(from.start_window.count());
-  to.setLateNanos(from.late.count());
-  to.setEndsKept(from.ends_kept);
-  to.setWorkerBornMs(from.worker_born_ms);
+  to.setLateNanos(from.lag.count());
+  to.setEndsKept(from.acked_ends);
+  to.setWorkerBornMs(from.worker_start_time_ms);
   auto starts = to.initStarts(Count(from.starts));
   for (unsigned i = 0; i < from.starts.size(); ++i) {
     Write(from.starts[i].run, starts[i].initRun());
@@ -158,9 +158,9 @@
   orders.version = from.getVersion();
   orders.lease = Duration(from.getLeaseNanos());
   orders.start_window = Duration(from.getStartWindowNanos());
-  orders.late = Duration(from.getLateNanos());
-  orders.ends_kept = from.getEndsKept();
-  orders.worker_born_ms = from.getWorkerBornMs();
+  orders.lag = Duration(from.getLateNanos());
+  orders.acked_ends = from.getEndsKept();
+  orders.worker_start_time_ms = from.getWorkerBornMs();
   for (const auto start : from.getStarts()) {
     orders.starts.push_back({Read(start.getRun()), Text(start.getPayload()),
                              Text(start.getCheckpoint()), Text(start.getTicket())});
--- a/rpc/pool_session.cc
+++ b/rpc/pool_session.cc
@@ -115,7 +115,7 @@
   PlannerRelay* const relay_;
 };
 
-class RpcPlannerPort final : public pool::PlannerPort {
+class RpcPlannerPort final : public pool::PlannerClient {
  public:
   // `relayed_epoch`: the session leads to an entry that passes calls on to the planner of this
   // epoch; none: to the planner itself.
@@ -334,14 +334,14 @@
 
 }  // namespace
 
-std::shared_ptr<pool::PlannerPort> RpcPlannerConnector::Connect(const std::string& address,
-                                                                Duration limit) {
+std::shared_ptr<pool::PlannerClient> RpcPlannerConnector::Connect(const std::string& address,
+                                                                  Duration limit) {
   return std::make_shared<RpcPlannerPort>(OpenSession(address, limit), std::nullopt);
 }
 
-std::shared_ptr<pool::PlannerPort> RpcPlannerConnector::ConnectThrough(const std::string& relay,
-                                                                       int64_t epoch,
-                                                                       Duration limit) {
+std::shared_ptr<pool::PlannerClient> RpcPlannerConnector::ConnectThrough(const std::string& relay,
+                                                                         int64_t epoch,
+                                                                         Duration limit) {
   auto port = std::make_shared<RpcPlannerPort>(OpenSession(relay, limit), epoch);
   port->CheckRelay(limit);
   return port;
--- a/rpc/pool_session.h
+++ b/rpc/pool_session.h
@@ -59,9 +59,9 @@
 
 class RpcPlannerConnector : public pool::PlannerConnector {
  public:
-  std::shared_ptr<pool::PlannerPort> Connect(const std::string& address, Duration limit) override;
-  std::shared_ptr<pool::PlannerPort> ConnectThrough(const std::string& relay, int64_t epoch,
-                                                    Duration limit) override;
+  std::shared_ptr<pool::PlannerClient> Connect(const std::string& address, Duration limit) override;
+  std::shared_ptr<pool::PlannerClient> ConnectThrough(const std::string& relay, int64_t epoch,
+                                                      Duration limit) override;
 };
 
 }  // namespace turmericshift
--- a/servers/pool/advice_fetcher.cc
+++ b/servers/pool/advice_fetcher.cc
@@ -1,6 +1,7 @@
+#include "servers/pool/advice_fetcher.h"
+
 #include "core/error.h"
 #include "core/logging.h"
-#include "servers/pool/advice_fetcher.h"
 
 namespace turmericshift::pool {
 namespace {
@@ -31,7 +32,7 @@
                 {"good", answer.allowed.size()},
                 {"valid_s", Seconds(answer.valid_for)},
                 {"seconds", Seconds(LeaseClock().Now() - asked)}});
-      planner_->TakeAdvice(*question, answer, asked);
+      planner_->HandleAdvice(*question, answer, asked);
     } catch (const Error& error) {
       LogEvent(LogLevel::kWarning, "advice_missing",
                {{"job", question->step.job}, {"error", error.what()}});
--- a/servers/pool/advice_service.h
+++ b/servers/pool/advice_service.h
@@ -22,7 +22,7 @@
 // One life of a worker: another one's tickets are of no use to it.
 struct AdvisedWorker {
   std::string id;
-  int64_t born_ms = 0;
+  int64_t start_time_ms = 0;
 
   auto operator<=>(const AdvisedWorker&) const = default;
 };
--- a/servers/pool/agent_state.cc
+++ b/servers/pool/agent_state.cc
@@ -34,11 +34,12 @@
                        const std::string& incarnation)
     : node_(node), zone_(zone), incarnation_(incarnation) {}
 
-void AgentState::NewLife(int64_t born_ms) {
-  LogEvent(LogLevel::kInfo, "worker_new_life",
-           {{"worker", facts_.id}, {"born_ms", born_ms}, {"before_ms", facts_.born_ms}});
+void AgentState::NewLife(int64_t start_time_ms) {
+  LogEvent(
+      LogLevel::kInfo, "worker_new_life",
+      {{"worker", facts_.id}, {"born_ms", start_time_ms}, {"before_ms", facts_.start_time_ms}});
   facts_ = WorkerFacts();
-  facts_.born_ms = born_ms;
+  facts_.start_time_ms = start_time_ms;
   announced_sequence_ = -1;
   left_ = false;
   running_.clear();
@@ -54,11 +55,11 @@
   leases_sent_.clear();
 }
 
-void AgentState::TakeAnnouncement(const WorkerAnnouncement& announcement) {
-  const int64_t born = announcement.facts.born_ms;
+void AgentState::HandleAnnouncement(const WorkerAnnouncement& announcement) {
+  const int64_t born = announcement.facts.start_time_ms;
   // A late word of a life that is over.
-  if (born < facts_.born_ms) return;
-  if (born > facts_.born_ms) NewLife(born);
+  if (born < facts_.start_time_ms) return;
+  if (born > facts_.start_time_ms) NewLife(born);
   if (announcement.sequence <= announced_sequence_) return;
   announced_sequence_ = announcement.sequence;
   const bool reachable = facts_.reachable;
@@ -76,9 +77,9 @@
   running_.clear();
 }
 
-bool AgentState::TakeLists(const WorkerLists& lists, int64_t fence, Time sent, Time now) {
-  if (lists.born_ms < facts_.born_ms) return false;
-  if (lists.born_ms > facts_.born_ms) NewLife(lists.born_ms);
+bool AgentState::HandleLists(const WorkerLists& lists, int64_t fence, Time sent, Time now) {
+  if (lists.start_time_ms < facts_.start_time_ms) return false;
+  if (lists.start_time_ms > facts_.start_time_ms) NewLife(lists.start_time_ms);
   // The worker has heard of the highest fence before the later of two answers was made, whichever
   // of them is read first.
   const int64_t lists_epoch = std::max(lists_epoch_, fence);
@@ -148,7 +149,7 @@
   });
 }
 
-AgentOrders AgentState::TakeOrders(const AgentOrders& orders, Time sent, Time now) {
+AgentOrders AgentState::HandleOrders(const AgentOrders& orders, Time sent, Time now) {
   AgentOrders todo;
   ForgetOldOrders(now);
   if (orders.epoch < epoch_) return todo;
@@ -157,8 +158,8 @@
   if (orders.lease > Duration::zero()) {
     lease_until_ = std::max(lease_until_, sent + orders.lease);
   }
-  if (orders.worker_born_ms == facts_.born_ms && orders.ends_kept > ends_kept_) {
-    ends_kept_ = orders.ends_kept;
+  if (orders.worker_start_time_ms == facts_.start_time_ms && orders.acked_ends > ends_kept_) {
+    ends_kept_ = orders.acked_ends;
     ended_.erase(ended_.begin(), ended_.upper_bound(ends_kept_));
   }
   for (const StartOrder& start : orders.starts) {
@@ -196,7 +197,7 @@
   return report;
 }
 
-void AgentState::ReportTaken(const AgentReport& report) {
+void AgentState::ReportDelivered(const AgentReport& report) {
   for (const StartResult& result : report.results) {
     const auto found = results_.find(result.run);
     if (found != results_.end() && found->second.outcome == result.outcome) results_.erase(found);
@@ -218,7 +219,7 @@
   HoldCall call;
   call.worker_id = facts_.id;
   call.fence = epoch_;
-  call.ends_kept = ends_kept_;
+  call.acked_ends = ends_kept_;
   call.lease_until = LeaseUntil(now);
   call.wait = wait;
   return call;
@@ -229,15 +230,16 @@
   return now + Scaled(left, kClockSlack);
 }
 
-void AgentState::LeaseSent(std::optional<WorkerMillis> lease_until) {
+void AgentState::NoteLeaseSent(std::optional<WorkerMillis> lease_until) {
   if (lease_until) leases_sent_.insert(*lease_until);
 }
 
-void AgentState::NoteLease(std::optional<WorkerMillis> lease_until, OrderAnswer answer, Time now) {
+void AgentState::NoteLeaseAnswered(std::optional<WorkerMillis> lease_until, OrderAnswer answer,
+                                   Time now) {
   if (!lease_until) return;
   const auto sent = leases_sent_.find(*lease_until);
   if (sent != leases_sent_.end()) leases_sent_.erase(sent);
-  if (answer == OrderAnswer::kAway) return;
+  if (answer == OrderAnswer::kNotListening) return;
   passed_on_until_ = std::max(passed_on_until_, LeaseOver(*lease_until, now));
 }
 
@@ -277,12 +279,12 @@
   SetResult(run, StartOutcome::kRefused, why);
 }
 
-void AgentState::TakeStartAnswer(const RunId& run, OrderAnswer answer) {
+void AgentState::HandleStartAnswer(const RunId& run, OrderAnswer answer) {
   const auto found = starts_.find(run);
   // The worker has begun a new life meanwhile.
   if (found == starts_.end()) return;
   switch (answer) {
-    case OrderAnswer::kTaken:
+    case OrderAnswer::kAccepted:
       found->second.phase = StartPhase::kStarted;
       SetResult(run, StartOutcome::kStarted, "");
       return;
@@ -290,28 +292,28 @@
       found->second.phase = StartPhase::kUncertain;
       return;
     case OrderAnswer::kFenced:
-    case OrderAnswer::kOld:
-    case OrderAnswer::kLate:
+    case OrderAnswer::kStaleRun:
+    case OrderAnswer::kExpired:
     case OrderAnswer::kNoRoom:
-    case OrderAnswer::kBad:
+    case OrderAnswer::kInvalid:
       found->second.phase = StartPhase::kNotRunning;
       SetResult(run, StartOutcome::kRefused, OrderAnswerName(answer));
       return;
-    case OrderAnswer::kNoTicket:
+    case OrderAnswer::kTicketRejected:
       found->second.phase = StartPhase::kNotRunning;
       SetResult(run, StartOutcome::kTicketRefused, OrderAnswerName(answer));
       return;
-    case OrderAnswer::kUnwell:
-    case OrderAnswer::kOtherLife:
-    case OrderAnswer::kAway:
+    case OrderAnswer::kUnhealthy:
+    case OrderAnswer::kOtherIncarnation:
+    case OrderAnswer::kNotListening:
       found->second.phase = StartPhase::kNotRunning;
       SetResult(run, StartOutcome::kNotRun, OrderAnswerName(answer));
       return;
   }
 }
 
-void AgentState::TakeStopAnswer(const RunId& run, OrderAnswer answer, Time now) {
-  if (answer == OrderAnswer::kTaken || answer == OrderAnswer::kOld) {
+void AgentState::HandleStopAnswer(const RunId& run, OrderAnswer answer, Time now) {
+  if (answer == OrderAnswer::kAccepted || answer == OrderAnswer::kStaleRun) {
     // The planner repeats a stop until it hears what came of it. The first one counts: looks at the
     // worker take longer than its polls, so that none would come late enough after the newest.
     stopped_at_.try_emplace(run, now);
--- a/servers/pool/agent_state.h
+++ b/servers/pool/agent_state.h
@@ -18,17 +18,17 @@
   AgentState(const std::string& node, const std::string& zone, const std::string& incarnation);
 
   // The worker.
-  void TakeAnnouncement(const WorkerAnnouncement& announcement);
+  void HandleAnnouncement(const WorkerAnnouncement& announcement);
   void TakeLeft(const std::string& worker_id);
   // The answer to a hold under `fence` that was sent at `sent`; nothing older can be carried out
   // after it. Returns whether there is anything that the planner should hear at once.
-  bool TakeLists(const WorkerLists& lists, int64_t fence, Time sent, Time now);
+  bool HandleLists(const WorkerLists& lists, int64_t fence, Time sent, Time now);
   // The worker did not answer, or not as the one that is meant.
   void WorkerFailed(OrderAnswer answer);
 
   // The planner. Orders of a lower epoch than the highest one seen are dropped.
   // `sent`: when the report was sent that these orders answer. Returns what is new to do.
-  AgentOrders TakeOrders(const AgentOrders& orders, Time sent, Time now);
+  AgentOrders HandleOrders(const AgentOrders& orders, Time sent, Time now);
   // A planner of this epoch has been heard of; older ones are obeyed no more.
   void RaiseEpoch(int64_t epoch);
   int64_t epoch() const { return epoch_; }
@@ -36,26 +36,26 @@
   // Everything that the planner should know, as of now.
   AgentReport Report(Duration wait, Time now);
   // The planner has taken the report in.
-  void ReportTaken(const AgentReport& report);
+  void ReportDelivered(const AgentReport& report);
 
   // The next hold: what is acknowledged, and until when runs may go on.
   HoldCall NextHold(Duration wait, Time now) const;
   // A call that passes a lease until `lease_until` on is about to be sent: what runs may have it
   // from now on, long before an answer comes.
-  void LeaseSent(std::optional<WorkerMillis> lease_until);
+  void NoteLeaseSent(std::optional<WorkerMillis> lease_until);
   // A call that was to pass a lease until `lease_until` on has been answered so. A worker that
   // refused the connection has not got it.
-  void NoteLease(std::optional<WorkerMillis> lease_until, OrderAnswer answer, Time now);
+  void NoteLeaseAnswered(std::optional<WorkerMillis> lease_until, OrderAnswer answer, Time now);
 
   // Whether a start that was ordered may be carried out now, and with which lease; otherwise why
   // not. `until`: when the order goes out of date.
   std::optional<StartCall> PrepareStart(const StartOrder& order, Time until, std::string* why,
                                         Time now) const;
-  void TakeStartAnswer(const RunId& run, OrderAnswer answer);
+  void HandleStartAnswer(const RunId& run, OrderAnswer answer);
   // A start was not even sent.
   void StartNotSent(const RunId& run, const std::string& why);
   // The worker answered a stop: the run is over, or will show among the ends.
-  void TakeStopAnswer(const RunId& run, OrderAnswer answer, Time now);
+  void HandleStopAnswer(const RunId& run, OrderAnswer answer, Time now);
   // Runs whose start went unanswered and which have not turned up: to be stopped.
   std::vector<RunId> UncertainRuns() const;
 
@@ -76,7 +76,7 @@
     Time ordered{};
   };
 
-  void NewLife(int64_t born_ms);
+  void NewLife(int64_t start_time_ms);
   // Forgets orders that no answer on its way can repeat any more.
   void ForgetOldOrders(Time now);
   void SetResult(const RunId& run, StartOutcome outcome, const std::string& reason);
--- a/servers/pool/agent_state_test.cc
+++ b/servers/pool/agent_state_test.cc
@@ -15,8 +15,8 @@
     WorkerAnnouncement announcement;
     announcement.sequence = 1;
     announcement.facts.id = "i";
-    announcement.facts.born_ms = 1;
-    state.TakeAnnouncement(announcement);
+    announcement.facts.start_time_ms = 1;
+    state.HandleAnnouncement(announcement);
     state.SetMember(true);
     state.RaiseEpoch(1);
     Hold(now, {});
@@ -24,13 +24,13 @@
 
   WorkerLists Lists(const std::vector<RunningTask>& running) const {
     WorkerLists lists;
-    lists.born_ms = 1;
+    lists.start_time_ms = 1;
     lists.clock = 1000;
     lists.running = running;
     return lists;
   }
   void Hold(Time sent, const std::vector<RunningTask>& running) {
-    state.TakeLists(Lists(running), 1, sent, now);
+    state.HandleLists(Lists(running), 1, sent, now);
   }
 
   AgentOrders Orders() const {
@@ -38,7 +38,7 @@
     orders.epoch = 1;
     orders.lease = milliseconds(4000);
     orders.start_window = milliseconds(1500);
-    orders.worker_born_ms = 1;
+    orders.worker_start_time_ms = 1;
     return orders;
   }
 
@@ -51,7 +51,7 @@
 
   // The call of a start that has just been ordered.
   StartCall Prepared(const RunId& run) {
-    state.TakeOrders(Orders(), now, now);
+    state.HandleOrders(Orders(), now, now);
     std::string why;
     const std::optional<StartCall> call =
         state.PrepareStart({run, "", "", ""}, now + milliseconds(1500), &why, now);
@@ -74,10 +74,10 @@
   WorkerLists newer = agent.Lists({});
   newer.clock = 1010;
   newer.ended = {{1, kRun, EndKind::kStopped, ""}};
-  agent.state.TakeLists(newer, 1, agent.now, agent.now);
+  agent.state.HandleLists(newer, 1, agent.now, agent.now);
   WorkerLists older = agent.Lists({{kRun, "", 40}});
   older.clock = 1009;
-  agent.state.TakeLists(older, 1, agent.now, agent.now);
+  agent.state.HandleLists(older, 1, agent.now, agent.now);
   EXPECT_TRUE(agent.state.Report(Duration::zero(), agent.now).running.empty());
 }
 
@@ -87,7 +87,7 @@
   Agent agent;
   WorkerLists newer = agent.Lists({});
   newer.ended = {{1, kRun, EndKind::kStopped, ""}};
-  agent.state.TakeLists(newer, 1, agent.now, agent.now);
+  agent.state.HandleLists(newer, 1, agent.now, agent.now);
   agent.Hold(agent.now, {{kRun, "", 40}});
   EXPECT_TRUE(agent.state.Report(Duration::zero(), agent.now).running.empty());
 }
@@ -98,8 +98,8 @@
 TEST(AgentState, GoesOnBeingHeardWhenAnAnswerToThePlannerBeforeComesLate) {
   Agent agent;
   agent.state.RaiseEpoch(2);
-  agent.state.TakeLists(agent.Lists({}), 2, agent.now, agent.now);
-  agent.state.TakeLists(agent.Lists({}), 1, agent.now, agent.now);
+  agent.state.HandleLists(agent.Lists({}), 2, agent.now, agent.now);
+  agent.state.HandleLists(agent.Lists({}), 1, agent.now, agent.now);
   EXPECT_EQ(agent.state.Report(Duration::zero(), agent.now).epoch, 2);
 }
 
@@ -115,8 +115,8 @@
   bool settled = false;
   for (int poll = 0; poll < 12 && !settled; ++poll) {
     agent.now += milliseconds(500);
-    for (const RunId& run : agent.state.TakeOrders(orders, agent.now, agent.now).stops) {
-      agent.state.TakeStopAnswer(run, OrderAnswer::kTaken, agent.now);
+    for (const RunId& run : agent.state.HandleOrders(orders, agent.now, agent.now).stops) {
+      agent.state.HandleStopAnswer(run, OrderAnswer::kAccepted, agent.now);
     }
     if (poll % 2 == 1) {
       agent.Hold(hold_sent, {});
@@ -133,8 +133,8 @@
   Agent agent;
   AgentOrders orders = agent.Orders();
   orders.starts = {{kRun, "payload", "", ""}};
-  ASSERT_EQ(agent.state.TakeOrders(orders, agent.now, agent.now).starts.size(), 1U);
-  agent.state.TakeStartAnswer(kRun, OrderAnswer::kUnanswered);
+  ASSERT_EQ(agent.state.HandleOrders(orders, agent.now, agent.now).starts.size(), 1U);
+  agent.state.HandleStartAnswer(kRun, OrderAnswer::kUnanswered);
   agent.Hold(agent.now, {});
   EXPECT_TRUE(agent.state.Report(Duration::zero(), agent.now).results.empty());
   EXPECT_EQ(agent.state.UncertainRuns(), std::vector<RunId>{kRun});
@@ -146,8 +146,8 @@
   Agent agent;
   AgentOrders orders = agent.Orders();
   orders.starts = {{kRun, "payload", "", ""}};
-  EXPECT_EQ(agent.state.TakeOrders(orders, agent.now, agent.now).starts.size(), 1U);
-  EXPECT_TRUE(agent.state.TakeOrders(orders, agent.now, agent.now).starts.empty());
+  EXPECT_EQ(agent.state.HandleOrders(orders, agent.now, agent.now).starts.size(), 1U);
+  EXPECT_TRUE(agent.state.HandleOrders(orders, agent.now, agent.now).starts.empty());
 }
 
 // A planner that has been followed does not know it yet and goes on giving orders.
@@ -156,7 +156,7 @@
   agent.state.RaiseEpoch(2);
   AgentOrders orders = agent.Orders();
   orders.starts = {{kRun, "payload", "", ""}};
-  EXPECT_TRUE(agent.state.TakeOrders(orders, agent.now, agent.now).starts.empty());
+  EXPECT_TRUE(agent.state.HandleOrders(orders, agent.now, agent.now).starts.empty());
 }
 
 // The VM sleeps between an order and its being carried out, or the planner has been silent since.
@@ -166,20 +166,20 @@
   std::string why;
   EXPECT_FALSE(agent.state.PrepareStart(order, agent.now + milliseconds(100), &why, agent.now));
   EXPECT_EQ(why, "no lease");
-  agent.state.TakeOrders(agent.Orders(), agent.now, agent.now);
+  agent.state.HandleOrders(agent.Orders(), agent.now, agent.now);
   EXPECT_TRUE(agent.state.PrepareStart(order, agent.now + milliseconds(100), &why, agent.now));
   EXPECT_FALSE(agent.state.PrepareStart(order, agent.now, &why, agent.now));
 }
 
 TEST(AgentState, StartsNothingOnAWorkerThatLeaves) {
   Agent agent;
-  agent.state.TakeOrders(agent.Orders(), agent.now, agent.now);
+  agent.state.HandleOrders(agent.Orders(), agent.now, agent.now);
   WorkerAnnouncement leaving;
   leaving.sequence = 2;
   leaving.facts.id = "i";
-  leaving.facts.born_ms = 1;
+  leaving.facts.start_time_ms = 1;
   leaving.facts.draining = true;
-  agent.state.TakeAnnouncement(leaving);
+  agent.state.HandleAnnouncement(leaving);
   std::string why;
   EXPECT_FALSE(
       agent.state.PrepareStart({kRun, "", "", ""}, agent.now + milliseconds(100), &why, agent.now));
@@ -189,12 +189,12 @@
 // had, its tasks would never be taken for over while the agent keeps trying.
 TEST(AgentState, CountsNoLeaseThatAWorkerDidNotGet) {
   Agent agent;
-  agent.state.TakeOrders(agent.Orders(), agent.now, agent.now);
+  agent.state.HandleOrders(agent.Orders(), agent.now, agent.now);
   const HoldCall call = agent.state.NextHold(Duration::zero(), agent.now);
   ASSERT_TRUE(call.lease_until);
-  agent.state.NoteLease(call.lease_until, OrderAnswer::kAway, agent.now);
+  agent.state.NoteLeaseAnswered(call.lease_until, OrderAnswer::kNotListening, agent.now);
   EXPECT_EQ(agent.state.Report(Duration::zero(), agent.now).lease_left, Duration::zero());
-  agent.state.NoteLease(call.lease_until, OrderAnswer::kUnanswered, agent.now);
+  agent.state.NoteLeaseAnswered(call.lease_until, OrderAnswer::kUnanswered, agent.now);
   EXPECT_GT(agent.state.Report(Duration::zero(), agent.now).lease_left, milliseconds(3900));
 }
 
@@ -204,13 +204,13 @@
   WorkerAnnouncement reborn;
   reborn.sequence = 1;
   reborn.facts.id = "i2";
-  reborn.facts.born_ms = 2;
-  agent.state.TakeAnnouncement(reborn);
+  reborn.facts.start_time_ms = 2;
+  agent.state.HandleAnnouncement(reborn);
   WorkerAnnouncement late;
   late.sequence = 9;
   late.facts.id = "i";
-  late.facts.born_ms = 1;
-  agent.state.TakeAnnouncement(late);
+  late.facts.start_time_ms = 1;
+  agent.state.HandleAnnouncement(late);
   EXPECT_EQ(agent.state.worker().id, "i2");
 }
 
@@ -231,10 +231,10 @@
 TEST(AgentState, CountsTheLeaseOfAStartThatIsStillUnderWay) {
   Agent agent;
   const StartCall call = agent.Prepared(kRun);
-  agent.state.LeaseSent(call.lease_until);
+  agent.state.NoteLeaseSent(call.lease_until);
   agent.state.WorkerFailed(OrderAnswer::kUnanswered);
   EXPECT_GE(agent.state.Report(Duration::zero(), agent.now).lease_left, milliseconds(1600));
-  agent.state.NoteLease(call.lease_until, OrderAnswer::kAway, agent.now);
+  agent.state.NoteLeaseAnswered(call.lease_until, OrderAnswer::kNotListening, agent.now);
   EXPECT_EQ(agent.state.Report(Duration::zero(), agent.now).lease_left, Duration::zero());
 }
 
--- a/servers/pool/job_api.cc
+++ b/servers/pool/job_api.cc
@@ -1,9 +1,10 @@
+#include "servers/pool/job_api.h"
+
 #include <algorithm>
 #include <thread>
 
 #include "core/logging.h"
-#include "servers/pool/job_api.h"
-#include "servers/pool/local_port.h"
+#include "servers/pool/local_planner_client.h"
 
 namespace turmericshift::pool {
 namespace {
@@ -18,7 +19,7 @@
 }  // namespace
 
 JobApi::JobApi(const JobApiOptions& options, const WorkView* work, const OperatorView* operators,
-               PlannerGate* local, PlannerReach* reach, MetricsRegistry* metrics)
+               PlannerGate* local, PlannerRouter* reach, MetricsRegistry* metrics)
     : options_(options),
       work_(work),
       operators_(operators),
@@ -151,7 +152,7 @@
     LogEvent(LogLevel::kWarning, "job_refused", {{"job", id}, {"reason", error.what()}});
     return answer;
   }
-  answer = AskPlanner([&](PlannerPort* port, Duration limit) { port->Submit(spec, limit); },
+  answer = AskPlanner([&](PlannerClient* port, Duration limit) { port->Submit(spec, limit); },
                       [&] { return work_->StateOf(id).has_value(); }, JobAnswerKind::kAccepted,
                       now + call.timeout - options_.reserve);
   const Time end = LeaseClock().Now();
@@ -172,7 +173,7 @@
             {"data_rack", spec.steps.front().data_rack},
             {"seconds", Seconds(end - now)},
             {"not_run", answer.kind == JobAnswerKind::kNotAccepted},
-            {"planner_epoch", work_->duty().planner.epoch},
+            {"planner_epoch", work_->leadership().planner.epoch},
             {"reason", answer.message}});
   return answer;
 }
@@ -184,7 +185,7 @@
     answer.kind = JobAnswerKind::kCancelled;
     return answer;
   }
-  answer = AskPlanner([&](PlannerPort* port, Duration limit) { port->Cancel(id, limit); },
+  answer = AskPlanner([&](PlannerClient* port, Duration limit) { port->Cancel(id, limit); },
                       [&] {
                         const std::optional<JobState> seen = work_->StateOf(id);
                         return seen && IsOver(*seen);
@@ -197,18 +198,18 @@
   return answer;
 }
 
-std::shared_ptr<PlannerPort> JobApi::Port(Duration limit) {
+std::shared_ptr<PlannerClient> JobApi::Port(Duration limit) {
   // This entry may have lost the store and been told of a planner that it can't read of.
-  const PlannerRecord read = work_->duty().planner;
+  const PlannerRecord read = work_->leadership().planner;
   const PlannerRecord told = local_->Successor();
   const PlannerRecord& planner = told.epoch > read.epoch ? told : read;
   if (planner.address.empty()) throw Error(ErrorKind::kUnavailable, Outcome::kNotRun, "no planner");
-  if (planner.node == options_.node) return std::make_shared<LocalPort>(local_);
+  if (planner.node == options_.node) return std::make_shared<LocalPlannerClient>(local_);
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     if (port_ && port_epoch_ == planner.epoch) return port_;
   }
-  std::shared_ptr<PlannerPort> port =
+  std::shared_ptr<PlannerClient> port =
       reach_->Connect(planner, std::min(limit, kConnectLimit), LeaseClock().Now());
   const std::lock_guard<std::mutex> lock(mutex_);
   port_ = port;
@@ -216,12 +217,12 @@
   return port;
 }
 
-void JobApi::DropPort(const std::shared_ptr<PlannerPort>& port) {
+void JobApi::DropPort(const std::shared_ptr<PlannerClient>& port) {
   const std::lock_guard<std::mutex> lock(mutex_);
   if (port_ == port) port_.reset();
 }
 
-JobAnswer JobApi::AskPlanner(const std::function<void(PlannerPort*, Duration)>& ask,
+JobAnswer JobApi::AskPlanner(const std::function<void(PlannerClient*, Duration)>& ask,
                              const std::function<bool()>& known, JobAnswerKind done, Time until) {
   JobAnswer answer;
   bool maybe = false;
@@ -234,7 +235,7 @@
     const Time now = LeaseClock().Now();
     const Time end = std::min(until, answer_by_.load());
     if (end - now < kShortestTry) break;
-    std::shared_ptr<PlannerPort> port;
+    std::shared_ptr<PlannerClient> port;
     try {
       port = Port(end - now);
       ask(port.get(), std::min(end - now, options_.try_limit));
--- a/servers/pool/job_api.h
+++ b/servers/pool/job_api.h
@@ -16,7 +16,7 @@
 #include "core/metrics.h"
 #include "core/plugin_registry.h"
 #include "servers/pool/planner_gate.h"
-#include "servers/pool/planner_reach.h"
+#include "servers/pool/planner_router.h"
 #include "servers/pool/pool_view.h"
 #include "servers/pool/unresolved_calls.h"
 
@@ -82,7 +82,7 @@
  public:
   // `local`: the planner of this process, used when the duty is here.
   JobApi(const JobApiOptions& options, const WorkView* work, const OperatorView* operators,
-         PlannerGate* local, PlannerReach* reach, MetricsRegistry* metrics);
+         PlannerGate* local, PlannerRouter* reach, MetricsRegistry* metrics);
 
   JobAnswer Handle(const JobCall& call, Time now);
   // Every call has its answer by then, also one whose caller would wait longer: the process ends.
@@ -100,17 +100,17 @@
   JobAnswer Cancel(const std::string& id, Duration timeout, Time now);
   // Tries `ask` at whoever plans until it is answered or `until`; `known` tells whether the view
   // shows that it has happened.
-  JobAnswer AskPlanner(const std::function<void(PlannerPort*, Duration)>& ask,
+  JobAnswer AskPlanner(const std::function<void(PlannerClient*, Duration)>& ask,
                        const std::function<bool()>& known, JobAnswerKind done, Time until);
-  std::shared_ptr<PlannerPort> Port(Duration limit);
-  void DropPort(const std::shared_ptr<PlannerPort>& port);
+  std::shared_ptr<PlannerClient> Port(Duration limit);
+  void DropPort(const std::shared_ptr<PlannerClient>& port);
   JobAnswer NotAccepted(const std::string& message) const;
 
   const JobApiOptions options_;
   const WorkView* const work_;
   const OperatorView* const operators_;
   PlannerGate* const local_;
-  PlannerReach* const reach_;
+  PlannerRouter* const reach_;
   Counter& accepted_;
   Counter& refused_;
   Counter& unknown_;
@@ -118,7 +118,7 @@
   std::atomic<Time> answer_by_{Time::max()};
   UnresolvedCalls unresolved_;
   std::mutex mutex_;
-  std::shared_ptr<PlannerPort> port_;
+  std::shared_ptr<PlannerClient> port_;
   int64_t port_epoch_ = 0;
 };
 
--- a/servers/pool/job_api_test.cc
+++ b/servers/pool/job_api_test.cc
@@ -1,3 +1,5 @@
+#include "servers/pool/job_api.h"
+
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -5,7 +7,6 @@
 
 #include "core/error.h"
 #include "modules/stand_ins/memory_keyed_log.h"
-#include "servers/pool/job_api.h"
 
 namespace turmericshift::pool {
 namespace {
@@ -57,7 +58,7 @@
 };
 
 // Takes everything in.
-class WillingPort : public PlannerPort {
+class WillingPort : public PlannerClient {
  public:
   AgentOrders Exchange(const AgentReport& /*report*/, Duration /*timeout*/) override { return {}; }
   void Submit(const JobSpec& /*spec*/, Duration /*timeout*/) override {}
@@ -69,7 +70,7 @@
 // Reaches the planner at "there".
 class OneNeighbour : public PlannerConnector {
  public:
-  std::shared_ptr<PlannerPort> Connect(const std::string& address, Duration /*limit*/) override {
+  std::shared_ptr<PlannerClient> Connect(const std::string& address, Duration /*limit*/) override {
     if (address != "there") throw Error(ErrorKind::kUnavailable, Outcome::kNotRun, "nobody there");
     return std::make_shared<WillingPort>();
   }
@@ -77,8 +78,8 @@
 
 class NoConnector : public PlannerConnector {
  public:
-  std::shared_ptr<PlannerPort> Connect(const std::string& /*address*/,
-                                       Duration /*limit*/) override {
+  std::shared_ptr<PlannerClient> Connect(const std::string& /*address*/,
+                                         Duration /*limit*/) override {
     throw Error(ErrorKind::kUnavailable, Outcome::kNotRun, "nobody there");
   }
 };
@@ -93,7 +94,7 @@
     JobApiOptions options;
     options.node = "e1";
     front = std::make_unique<JobApi>(options, &work, &operators, gate.get(), &reach, &metrics);
-    while (operators.state()->config.version == 0 || work.duty().planner.epoch == 0) {
+    while (operators.state()->config.version == 0 || work.leadership().planner.epoch == 0) {
       std::this_thread::yield();
     }
   }
@@ -114,7 +115,7 @@
   std::unique_ptr<PlannerGate> gate;
   std::unique_ptr<PlannerConnector> connector;
   MembersView members{&log, std::chrono::milliseconds(200)};
-  PlannerReach reach{"e1", "a", &members, connector.get()};
+  PlannerRouter reach{"e1", "a", &members, connector.get()};
   MetricsRegistry metrics;
   std::unique_ptr<JobApi> front;
 };
--- a/servers/pool/local_port.cc
+++ b/servers/pool/local_planner_client.cc
@@ -1,9 +1,9 @@
-#include "servers/pool/local_port.h"
-
 #include <future>
 #include <memory>
 #include <utility>
 
+#include "servers/pool/local_planner_client.h"
+
 namespace turmericshift::pool {
 namespace {
 
@@ -21,23 +21,23 @@
 
 }  // namespace
 
-AgentOrders LocalPort::Exchange(const AgentReport& report, Duration timeout) {
+AgentOrders LocalPlannerClient::Exchange(const AgentReport& report, Duration timeout) {
   return WaitFor<AgentOrders>([&](auto done) { gate_->Exchange(report, done); }, timeout);
 }
 
-void LocalPort::Submit(const JobSpec& spec, Duration timeout) {
+void LocalPlannerClient::Submit(const JobSpec& spec, Duration timeout) {
   WaitFor<Done>([&](auto done) { gate_->Submit(spec, done); }, timeout);
 }
 
-void LocalPort::Cancel(const std::string& id, Duration timeout) {
+void LocalPlannerClient::Cancel(const std::string& id, Duration timeout) {
   WaitFor<Done>([&](auto done) { gate_->Cancel(id, done); }, timeout);
 }
 
-void LocalPort::Yield(const PlannerRecord& successor, Duration timeout) {
+void LocalPlannerClient::Yield(const PlannerRecord& successor, Duration timeout) {
   WaitFor<Done>([&](auto done) { gate_->Yield(successor, done); }, timeout);
 }
 
-void LocalPort::Offer(Duration timeout) {
+void LocalPlannerClient::Offer(Duration timeout) {
   WaitFor<Done>([&](auto done) { gate_->Offer(done); }, timeout);
 }
 
--- a/servers/pool/local_port.h
+++ b/servers/pool/local_planner_client.h
@@ -1,13 +1,13 @@
-// The planner of this process as a PlannerPort: waits for its answers.
+// The planner of this process as a PlannerClient: waits for its answers.
 #pragma once
 
 #include "servers/pool/planner_gate.h"
 
 namespace turmericshift::pool {
 
-class LocalPort : public PlannerPort {
+class LocalPlannerClient : public PlannerClient {
  public:
-  explicit LocalPort(PlannerGate* gate) : gate_(gate) {}
+  explicit LocalPlannerClient(PlannerGate* gate) : gate_(gate) {}
   AgentOrders Exchange(const AgentReport& report, Duration timeout) override;
   void Submit(const JobSpec& spec, Duration timeout) override;
   void Cancel(const std::string& id, Duration timeout) override;
--- a/servers/pool/order_sender.cc
+++ b/servers/pool/order_sender.cc
@@ -12,7 +12,7 @@
     const OrderAnswer answer = send();
     if (answer == OrderAnswer::kUnanswered) continue;
     // Only the first try's refusal proves that nothing was done.
-    return tries == 1 || answer == OrderAnswer::kTaken ? answer : OrderAnswer::kUnanswered;
+    return tries == 1 || answer == OrderAnswer::kAccepted ? answer : OrderAnswer::kUnanswered;
   }
   return OrderAnswer::kUnanswered;
 }
--- a/servers/pool/order_sender_test.cc
+++ b/servers/pool/order_sender_test.cc
@@ -36,9 +36,9 @@
 
 // A worker leaves a start unanswered. Its gang would be stopped for it though all the others run.
 TEST(OrderSender, AsksAgainWhereNoAnswerComes) {
-  EXPECT_EQ(StartWith({OrderAnswer::kTaken}), OrderAnswer::kTaken);
+  EXPECT_EQ(StartWith({OrderAnswer::kAccepted}), OrderAnswer::kAccepted);
   EXPECT_EQ(StartWith({OrderAnswer::kNoRoom}), OrderAnswer::kNoRoom);
-  EXPECT_EQ(StartWith({OrderAnswer::kUnanswered, OrderAnswer::kTaken}), OrderAnswer::kTaken);
+  EXPECT_EQ(StartWith({OrderAnswer::kUnanswered, OrderAnswer::kAccepted}), OrderAnswer::kAccepted);
   EXPECT_EQ(
       StartWith({OrderAnswer::kUnanswered, OrderAnswer::kUnanswered, OrderAnswer::kUnanswered}),
       OrderAnswer::kUnanswered);
@@ -48,15 +48,15 @@
 // have the task started elsewhere as well.
 TEST(OrderSender, TakesNoRefusalOfALaterTryForProof) {
   for (const OrderAnswer refusal :
-       {OrderAnswer::kNoRoom, OrderAnswer::kOld, OrderAnswer::kLate, OrderAnswer::kFenced,
-        OrderAnswer::kUnwell, OrderAnswer::kAway}) {
+       {OrderAnswer::kNoRoom, OrderAnswer::kStaleRun, OrderAnswer::kExpired, OrderAnswer::kFenced,
+        OrderAnswer::kUnhealthy, OrderAnswer::kNotListening}) {
     EXPECT_EQ(StartWith({OrderAnswer::kUnanswered, refusal}), OrderAnswer::kUnanswered);
   }
 }
 
 TEST(OrderSender, RepeatsStopsToo) {
-  ScriptedWorker worker({OrderAnswer::kUnanswered, OrderAnswer::kTaken});
-  EXPECT_EQ(OrderSender(&worker, std::chrono::seconds(1)).Stop("w", {}, 1), OrderAnswer::kTaken);
+  ScriptedWorker worker({OrderAnswer::kUnanswered, OrderAnswer::kAccepted});
+  EXPECT_EQ(OrderSender(&worker, std::chrono::seconds(1)).Stop("w", {}, 1), OrderAnswer::kAccepted);
 }
 
 }  // namespace
--- a/servers/pool/duty_keeper.cc
+++ b/servers/pool/planner_elector.cc
@@ -1,5 +1,3 @@
-#include "servers/pool/duty_keeper.h"
-
 #include <algorithm>
 #include <functional>
 #include <string>
@@ -7,6 +5,7 @@
 
 #include "core/logging.h"
 #include "core/secret.h"
+#include "servers/pool/planner_elector.h"
 
 namespace turmericshift::pool {
 namespace {
@@ -40,8 +39,8 @@
 
 }  // namespace
 
-bool ShouldClaim(const DutyView& duty, Time since, Duration patience, Duration view_limit, Time now,
-                 Duration head_start) {
+bool ShouldClaim(const LeadershipView& duty, Time since, Duration patience, Duration view_limit,
+                 Time now, Duration head_start) {
   if (!duty.freshness.within(view_limit, now)) return false;
   // Silence counts only while this entry could have heard something.
   const Duration silence = now - std::max(duty.newest_record_at.value_or(since), since);
@@ -50,9 +49,9 @@
   return silence > patience + head_start;
 }
 
-DutyKeeper::DutyKeeper(const DutyOptions& options, KeyedLog* log, WorkView* work,
-                       const MembersView* members, PlannerConnector* connector,
-                       PlannerService* service)
+PlannerElector::PlannerElector(const ElectorOptions& options, KeyedLog* log, WorkView* work,
+                               const MembersView* members, PlannerConnector* connector,
+                               PlannerService* service)
     : options_(options),
       patience_(options.silence + ShareOf(options.node, options.spread)),
       log_(log),
@@ -63,13 +62,13 @@
       in_touch_since_(LeaseClock().Now()),
       thread_("duty", [this] { Run(); }) {}
 
-DutyKeeper::~DutyKeeper() { stopping_.store(true); }
+PlannerElector::~PlannerElector() { stopping_.store(true); }
 
-void DutyKeeper::Run() {
+void PlannerElector::Run() {
   while (!stopping_.load()) {
     std::this_thread::sleep_for(kTick);
     const Time now = LeaseClock().Now();
-    const DutyView duty = work_->duty();
+    const LeadershipView duty = work_->duty();
     if (!duty.freshness.within(options_.view_limit, now)) in_touch_since_ = now;
     const bool would_claim = !leaving_.load() && duty.freshness.within(options_.view_limit, now);
     service_->NoteDuty(duty.planner, would_claim);
@@ -88,7 +87,7 @@
   }
 }
 
-bool DutyKeeper::Wants(const DutyView& duty, Time now) const {
+bool PlannerElector::Wants(const LeadershipView& duty, Time now) const {
   if (!members_->freshness().asked) return false;
   // A record of this entry's own that it does not act on: from a life before, or from a claim
   // whose answer was lost. Nobody plans, and nobody else need wait to find out.
@@ -98,7 +97,7 @@
   return ShouldClaim(duty, in_touch_since_, patience_, options_.view_limit, now, head_start);
 }
 
-std::vector<EntryRecord> DutyKeeper::BetterEntries() const {
+std::vector<EntryRecord> PlannerElector::BetterEntries() const {
   std::vector<EntryRecord> better;
   const int agents = static_cast<int>(members_->agent_count());
   if (options_.planning_capacity >= agents) return better;
@@ -113,7 +112,7 @@
   return better;
 }
 
-void DutyKeeper::EnsureListed(Time now) {
+void PlannerElector::EnsureListed(Time now) {
   if (now - listed_checked_ < kCheckListedEvery) return;
   if (!members_->freshness().within(kMembersLimit, now)) return;
   listed_checked_ = now;
@@ -133,7 +132,7 @@
   }
 }
 
-void DutyKeeper::OfferDuty(Time now) {
+void PlannerElector::OfferDuty(Time now) {
   if (leaving_.load() || predecessor_ || now - duty_since_ < kSettleFirst) return;
   if (now - offered_ < options_.offer_every) return;
   offered_ = now;
@@ -158,8 +157,8 @@
   }
 }
 
-void DutyKeeper::Claim(Time now) {
-  DutyView basis;
+void PlannerElector::Claim(Time now) {
+  LeadershipView basis;
   const JobTable book = work_->book(&basis);
   // Another entry's claim may have been read since the last look. A claim on top of it would hold,
   // being made from the newest view, and end the duty of a planner that has just begun: one notices
@@ -189,7 +188,7 @@
 // Read once more after the claim: an entry that has just started may know the jobs and not yet the
 // agents. It would wait for nobody, and start at once what still runs on workers that it has not
 // heard of; one notices by tasks that run twice after all processes were killed.
-std::set<std::string> DutyKeeper::ReadAgents() const {
+std::set<std::string> PlannerElector::ReadAgents() const {
   std::set<std::string> agents = members_->agents();
   const std::string prefix = kAgentPrefix;
   std::string after;
@@ -203,7 +202,7 @@
   }
 }
 
-void DutyKeeper::Announce() {
+void PlannerElector::Announce() {
   const int64_t epoch = service_->epoch();
   try {
     log_->Append(
@@ -218,7 +217,7 @@
   }
 }
 
-void DutyKeeper::TellPredecessor() {
+void PlannerElector::TellPredecessor() {
   const PlannerRecord before = *predecessor_;
   // A record without an address was written by the planner as it left, one of this node by a
   // process that has ended.
@@ -247,7 +246,7 @@
   }
 }
 
-void DutyKeeper::ForgetSilentAgents(Time now) {
+void PlannerElector::ForgetSilentAgents(Time now) {
   if (now - duty_since_ < options_.forget_agents_not_before) return;
   if (now - agents_checked_ < kCheckAgentsEvery) return;
   agents_checked_ = now;
--- a/servers/pool/duty_keeper.h
+++ b/servers/pool/planner_elector.h
@@ -17,7 +17,7 @@
 
 namespace turmericshift::pool {
 
-struct DutyOptions {
+struct ElectorOptions {
   std::string node;
   // Where agents and entries open sessions to this entry, "ip:port".
   std::string address;
@@ -45,23 +45,23 @@
 // Whether an entry whose view is `duty` claims at `now`. `since`: from when on the entry has been
 // in touch with the store without a gap. `patience`: silence to wait for, with this entry's share
 // of the spread. `head_start`: what others have before this one claims.
-bool ShouldClaim(const DutyView& duty, Time since, Duration patience, Duration view_limit, Time now,
-                 Duration head_start = Duration::zero());
+bool ShouldClaim(const LeadershipView& duty, Time since, Duration patience, Duration view_limit,
+                 Time now, Duration head_start = Duration::zero());
 
-class DutyKeeper {
+class PlannerElector {
  public:
-  DutyKeeper(const DutyOptions& options, KeyedLog* log, WorkView* work, const MembersView* members,
-             PlannerConnector* connector, PlannerService* service);
-  ~DutyKeeper();
-  DutyKeeper(const DutyKeeper&) = delete;
-  DutyKeeper& operator=(const DutyKeeper&) = delete;
+  PlannerElector(const ElectorOptions& options, KeyedLog* log, WorkView* work,
+                 const MembersView* members, PlannerConnector* connector, PlannerService* service);
+  ~PlannerElector();
+  PlannerElector(const PlannerElector&) = delete;
+  PlannerElector& operator=(const PlannerElector&) = delete;
 
   // Claims no more; call before the planner gives the duty up.
   void Leave() { leaving_.store(true); }
 
  private:
   void Run();
-  bool Wants(const DutyView& duty, Time now) const;
+  bool Wants(const LeadershipView& duty, Time now) const;
   // Entries whose VMs would carry the pool better than this one, the best first.
   std::vector<EntryRecord> BetterEntries() const;
   // Has this entry stand in the store's list of members.
@@ -80,7 +80,7 @@
   // it for a lease, 5 s, or until all agents have come over.
   void TellPredecessor();
 
-  const DutyOptions options_;
+  const ElectorOptions options_;
   const Duration patience_;
   KeyedLog* const log_;
   WorkView* const work_;
--- a/servers/pool/duty_keeper_test.cc
+++ b/servers/pool/planner_elector_test.cc
@@ -1,5 +1,3 @@
-#include "servers/pool/duty_keeper.h"
-
 #include <gtest/gtest.h>
 
 #include <map>
@@ -9,7 +7,8 @@
 #include "core/error.h"
 #include "modules/stand_ins/memory_keyed_log.h"
 #include "platform/operator_records.h"
-#include "servers/pool/local_port.h"
+#include "servers/pool/local_planner_client.h"
+#include "servers/pool/planner_elector.h"
 
 namespace turmericshift::pool {
 namespace {
@@ -20,8 +19,8 @@
 constexpr Duration kViewLimit = milliseconds(1500);
 const Time kNow = Time(std::chrono::hours(2));
 
-DutyView View(Duration view_age, Duration silence) {
-  DutyView view;
+LeadershipView View(Duration view_age, Duration silence) {
+  LeadershipView view;
   view.planner = {4, "other", "10.0.0.1:7000"};
   view.freshness.asked = kNow - view_age;
   view.newest_record_at = kNow - silence;
@@ -39,7 +38,7 @@
 }
 
 TEST(ShouldClaim, FollowsAPlannerThatGaveTheDutyUpAtOnce) {
-  DutyView view = View(milliseconds(100), milliseconds(10));
+  LeadershipView view = View(milliseconds(100), milliseconds(10));
   view.planner.address.clear();
   EXPECT_TRUE(ShouldClaim(view, Time{}, kPatience, kViewLimit, kNow));
 }
@@ -47,7 +46,7 @@
 // An entry that was cut off hears nothing of a planner that is well. Back in touch, its first look
 // must not end that planner's duty.
 TEST(ShouldClaim, CountsNoSilenceWhileItWasCutOff) {
-  const DutyView view = View(milliseconds(100), milliseconds(9000));
+  const LeadershipView view = View(milliseconds(100), milliseconds(9000));
   EXPECT_FALSE(ShouldClaim(view, kNow - milliseconds(200), kPatience, kViewLimit, kNow));
 }
 
@@ -59,8 +58,8 @@
 // Nobody answers.
 class DeafConnector : public PlannerConnector {
  public:
-  std::shared_ptr<PlannerPort> Connect(const std::string& /*address*/,
-                                       Duration /*limit*/) override {
+  std::shared_ptr<PlannerClient> Connect(const std::string& /*address*/,
+                                         Duration /*limit*/) override {
     throw Error(ErrorKind::kUnavailable, "nobody answers");
   }
 };
@@ -68,10 +67,10 @@
 // Reaches entries of this process by the addresses that they announce.
 class Neighbours : public PlannerConnector {
  public:
-  std::shared_ptr<PlannerPort> Connect(const std::string& address, Duration /*limit*/) override {
+  std::shared_ptr<PlannerClient> Connect(const std::string& address, Duration /*limit*/) override {
     const auto found = gates_.find(address);
     if (found == gates_.end()) throw Error(ErrorKind::kUnavailable, "nobody answers");
-    return std::make_shared<LocalPort>(found->second);
+    return std::make_shared<LocalPlannerClient>(found->second);
   }
   void Add(const std::string& address, PlannerGate* gate) { gates_[address] = gate; }
 
@@ -89,14 +88,14 @@
         operators(log, std::make_unique<platform::OperatorRecords>()),
         members(log, milliseconds(200)),
         service(PlannerServiceOptions(), log, &operators, &metrics) {
-    DutyOptions options;
+    ElectorOptions options;
     options.node = node;
     options.address = node + ":1";
     options.planning_capacity = capacity;
     if (neighbours != nullptr) neighbours->Add(options.address, &service);
     PlannerConnector* reached = &connector;
     if (neighbours != nullptr) reached = neighbours;
-    keeper = std::make_unique<DutyKeeper>(options, log, &work, &members, reached, &service);
+    keeper = std::make_unique<PlannerElector>(options, log, &work, &members, reached, &service);
   }
 
   MetricsRegistry metrics;
@@ -105,7 +104,7 @@
   OperatorView operators;
   MembersView members;
   PlannerService service;
-  std::unique_ptr<DutyKeeper> keeper;
+  std::unique_ptr<PlannerElector> keeper;
 };
 
 template <typename Condition>
@@ -121,7 +120,7 @@
 // Several entries start at once on an empty store and all claim the first epoch. The store takes a
 // second claim under the same number for a repetition of the first and answers it alike, so that
 // two planners would each take in jobs that the other never hears of.
-TEST(DutyKeeper, GivesTheDutyToOneOfThoseThatClaimAtOnce) {
+TEST(PlannerElector, GivesTheDutyToOneOfThoseThatClaimAtOnce) {
   for (int round = 0; round < 2; ++round) {
     MemoryKeyedLog log;
     std::vector<std::unique_ptr<Candidate>> entries;
@@ -152,7 +151,7 @@
 }
 
 TEST(ShouldClaim, LeavesABetterVmAHeadStart) {
-  DutyView view = View(milliseconds(100), milliseconds(1300));
+  LeadershipView view = View(milliseconds(100), milliseconds(1300));
   EXPECT_FALSE(ShouldClaim(view, Time{}, kPatience, kViewLimit, kNow, milliseconds(600)));
   view.planner.address.clear();
   view.newest_record_at = kNow - milliseconds(500);
@@ -163,7 +162,7 @@
 
 // A pool of hundreds of workers came to be planned by whichever entry claimed first, and one with
 // an eighth of a core never caught up again.
-TEST(DutyKeeper, HandsTheDutyOnToABetterVm) {
+TEST(PlannerElector, HandsTheDutyOnToABetterVm) {
   MemoryKeyedLog log;
   ListAgents(&log);
   Neighbours neighbours;
@@ -175,7 +174,7 @@
 }
 
 // The only better VM is listed and gone. The pool would be planned by nobody if it were waited for.
-TEST(DutyKeeper, PlansOnAWeakVmWhereTheBetterOneIsGone) {
+TEST(PlannerElector, PlansOnAWeakVmWhereTheBetterOneIsGone) {
   MemoryKeyedLog log;
   ListAgents(&log);
   const EntryRecord gone = {"gone", "a", "gone:1", kUnlimitedCapacity};
@@ -227,7 +226,7 @@
 // All processes are killed while workers run on, and an entry is back that has read the jobs and
 // not yet the agents. Had it taken the duty up, it would have known of nobody to wait for, and have
 // started at once what still ran on the workers.
-TEST(DutyKeeper, TakesNoDutyUpBeforeItKnowsTheAgents) {
+TEST(PlannerElector, TakesNoDutyUpBeforeItKnowsTheAgents) {
   MemoryKeyedLog log;
   log.Append(kMembersTopic, {{"agent/x", "a", kNoOffset}}, {}, std::chrono::seconds(1));
   HiddenMembers hidden(&log);
@@ -241,7 +240,7 @@
 
 // The store turns the planner's VM away and serves the others. One of them takes over, and the old
 // planner learns of it as soon as the store answers it again.
-TEST(DutyKeeper, PassesOnWhenThePlannerLosesTheStore) {
+TEST(PlannerElector, PassesOnWhenThePlannerLosesTheStore) {
   MemoryKeyedLog log;
   FaultyKeyedLog way(&log);
   Candidate first(&way, "a");
@@ -256,7 +255,7 @@
 // The store turns the planner's VM away for long, and everybody else still reaches that VM. Until
 // it learned that it had been followed, agents that had lost the store too stayed with it, and the
 // new planner could neither use their workers nor begin anything again that they might run.
-TEST(DutyKeeper, TellsAPlannerWithoutTheStoreThatItHasBeenFollowed) {
+TEST(PlannerElector, TellsAPlannerWithoutTheStoreThatItHasBeenFollowed) {
   MemoryKeyedLog log;
   FaultyKeyedLog way(&log);
   Neighbours neighbours;
@@ -267,14 +266,15 @@
   ASSERT_TRUE(Eventually([&] { return first.service.epoch() == 0; }));
   AgentReport report;
   report.node = "agent";
-  const AgentOrders orders = LocalPort(&first.service).Exchange(report, std::chrono::seconds(5));
+  const AgentOrders orders =
+      LocalPlannerClient(&first.service).Exchange(report, std::chrono::seconds(5));
   EXPECT_EQ(orders.planner_epoch, 2);
   EXPECT_EQ(orders.planner_address, "b:1");
 }
 
 // A planner that lost the store doesn't know what its successor has taken in, and must not tell the
 // caller of a cancellation that there is no such job.
-TEST(DutyKeeper, LetsNoPlannerWithoutTheStoreSayThatAJobIsUnknown) {
+TEST(PlannerElector, LetsNoPlannerWithoutTheStoreSayThatAJobIsUnknown) {
   MemoryKeyedLog log;
   FaultyKeyedLog way(&log);
   Candidate first(&way, "a");
@@ -284,9 +284,9 @@
   JobSpec job;
   job.id = "j";
   job.steps.emplace_back();
-  LocalPort(&second.service).Submit(job, std::chrono::seconds(30));
+  LocalPlannerClient(&second.service).Submit(job, std::chrono::seconds(30));
   try {
-    LocalPort(&first.service).Cancel("j", std::chrono::seconds(30));
+    LocalPlannerClient(&first.service).Cancel("j", std::chrono::seconds(30));
     FAIL() << "a planner without the store has cancelled a job";
   } catch (const Error& error) {
     EXPECT_EQ(error.kind(), ErrorKind::kLogUnavailable) << error.what();
@@ -295,7 +295,7 @@
 
 // The answers of the store are lost though it does what it is asked. The planner sends the same
 // append again under the same number, and nothing is written twice.
-TEST(DutyKeeper, KeepsTheDutyWhileAnswersAreLost) {
+TEST(PlannerElector, KeepsTheDutyWhileAnswersAreLost) {
   MemoryKeyedLog log;
   FaultyKeyedLog way(&log);
   Candidate planner(&way, "a");
--- a/servers/pool/planner_gate.h
+++ b/servers/pool/planner_gate.h
@@ -42,9 +42,9 @@
 };
 
 // The same for a caller that waits. Throws Error: those above; kConnectionLost, kDeadlineExceeded.
-class PlannerPort {
+class PlannerClient {
  public:
-  virtual ~PlannerPort() = default;
+  virtual ~PlannerClient() = default;
   // Calls pass through another entry.
   virtual bool relayed() const { return false; }
   virtual AgentOrders Exchange(const AgentReport& report, Duration timeout) = 0;
@@ -58,10 +58,10 @@
 class PlannerConnector {
  public:
   virtual ~PlannerConnector() = default;
-  virtual std::shared_ptr<PlannerPort> Connect(const std::string& address, Duration limit) = 0;
+  virtual std::shared_ptr<PlannerClient> Connect(const std::string& address, Duration limit) = 0;
   // By way of the entry at `relay`, to the planner of `epoch` or a newer one.
-  virtual std::shared_ptr<PlannerPort> ConnectThrough(const std::string& relay, int64_t /*epoch*/,
-                                                      Duration /*limit*/) {
+  virtual std::shared_ptr<PlannerClient> ConnectThrough(const std::string& relay, int64_t /*epoch*/,
+                                                        Duration /*limit*/) {
     throw Error(ErrorKind::kUnavailable, Outcome::kNotRun, "no way through " + relay);
   }
 };
--- a/servers/pool/planner_reach.cc
+++ b/servers/pool/planner_router.cc
@@ -1,10 +1,9 @@
-#include "servers/pool/planner_reach.h"
-
 #include <algorithm>
 #include <functional>
 
 #include "core/error.h"
 #include "core/logging.h"
+#include "servers/pool/planner_router.h"
 
 namespace turmericshift::pool {
 namespace {
@@ -16,9 +15,9 @@
 
 }  // namespace
 
-std::vector<EntryRecord> RelaysTo(const PlannerRecord& planner,
-                                  const std::map<std::string, EntryRecord>& entries,
-                                  const std::string& zone, const std::string& self) {
+std::vector<EntryRecord> RelayCandidates(const PlannerRecord& planner,
+                                         const std::map<std::string, EntryRecord>& entries,
+                                         const std::string& zone, const std::string& self) {
   const auto planner_entry = entries.find(planner.node);
   const std::string far_zone = planner_entry == entries.end() ? "" : planner_entry->second.zone;
   std::vector<EntryRecord> thirds;
@@ -37,17 +36,17 @@
   return thirds;
 }
 
-PlannerReach::PlannerReach(const std::string& node, const std::string& zone,
-                           const MembersView* members, PlannerConnector* connector)
+PlannerRouter::PlannerRouter(const std::string& node, const std::string& zone,
+                             const MembersView* members, PlannerConnector* connector)
     : node_(node), zone_(zone), members_(members), connector_(connector) {}
 
-bool PlannerReach::StraightWasSilent(const PlannerRecord& planner, Time now) const {
+bool PlannerRouter::StraightWasSilent(const PlannerRecord& planner, Time now) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   return planner.epoch == silent_epoch_ && now - silent_at_ < kStraightAgainAfter;
 }
 
-std::shared_ptr<PlannerPort> PlannerReach::Connect(const PlannerRecord& planner, Duration limit,
-                                                   Time now) {
+std::shared_ptr<PlannerClient> PlannerRouter::Connect(const PlannerRecord& planner, Duration limit,
+                                                      Time now) {
   if (StraightWasSilent(planner, now)) {
     try {
       return ConnectThroughOthers(planner, limit);
@@ -70,16 +69,16 @@
   return ConnectThroughOthers(planner, limit);
 }
 
-std::shared_ptr<PlannerPort> PlannerReach::ConnectThroughOthers(const PlannerRecord& planner,
-                                                                Duration limit) {
-  std::vector<EntryRecord> relays = RelaysTo(planner, members_->entries(), zone_, node_);
+std::shared_ptr<PlannerClient> PlannerRouter::ConnectThroughOthers(const PlannerRecord& planner,
+                                                                   Duration limit) {
+  std::vector<EntryRecord> relays = RelayCandidates(planner, members_->entries(), zone_, node_);
   if (relays.size() > kRelaysTried) relays.resize(kRelaysTried);
   std::string failure = "no entry is known that might reach the planner";
   for (const EntryRecord& relay : relays) {
     // Most silent planners are gone, and followed within two seconds.
     if (members_->planner().epoch > planner.epoch) break;
     try {
-      std::shared_ptr<PlannerPort> port =
+      std::shared_ptr<PlannerClient> port =
           connector_->ConnectThrough(relay.address, planner.epoch, std::min(limit, kRelayLimit));
       LogEvent(LogLevel::kInfo, "planner_reached_through",
                {{"epoch", planner.epoch}, {"relay", relay.node}});
--- a/servers/pool/planner_reach.h
+++ b/servers/pool/planner_router.h
@@ -18,22 +18,22 @@
 
 // Entries that may reach a planner which `self` in `zone` can't, the likeliest first: those of
 // third zones. Nodes start at different places of the list, so that they spread over the entries.
-std::vector<EntryRecord> RelaysTo(const PlannerRecord& planner,
-                                  const std::map<std::string, EntryRecord>& entries,
-                                  const std::string& zone, const std::string& self);
+std::vector<EntryRecord> RelayCandidates(const PlannerRecord& planner,
+                                         const std::map<std::string, EntryRecord>& entries,
+                                         const std::string& zone, const std::string& self);
 
-class PlannerReach {
+class PlannerRouter {
  public:
   // `members` must outlive it.
-  PlannerReach(const std::string& node, const std::string& zone, const MembersView* members,
-               PlannerConnector* connector);
+  PlannerRouter(const std::string& node, const std::string& zone, const MembersView* members,
+                PlannerConnector* connector);
 
   // Other entries are asked where the planner's address is silent, not where it refuses. Takes some
   // twice `limit` at most. Throws Error(kUnavailable) when neither way leads there.
-  std::shared_ptr<PlannerPort> Connect(const PlannerRecord& planner, Duration limit, Time now);
+  std::shared_ptr<PlannerClient> Connect(const PlannerRecord& planner, Duration limit, Time now);
 
  private:
-  std::shared_ptr<PlannerPort> ConnectThroughOthers(const PlannerRecord& planner, Duration limit);
+  std::shared_ptr<PlannerClient> ConnectThroughOthers(const PlannerRecord& planner, Duration limit);
   bool StraightWasSilent(const PlannerRecord& planner, Time now) const;
 
   const std::string node_;
--- a/servers/pool/planner_reach_test.cc
+++ b/servers/pool/planner_router_test.cc
@@ -1,5 +1,3 @@
-#include "servers/pool/planner_reach.h"
-
 #include <gtest/gtest.h>
 
 #include <set>
@@ -7,7 +5,8 @@
 
 #include "core/error.h"
 #include "modules/stand_ins/memory_keyed_log.h"
-#include "servers/pool/local_port.h"
+#include "servers/pool/local_planner_client.h"
+#include "servers/pool/planner_router.h"
 
 namespace turmericshift::pool {
 namespace {
@@ -27,43 +26,44 @@
 
 // Two zones can't reach each other: neither an entry beside the planner nor one beside the caller
 // is of any use.
-TEST(RelaysTo, TriesEntriesOfThirdZonesFirst) {
-  const std::vector<EntryRecord> relays = RelaysTo(kPlanner, Entries(), "c", "agent-c");
+TEST(RelayCandidates, TriesEntriesOfThirdZonesFirst) {
+  const std::vector<EntryRecord> relays = RelayCandidates(kPlanner, Entries(), "c", "agent-c");
   ASSERT_EQ(relays.size(), 6U);
   for (size_t first = 0; first < 3; ++first) EXPECT_EQ(relays[first].zone, "b");
 }
 
-TEST(RelaysTo, LeavesOutThePlannerAndTheCallerItself) {
-  for (const EntryRecord& relay : RelaysTo(kPlanner, Entries(), "b", "b2")) {
+TEST(RelayCandidates, LeavesOutThePlannerAndTheCallerItself) {
+  for (const EntryRecord& relay : RelayCandidates(kPlanner, Entries(), "b", "b2")) {
     EXPECT_NE(relay.node, "a1");
     EXPECT_NE(relay.node, "b2");
   }
 }
 
 // A whole zone's agents would otherwise all come to one entry.
-TEST(RelaysTo, SpreadsCallersOverTheEntries) {
+TEST(RelayCandidates, SpreadsCallersOverTheEntries) {
   std::set<std::string> first;
   for (int agent = 0; agent < 40; ++agent) {
-    first.insert(RelaysTo(kPlanner, Entries(), "c", "agent-" + std::to_string(agent))[0].node);
+    first.insert(
+        RelayCandidates(kPlanner, Entries(), "c", "agent-" + std::to_string(agent))[0].node);
   }
   EXPECT_EQ(first.size(), 3U);
 }
 
 class FarPlanner : public PlannerConnector {
  public:
-  std::shared_ptr<PlannerPort> Connect(const std::string& /*address*/,
-                                       Duration /*limit*/) override {
+  std::shared_ptr<PlannerClient> Connect(const std::string& /*address*/,
+                                         Duration /*limit*/) override {
     ++straight;
     if (refuses) throw Error(ErrorKind::kUnavailable, Outcome::kNotRun, "nobody listens");
     if (cut) throw Error(ErrorKind::kDeadlineExceeded, Outcome::kNotRun, "no path");
-    return std::make_shared<LocalPort>(nullptr);
+    return std::make_shared<LocalPlannerClient>(nullptr);
   }
-  std::shared_ptr<PlannerPort> ConnectThrough(const std::string& relay, int64_t epoch,
-                                              Duration /*limit*/) override {
+  std::shared_ptr<PlannerClient> ConnectThrough(const std::string& relay, int64_t epoch,
+                                                Duration /*limit*/) override {
     EXPECT_EQ(epoch, kPlanner.epoch);
     through.push_back(relay);
     if (relays_cut) throw Error(ErrorKind::kUnavailable, Outcome::kNotRun, "no path either");
-    return std::make_shared<LocalPort>(nullptr);
+    return std::make_shared<LocalPlannerClient>(nullptr);
   }
 
   bool cut = true;
@@ -73,9 +73,9 @@
   std::vector<std::string> through;
 };
 
-class PlannerReachTest : public testing::Test {
+class PlannerRouterTest : public testing::Test {
  protected:
-  PlannerReachTest() {
+  PlannerRouterTest() {
     for (const auto& [node, entry] : Entries()) {
       log_.Append(kMembersTopic, {{kEntryPrefix + node, EncodeEntry(entry), kNoOffset}}, {},
                   std::chrono::seconds(1));
@@ -86,10 +86,10 @@
   MemoryKeyedLog log_;
   MembersView members_{&log_, milliseconds(200)};
   FarPlanner connector_;
-  PlannerReach reach_{"agent", "c", &members_, &connector_};
+  PlannerRouter reach_{"agent", "c", &members_, &connector_};
 };
 
-TEST_F(PlannerReachTest, GoesStraightWhereItCan) {
+TEST_F(PlannerRouterTest, GoesStraightWhereItCan) {
   connector_.cut = false;
   reach_.Connect(kPlanner, milliseconds(700), kNow);
   EXPECT_TRUE(connector_.through.empty());
@@ -97,14 +97,14 @@
 
 // Two zones were cut off from each other and a third reached both: the leases of a whole zone ran
 // out although there was a path.
-TEST_F(PlannerReachTest, GoesThroughAThirdZoneWhereTheStraightWayIsCut) {
+TEST_F(PlannerRouterTest, GoesThroughAThirdZoneWhereTheStraightWayIsCut) {
   reach_.Connect(kPlanner, milliseconds(700), kNow);
   ASSERT_EQ(connector_.through.size(), 1U);
   EXPECT_EQ(connector_.through[0][0], 'b');
 }
 
 // Each new connection would wait for the dead path first, and callers with it.
-TEST_F(PlannerReachTest, TriesTheCutWayAgainOnlyAfterAWhile) {
+TEST_F(PlannerRouterTest, TriesTheCutWayAgainOnlyAfterAWhile) {
   reach_.Connect(kPlanner, milliseconds(700), kNow);
   reach_.Connect(kPlanner, milliseconds(700), kNow + std::chrono::seconds(1));
   EXPECT_EQ(connector_.straight, 1);
@@ -114,7 +114,7 @@
 
 // The planner's process was killed: 240 agents came to the other entries at once, and to the
 // planner through these once it was back.
-TEST_F(PlannerReachTest, AsksNobodyWhereThePlannersVmRefuses) {
+TEST_F(PlannerRouterTest, AsksNobodyWhereThePlannersVmRefuses) {
   connector_.refuses = true;
   EXPECT_THROW(reach_.Connect(kPlanner, milliseconds(700), kNow), Error);
   EXPECT_TRUE(connector_.through.empty());
@@ -125,7 +125,7 @@
 }
 
 // Looking for a way to a planner that is gone kept agents from its successor.
-TEST_F(PlannerReachTest, LooksNoFurtherOnceThePlannerHasBeenFollowed) {
+TEST_F(PlannerRouterTest, LooksNoFurtherOnceThePlannerHasBeenFollowed) {
   const PlannerRecord successor = {kPlanner.epoch + 1, "b1", "b1:1"};
   log_.Append(kMembersTopic, {{kPlannerKey, EncodePlanner(successor), kNoOffset}}, {},
               std::chrono::seconds(1));
@@ -134,7 +134,7 @@
   EXPECT_TRUE(connector_.through.empty());
 }
 
-TEST_F(PlannerReachTest, SaysSoWhenNobodyReachesThePlanner) {
+TEST_F(PlannerRouterTest, SaysSoWhenNobodyReachesThePlanner) {
   connector_.relays_cut = true;
   EXPECT_THROW(reach_.Connect(kPlanner, milliseconds(700), kNow), Error);
   EXPECT_EQ(connector_.through.size(), 2U);
--- a/servers/pool/planner_service.cc
+++ b/servers/pool/planner_service.cc
@@ -138,8 +138,8 @@
   return question;
 }
 
-void PlannerService::TakeAdvice(const AdviceRequest& question, const AdviceResponse& answer,
-                                Time asked) {
+void PlannerService::HandleAdvice(const AdviceRequest& question, const AdviceResponse& answer,
+                                  Time asked) {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     if (!planner_) return;
--- a/servers/pool/planner_service.h
+++ b/servers/pool/planner_service.h
@@ -57,7 +57,7 @@
   void Release(Duration limit);
   // Waits up to `limit` for something that the advice service should be asked.
   std::optional<AdviceRequest> NextQuestion(Duration limit);
-  void TakeAdvice(const AdviceRequest& question, const AdviceResponse& answer, Time asked);
+  void HandleAdvice(const AdviceRequest& question, const AdviceResponse& answer, Time asked);
   void AdviceFailed(Time now);
   // What this entry has read of the duty, and whether it would claim it if it were free.
   void NoteDuty(const PlannerRecord& planner, bool would_claim);
--- a/servers/pool/planner_service_test.cc
+++ b/servers/pool/planner_service_test.cc
@@ -10,7 +10,7 @@
 #include "core/error.h"
 #include "modules/stand_ins/memory_keyed_log.h"
 #include "platform/operator_records.h"
-#include "servers/pool/local_port.h"
+#include "servers/pool/local_planner_client.h"
 
 namespace turmericshift::pool {
 namespace {
@@ -88,7 +88,7 @@
   // Whether the planner takes nothing in any more.
   bool RefusesCalls() {
     try {
-      LocalPort(&service_).Cancel("nobody's", kAnswerLimit);
+      LocalPlannerClient(&service_).Cancel("nobody's", kAnswerLimit);
     } catch (const Error& error) {
       return error.kind() == ErrorKind::kConflict;
     }
--- a/servers/pool/pool_agent.cc
+++ b/servers/pool/pool_agent.cc
@@ -40,7 +40,7 @@
       start_failures_(metrics->counter("agent_start_failures")),
       start_seconds_(metrics->distribution("agent_start_seconds")),
       members_(log, options.members_wait),
-      reach_(options.node, options.zone, &members_, connector),
+      router_(options.node, options.zone, &members_, connector),
       state_(options.node, options.zone, options.incarnation),
       orders_("orders", kOrderThreads),
       worker_thread_("worker", [this] { TalkWithWorker(); }),
@@ -73,9 +73,9 @@
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     const WorkerFacts before = state_.worker();
-    state_.TakeAnnouncement(announcement);
+    state_.HandleAnnouncement(announcement);
     const WorkerFacts& after = state_.worker();
-    news = before.id != after.id || before.born_ms != after.born_ms ||
+    news = before.id != after.id || before.start_time_ms != after.start_time_ms ||
            before.draining != after.draining;
   }
   // A worker that has just come should not have to wait for the next poll to be of use.
@@ -98,15 +98,15 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     const Time now = LeaseClock().Now();
     call = state_.NextHold(wait, now);
-    state_.LeaseSent(call.lease_until);
+    state_.NoteLeaseSent(call.lease_until);
   }
   const Time sent = LeaseClock().Now();
   const HoldAnswer answer = worker_->Hold(call, wait + kHoldPatience);
   const std::lock_guard<std::mutex> lock(mutex_);
   const Time now = LeaseClock().Now();
-  state_.NoteLease(call.lease_until, answer.answer, now);
-  if (answer.answer == OrderAnswer::kTaken) {
-    return state_.TakeLists(answer.lists, call.fence, sent, now);
+  state_.NoteLeaseAnswered(call.lease_until, answer.answer, now);
+  if (answer.answer == OrderAnswer::kAccepted) {
+    return state_.HandleLists(answer.lists, call.fence, sent, now);
   }
   const bool was_reachable = state_.worker().reachable;
   state_.WorkerFailed(answer.answer);
@@ -144,7 +144,7 @@
   int64_t connected_epoch = 0;
   Time connected_at{};
   while (true) {
-    std::shared_ptr<PlannerPort> port;
+    std::shared_ptr<PlannerClient> port;
     {
       const std::lock_guard<std::mutex> lock(mutex_);
       if (stopping_) return;
@@ -158,7 +158,7 @@
       if (port && port->relayed() && now - connected_at > kStraightAgainAfter) port.reset();
       if (!port) {
         if (planner.address.empty()) throw Error(ErrorKind::kUnavailable, "no planner is known");
-        port = reach_.Connect(planner, kConnectLimit, now);
+        port = router_.Connect(planner, kConnectLimit, now);
         connected_at = now;
         connected_epoch = planner.epoch;
         const std::lock_guard<std::mutex> lock(mutex_);
@@ -193,7 +193,7 @@
 
 void PoolAgent::SendNews() {
   while (true) {
-    std::shared_ptr<PlannerPort> port;
+    std::shared_ptr<PlannerClient> port;
     {
       std::unique_lock<std::mutex> lock(mutex_);
       changed_.wait(lock, [this] { return stopping_ || news_; });
@@ -212,7 +212,7 @@
   }
 }
 
-void PoolAgent::ExchangeOnce(PlannerPort* port, Duration wait) {
+void PoolAgent::ExchangeOnce(PlannerClient* port, Duration wait) {
   AgentReport report;
   Time sent{};
   {
@@ -233,9 +233,9 @@
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     const int64_t before = state_.epoch();
-    state_.ReportTaken(report);
-    todo = state_.TakeOrders(orders, sent, LeaseClock().Now());
-    planner_late_ = orders.late;
+    state_.ReportDelivered(report);
+    todo = state_.HandleOrders(orders, sent, LeaseClock().Now());
+    planner_late_ = orders.lag;
     new_planner = state_.epoch() != before || report.epoch != state_.epoch();
   }
   if (new_planner) {
@@ -251,8 +251,8 @@
 // have more to read.
 Duration PoolAgent::AnswerLimit(Duration wait) const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  const Duration late = std::min(kLatePatience * planner_late_, kLongestLatePatience);
-  return wait > Duration::zero() ? wait + options_.poll_patience + late : kNewsTimeout + late;
+  const Duration lag = std::min(kLatePatience * planner_late_, kLongestLatePatience);
+  return wait > Duration::zero() ? wait + options_.poll_patience + lag : kNewsTimeout + lag;
 }
 
 void PoolAgent::CarryOut(const AgentOrders& todo, Time until) {
@@ -276,7 +276,7 @@
     if (!call) {
       state_.StartNotSent(order.run, why);
     } else {
-      state_.LeaseSent(call->lease_until);
+      state_.NoteLeaseSent(call->lease_until);
     }
   }
   const std::string task = TaskName(order.run.task);
@@ -289,8 +289,9 @@
   const Time begun = LeaseClock().Now();
   const OrderAnswer answer = sender_.Start(*call);
   start_seconds_.Record(Seconds(LeaseClock().Now() - begun));
-  (answer == OrderAnswer::kTaken ? starts_ : start_failures_).Add();
-  LogEvent(answer == OrderAnswer::kTaken ? LogLevel::kInfo : LogLevel::kWarning, "start_answered",
+  (answer == OrderAnswer::kAccepted ? starts_ : start_failures_).Add();
+  LogEvent(answer == OrderAnswer::kAccepted ? LogLevel::kInfo : LogLevel::kWarning,
+           "start_answered",
            {{"job", order.run.task.job},
             {"task", task},
             {"run", order.run.number},
@@ -298,8 +299,8 @@
             {"answer", OrderAnswerName(answer)}});
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    state_.NoteLease(call->lease_until, answer, LeaseClock().Now());
-    state_.TakeStartAnswer(order.run, answer);
+    state_.NoteLeaseAnswered(call->lease_until, answer, LeaseClock().Now());
+    state_.HandleStartAnswer(order.run, answer);
   }
   WakeNews();
 }
@@ -311,7 +312,7 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     if (!state_.worker().reachable) {
       // Asked for again by the planner as long as it matters.
-      state_.TakeStopAnswer(run, OrderAnswer::kAway, LeaseClock().Now());
+      state_.HandleStopAnswer(run, OrderAnswer::kNotListening, LeaseClock().Now());
       return;
     }
     worker_id = state_.worker().id;
@@ -325,7 +326,7 @@
             {"epoch", fence},
             {"answer", OrderAnswerName(answer)}});
   const std::lock_guard<std::mutex> lock(mutex_);
-  state_.TakeStopAnswer(run, answer, LeaseClock().Now());
+  state_.HandleStopAnswer(run, answer, LeaseClock().Now());
 }
 
 void PoolAgent::EnsureMember(Time now) {
--- a/servers/pool/pool_agent.h
+++ b/servers/pool/pool_agent.h
@@ -17,7 +17,7 @@
 #include "servers/pool/agent_state.h"
 #include "servers/pool/order_sender.h"
 #include "servers/pool/planner_gate.h"
-#include "servers/pool/planner_reach.h"
+#include "servers/pool/planner_router.h"
 #include "servers/pool/pool_view.h"
 
 namespace turmericshift::pool {
@@ -58,7 +58,7 @@
   bool HoldOnce(Duration wait);
   // One exchange over `port`.
   PlannerRecord NewestPlanner() const;
-  void ExchangeOnce(PlannerPort* port, Duration wait);
+  void ExchangeOnce(PlannerClient* port, Duration wait);
   // How long an answer is waited for that the planner may hold back for `wait`.
   Duration AnswerLimit(Duration wait) const;
   void CarryOut(const AgentOrders& todo, Time until);
@@ -78,12 +78,12 @@
   Counter& start_failures_;
   Distribution& start_seconds_;
   MembersView members_;
-  PlannerReach reach_;
+  PlannerRouter router_;
 
   mutable std::mutex mutex_;
   std::condition_variable changed_;
   AgentState state_;
-  std::shared_ptr<PlannerPort> port_;
+  std::shared_ptr<PlannerClient> port_;
   // The newest planner that one before it has told of; the store may be out of reach.
   PlannerRecord told_of_;
   // How far the planner said that it is behind.
--- a/servers/pool/pool_entry.cc
+++ b/servers/pool/pool_entry.cc
@@ -24,9 +24,9 @@
       work_(log),
       operators_(log, std::move(decoder)),
       members_(log, options.members_wait),
-      reach_(options.node, options.zone, &members_, connector),
+      router_(options.node, options.zone, &members_, connector),
       service_(options.planner, log, &operators_, metrics),
-      front_(options.front, &work_, &operators_, &service_, &reach_, metrics) {
+      front_(options.front, &work_, &operators_, &service_, &router_, metrics) {
   callers_ = std::make_unique<HttpServer>(options.callers, [this](const HttpRequest& request) {
     return door_->Handle(request, &front_, LeaseClock().Now());
   });
@@ -40,12 +40,12 @@
 }
 
 void PoolEntry::Join(const std::string& address) {
-  DutyOptions duty = options_.duty;
+  ElectorOptions duty = options_.duty;
   duty.node = options_.node;
   duty.address = address;
   duty.zone = options_.zone;
   duty.planning_capacity = PlanningCapacity(options_.vm);
-  duty_ = std::make_unique<DutyKeeper>(duty, log_, &work_, &members_, connector_, &service_);
+  duty_ = std::make_unique<PlannerElector>(duty, log_, &work_, &members_, connector_, &service_);
 }
 
 HttpResponse PoolEntry::AnswerReadiness(const HttpRequest& request) const {
--- a/servers/pool/pool_entry.h
+++ b/servers/pool/pool_entry.h
@@ -8,8 +8,8 @@
 
 #include "core/http_server.h"
 #include "core/metrics.h"
-#include "servers/pool/duty_keeper.h"
 #include "servers/pool/job_api.h"
+#include "servers/pool/planner_elector.h"
 #include "servers/pool/planner_service.h"
 #include "servers/pool/pool_view.h"
 
@@ -22,7 +22,7 @@
   HttpServerOptions callers;
   HttpServerOptions readiness;
   PlannerServiceOptions planner;
-  DutyOptions duty;
+  ElectorOptions duty;
   JobApiOptions front;
   // How long a look at the list of members waits for a change.
   Duration members_wait = std::chrono::seconds(4);
@@ -64,9 +64,9 @@
   WorkView work_;
   OperatorView operators_;
   MembersView members_;
-  PlannerReach reach_;
+  PlannerRouter router_;
   PlannerService service_;
-  std::unique_ptr<DutyKeeper> duty_;
+  std::unique_ptr<PlannerElector> duty_;
   JobApi front_;
   std::unique_ptr<HttpServer> callers_;
   std::unique_ptr<HttpServer> readiness_;
--- a/servers/pool/pool_load_test.cc
+++ b/servers/pool/pool_load_test.cc
@@ -326,8 +326,8 @@
   bed_.SetPlannerHeldUp(false);
   LoadFor(seconds(6));
   EXPECT_EQ(EndedSince(stalled, EndKind::kStopped), 0);
-  EXPECT_EQ(EndedSince(stalled, EndKind::kLapsed), 0);
-  EXPECT_EQ(EndedSince(stalled, EndKind::kAlone), 0);
+  EXPECT_EQ(EndedSince(stalled, EndKind::kLeaseExpired), 0);
+  EXPECT_EQ(EndedSince(stalled, EndKind::kPartialGang), 0);
   EXPECT_EQ(bed_.planner_late(), Duration::zero());
   EXPECT_EQ(bed_.violations(), std::vector<std::string>());
 }
@@ -343,7 +343,7 @@
   LoadFor(seconds(6));
   EXPECT_EQ(bed_.planner_late(), Duration::zero());
   EXPECT_EQ(EndedSince(calm, EndKind::kStopped), 0);
-  EXPECT_EQ(EndedSince(calm, EndKind::kLapsed), 0);
+  EXPECT_EQ(EndedSince(calm, EndKind::kLeaseExpired), 0);
   EXPECT_EQ(bed_.violations(), std::vector<std::string>());
 }
 
@@ -353,8 +353,8 @@
   const Time replaced = bed_.now();
   bed_.ReplacePlanner();
   LoadFor(seconds(8));
-  EXPECT_EQ(EndedSince(replaced, EndKind::kLapsed), 0);
-  EXPECT_EQ(EndedSince(replaced, EndKind::kAlone), 0);
+  EXPECT_EQ(EndedSince(replaced, EndKind::kLeaseExpired), 0);
+  EXPECT_EQ(EndedSince(replaced, EndKind::kPartialGang), 0);
   EXPECT_EQ(bed_.planner_late(), Duration::zero());
   EXPECT_EQ(bed_.violations(), std::vector<std::string>());
 }
--- a/servers/pool/pool_messages.cc
+++ b/servers/pool/pool_messages.cc
@@ -17,9 +17,9 @@
     {EndKind::kDone, "done"},
     {EndKind::kFailed, "failed"},
     {EndKind::kStopped, "stopped"},
-    {EndKind::kLapsed, "lapsed"},
-    {EndKind::kBroken, "broken"},
-    {EndKind::kAlone, "alone"},
+    {EndKind::kLeaseExpired, "lapsed"},
+    {EndKind::kGangBroken, "broken"},
+    {EndKind::kPartialGang, "alone"},
 }};
 
 constexpr int64_t kMostIndex = 1'000'000'000;
--- a/servers/pool/pool_messages.h
+++ b/servers/pool/pool_messages.h
@@ -28,7 +28,7 @@
 };
 
 // How a run ended at its worker.
-enum class EndKind { kDone, kFailed, kStopped, kLapsed, kBroken, kAlone };
+enum class EndKind { kDone, kFailed, kStopped, kLeaseExpired, kGangBroken, kPartialGang };
 const char* EndKindName(EndKind kind);
 // Throws Error(kInvalidInput) for a name that is none of ours.
 EndKind EndKindFromName(const std::string& name);
@@ -63,7 +63,7 @@
   // Empty while the agent knows no worker.
   std::string id;
   // Milliseconds since 1970 when this life of the worker began.
-  int64_t born_ms = 0;
+  int64_t start_time_ms = 0;
   std::string service;
   std::string machine;
   std::string rack;
@@ -117,13 +117,13 @@
   // Starts may be carried out for so long, counted from the same moment.
   Duration start_window{};
   // Ends up to this number are in the store and need not be reported again.
-  int64_t ends_kept = 0;
-  // The life of the worker that `ends_kept` counts in.
-  int64_t worker_born_ms = 0;
+  int64_t acked_ends = 0;
+  // The life of the worker that `acked_ends` counts in.
+  int64_t worker_start_time_ms = 0;
   std::vector<StartOrder> starts;
   std::vector<RunId> stops;
   // How far the planner is behind; its next answers take so much longer.
-  Duration late{};
+  Duration lag{};
   // Told by a process that plans no more and knows who does, all else being empty: the newest
   // epoch and where its planner is reached, "ip:port".
   int64_t planner_epoch = 0;
--- a/servers/pool/pool_planner.cc
+++ b/servers/pool/pool_planner.cc
@@ -92,9 +92,9 @@
   AgentOrders orders;
   orders.epoch = epoch_;
   orders.version = worker.version;
-  orders.ends_kept = worker.ends_kept;
-  orders.worker_born_ms = worker.facts.born_ms;
-  orders.late = planner_lag_.lag();
+  orders.acked_ends = worker.acked_ends;
+  orders.worker_start_time_ms = worker.facts.start_time_ms;
+  orders.lag = planner_lag_.lag();
   if (leadership_confirmed_ && now - *leadership_confirmed_ < options_.unconfirmed_limit) {
     orders.lease = options_.lease;
   }
@@ -118,7 +118,7 @@
   }
   for (auto& [node, worker] : workers_) {
     while (!worker.ends.empty() && worker.ends.front().ticket <= outbox_.durable()) {
-      worker.ends_kept = worker.ends.front().number;
+      worker.acked_ends = worker.ends.front().number;
       worker.ends.pop_front();
       NotePendingOrders(&worker);
     }
--- a/servers/pool/pool_planner_advice.cc
+++ b/servers/pool/pool_planner_advice.cc
@@ -6,7 +6,7 @@
 namespace turmericshift::pool {
 
 AdvisedWorker PoolPlanner::AdvisedWorkerOf(const WorkerState& worker) {
-  return {worker.facts.id, worker.facts.born_ms};
+  return {worker.facts.id, worker.facts.start_time_ms};
 }
 
 std::vector<WorkerRoom> PoolPlanner::StartRoomsFor(const Unit& unit, Time now) const {
--- a/servers/pool/pool_planner_reports.cc
+++ b/servers/pool/pool_planner_reports.cc
@@ -37,7 +37,7 @@
   worker.lease_until = std::max(worker.lease_until, now + options_.lease);
   worker.version_seen = report.orders_seen;
   ApplyWorkerFacts(report, &worker, now);
-  if (report.epoch != epoch_ || report.worker.born_ms != worker.facts.born_ms) return;
+  if (report.epoch != epoch_ || report.worker.start_time_ms != worker.facts.start_time_ms) return;
   unreported_agents_.erase(report.node);
   if (!worker.known) {
     worker.known = true;
@@ -86,16 +86,16 @@
 
 void PoolPlanner::ApplyWorkerFacts(const AgentReport& report, WorkerState* worker, Time now) {
   const WorkerFacts& facts = report.worker;
-  if (facts.born_ms != worker->facts.born_ms) {
+  if (facts.start_time_ms != worker->facts.start_time_ms) {
     // An agent that has just started does not know its worker yet; nothing has changed on the
     // worker.
-    if (facts.born_ms == 0) return;
-    if (worker->facts.born_ms != 0) DropLostRuns(worker, "the worker has restarted", now);
+    if (facts.start_time_ms == 0) return;
+    if (worker->facts.start_time_ms != 0) DropLostRuns(worker, "the worker has restarted", now);
     worker->facts = facts;
     needs_planning_ = true;
     worker->ends.clear();
     worker->ends_seen = 0;
-    worker->ends_kept = 0;
+    worker->acked_ends = 0;
     NotePendingOrders(worker);
     judge_.Forget(worker->node);
     LogEvent(LogLevel::kInfo, "worker_reported",
--- a/servers/pool/pool_planner_test.cc
+++ b/servers/pool/pool_planner_test.cc
@@ -35,7 +35,7 @@
   report.sequence = sequence;
   report.epoch = 1;
   report.worker.id = "i";
-  report.worker.born_ms = 1;
+  report.worker.start_time_ms = 1;
   report.worker.service = "plans";
   report.worker.rack = "r";
   report.worker.capacity = {64'000, 131'072, 8};
@@ -174,7 +174,7 @@
   EXPECT_EQ(bed.violations(), std::vector<std::string>());
   const std::vector<BedRun> runs = bed.RunsOf("j");
   ASSERT_EQ(runs.size(), 2U);
-  EXPECT_EQ(runs[0].how, EndKind::kLapsed);
+  EXPECT_EQ(runs[0].how, EndKind::kLeaseExpired);
   EXPECT_NE(runs[1].node, first);
   EXPECT_LT(runs[1].begun - runs[0].ended, seconds(2));
 }
@@ -232,7 +232,7 @@
   const RunId run = one.run();
   AgentReport second = Report("second", 1);
   second.worker.id.clear();
-  second.worker.born_ms = 0;
+  second.worker.start_time_ms = 0;
   second.worker.reachable = false;
   one.planner.ApplyReport(second, 0, one.now);
   EXPECT_TRUE(one.planner.Orders("n", one.now).starts.empty());
@@ -275,7 +275,7 @@
   OneWorker one;
   AgentReport reborn = Report("second", 1);
   reborn.worker.id = "i2";
-  reborn.worker.born_ms = 2;
+  reborn.worker.start_time_ms = 2;
   one.planner.ApplyReport(reborn, 0, one.now);
   one.planner.Plan(0, one.now);
   ASSERT_TRUE(one.has_run());
--- a/servers/pool/pool_view.cc
+++ b/servers/pool/pool_view.cc
@@ -65,18 +65,18 @@
   freshness_.asked = asked;
 }
 
-DutyView WorkView::duty() const {
+LeadershipView WorkView::leadership() const {
   const std::lock_guard<std::mutex> lock(mutex_);
   return DutyLocked();
 }
 
-DutyView WorkView::DutyLocked() const {
+LeadershipView WorkView::DutyLocked() const {
   return {book_.planner(), end_, freshness_, newest_record_at_};
 }
 
-JobTable WorkView::book(DutyView* duty) const {
+JobTable WorkView::book(LeadershipView* leadership) const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  *duty = DutyLocked();
+  *leadership = DutyLocked();
   return book_;
 }
 
--- a/servers/pool/pool_view.h
+++ b/servers/pool/pool_view.h
@@ -34,7 +34,7 @@
 };
 
 // What a claim on the planner's duty rests on.
-struct DutyView {
+struct LeadershipView {
   PlannerRecord planner;
   Offset end = 0;
   Freshness freshness;
@@ -47,9 +47,9 @@
   // Follows the work topic from now on.
   explicit WorkView(KeyedLog* log);
 
-  DutyView duty() const;
+  LeadershipView leadership() const;
   // A copy of everything, and what a claim made from it rests on, as of the same moment.
-  JobTable book(DutyView* duty) const;
+  JobTable book(LeadershipView* leadership) const;
   // Empty when the job is unknown to this view.
   std::optional<JobState> StateOf(const std::string& id) const;
   int Waiting(const std::string& queue) const;
@@ -61,7 +61,7 @@
   void TakeRecord(const KeyedRecord& record);
   void CaughtUp(Offset end, Time asked);
   void Restart();
-  DutyView DutyLocked() const;
+  LeadershipView DutyLocked() const;
 
   mutable std::mutex mutex_;
   JobTable book_;
--- a/servers/pool/pool_worker.cc
+++ b/servers/pool/pool_worker.cc
@@ -11,16 +11,16 @@
 };
 
 constexpr std::array<AnswerName, 11> kAnswerNames = {{
-    {OrderAnswer::kTaken, "taken"},
+    {OrderAnswer::kAccepted, "taken"},
     {OrderAnswer::kFenced, "fenced"},
-    {OrderAnswer::kOld, "old"},
-    {OrderAnswer::kLate, "late"},
+    {OrderAnswer::kStaleRun, "old"},
+    {OrderAnswer::kExpired, "late"},
     {OrderAnswer::kNoRoom, "no_room"},
-    {OrderAnswer::kNoTicket, "no_ticket"},
-    {OrderAnswer::kUnwell, "unwell"},
-    {OrderAnswer::kOtherLife, "other_life"},
-    {OrderAnswer::kBad, "bad"},
-    {OrderAnswer::kAway, "away"},
+    {OrderAnswer::kTicketRejected, "no_ticket"},
+    {OrderAnswer::kUnhealthy, "unwell"},
+    {OrderAnswer::kOtherIncarnation, "other_life"},
+    {OrderAnswer::kInvalid, "bad"},
+    {OrderAnswer::kNotListening, "away"},
     {OrderAnswer::kUnanswered, "unanswered"},
 }};
 
--- a/servers/pool/pool_worker.h
+++ b/servers/pool/pool_worker.h
@@ -17,24 +17,24 @@
 
 // How a worker answers an order.
 enum class OrderAnswer {
-  kTaken,
+  kAccepted,
   // An order of a newer planner has been seen.
   kFenced,
   // The run is not newer than one that ended or was stopped here.
-  kOld,
+  kStaleRun,
   // Its time was over when it was read.
-  kLate,
+  kExpired,
   kNoRoom,
   // The ticket of the advice service is missing, another's, or has run out.
-  kNoTicket,
+  kTicketRejected,
   // The worker is unwell and has done nothing.
-  kUnwell,
+  kUnhealthy,
   // Another life of the worker answers at the address.
-  kOtherLife,
+  kOtherIncarnation,
   // The order can't be read or is not valid.
-  kBad,
+  kInvalid,
   // Nothing listens at the address.
-  kAway,
+  kNotListening,
   // It may have been carried out, or be carried out later.
   kUnanswered,
 };
@@ -56,7 +56,7 @@
   std::string worker_id;
   int64_t fence = 0;
   // Ends up to this number may be forgotten.
-  int64_t ends_kept = 0;
+  int64_t acked_ends = 0;
   // Leases run until then; left out, they stay as they are.
   std::optional<WorkerMillis> lease_until;
   // The answer waits for an end for so long.
@@ -64,7 +64,7 @@
 };
 
 struct WorkerLists {
-  int64_t born_ms = 0;
+  int64_t start_time_ms = 0;
   WorkerMillis clock = 0;
   std::vector<RunningTask> running;
   std::vector<EndedTask> ended;
@@ -72,7 +72,7 @@
 
 struct HoldAnswer {
   OrderAnswer answer = OrderAnswer::kUnanswered;
-  // Set with kTaken.
+  // Set with kAccepted.
   WorkerLists lists;
 };
 
@@ -104,12 +104,12 @@
 };
 
 // Reads the calls in which workers announce themselves.
-class WorkerDoor {
+class WorkerEndpoint {
  public:
-  virtual ~WorkerDoor() = default;
+  virtual ~WorkerEndpoint() = default;
   virtual HttpResponse Handle(const HttpRequest& request, WorkerSink* sink) const = 0;
 };
 
-using WorkerDoorRegistry = PluginRegistry<WorkerDoor>;
+using WorkerEndpointRegistry = PluginRegistry<WorkerEndpoint>;
 
 }  // namespace turmericshift::pool
--- a/servers/pool/worker_state.h
+++ b/servers/pool/worker_state.h
@@ -75,7 +75,7 @@
   // Ends that were taken in, with the ticket of the record that keeps each.
   std::deque<RecordedEnd> ends;
   int64_t ends_seen = 0;
-  int64_t ends_kept = 0;
+  int64_t acked_ends = 0;
   // What the agent has been told, and what there is to tell.
   int64_t version = 0;
   int64_t version_seen = 0;
--- a/tests/stand_ins/pool_bed.cc
+++ b/tests/stand_ins/pool_bed.cc
@@ -36,7 +36,7 @@
 
   BedWorker spec;
   std::unique_ptr<AgentState> agent;
-  int64_t born_ms = 0;
+  int64_t start_time_ms = 0;
   int64_t sequence = 0;
   int64_t fence = 0;
   WorkerMillis lease_until = 0;
@@ -63,7 +63,7 @@
   for (const BedWorker& spec : workers) {
     auto worker = std::make_unique<Worker>();
     worker->spec = spec;
-    worker->born_ms = 1;
+    worker->start_time_ms = 1;
     workers_[spec.node] = std::move(worker);
     RestartAgent(spec.node);
     nodes.insert(spec.node);
@@ -126,9 +126,9 @@
 void PoolBed::RestartWorker(const std::string& node) {
   Worker& one = worker(node);
   const std::map<RunId, Worker::Live> lost = one.live;
-  for (const auto& row : lost) EndRun(&one, row.first, EndKind::kLapsed);
+  for (const auto& row : lost) EndRun(&one, row.first, EndKind::kLeaseExpired);
   ForgetUnreportedEnds(one);
-  one.born_ms += 1;
+  one.start_time_ms += 1;
   one.sequence = 0;
   one.fence = 0;
   one.lease_until = 0;
@@ -208,7 +208,7 @@
   const Queue* queue = operators_.config.FindQueue(spec->second.queue);
   if (queue == nullptr || !queue->terms.advised) return true;
   const std::string wanted =
-      call.run.task.job + "@" + worker.spec.node + "/" + std::to_string(worker.born_ms) + "@";
+      call.run.task.job + "@" + worker.spec.node + "/" + std::to_string(worker.start_time_ms) + "@";
   if (call.ticket.rfind(wanted, 0) != 0) return false;
   return wall_ms() < std::stoll(call.ticket.substr(wanted.size()));
 }
@@ -241,12 +241,12 @@
   for (auto& [run, live] : worker->live) {
     const StepSpec& step = *StepOf(run.task);
     if (wall_ms() >= worker->lease_until) {
-      over.push_back({run, EndKind::kLapsed});
+      over.push_back({run, EndKind::kLeaseExpired});
     } else if (live.stop_at && now_ >= *live.stop_at) {
       if (step.checkpoints) live.checkpoint = std::to_string(live.worked.count());
       over.push_back({run, EndKind::kStopped});
     } else if (step.gang && !GangComplete(run)) {
-      if (now_ - live.alone_since > bounds_.gang_wait) over.push_back({run, EndKind::kAlone});
+      if (now_ - live.alone_since > bounds_.gang_wait) over.push_back({run, EndKind::kPartialGang});
     } else {
       if (!worker->stuck) live.worked += kTick;
       live.alone_since = now_;
@@ -286,7 +286,7 @@
       }
       for (const RunId& other : others) {
         EndRun(row.second.get(), other,
-               over.how == EndKind::kDone ? EndKind::kDone : EndKind::kBroken);
+               over.how == EndKind::kDone ? EndKind::kDone : EndKind::kGangBroken);
       }
     }
   }
@@ -297,28 +297,28 @@
   worker->news = true;
   const std::optional<StartCall> call = worker->agent->PrepareStart(order, until, &why, now_);
   if (!call) return worker->agent->StartNotSent(order.run, why);
-  OrderAnswer answer = OrderAnswer::kTaken;
+  OrderAnswer answer = OrderAnswer::kAccepted;
   Room free = worker->spec.capacity;
   for (const auto& live : worker->live) free -= StepOf(live.first.task)->need;
   const auto newest = worker->newest_over.find(order.run.task);
   if (call->fence < worker->fence) {
     answer = OrderAnswer::kFenced;
   } else if (newest != worker->newest_over.end() && order.run.number <= newest->second) {
-    answer = OrderAnswer::kOld;
+    answer = OrderAnswer::kStaleRun;
   } else if (wall_ms() >= call->lease_until) {
-    answer = OrderAnswer::kLate;
+    answer = OrderAnswer::kExpired;
   } else if (!TicketHolds(*worker, *call)) {
-    answer = OrderAnswer::kNoTicket;
+    answer = OrderAnswer::kTicketRejected;
     ++tickets_refused_;
   } else if (!free.Holds(StepOf(order.run.task)->need)) {
     answer = OrderAnswer::kNoRoom;
   }
-  worker->agent->NoteLease(call->lease_until, answer, now_);
-  worker->agent->TakeStartAnswer(order.run, answer);
+  worker->agent->NoteLeaseAnswered(call->lease_until, answer, now_);
+  worker->agent->HandleStartAnswer(order.run, answer);
   if (answer == OrderAnswer::kFenced) return;
   worker->lease_until = std::max(worker->lease_until, call->lease_until);
   worker->fence = std::max(worker->fence, call->fence);
-  if (answer != OrderAnswer::kTaken) return;
+  if (answer != OrderAnswer::kAccepted) return;
   const std::string name = TaskName(order.run.task);
   if (done_.count(order.run.task) > 0) violations_.push_back(name + " started after it was done");
   for (const auto& row : workers_) {
@@ -339,25 +339,25 @@
 void PoolBed::Announce(Worker* worker) {
   WorkerAnnouncement announcement;
   announcement.sequence = ++worker->sequence;
-  announcement.facts.id = worker->spec.node + "/" + std::to_string(worker->born_ms);
-  announcement.facts.born_ms = worker->born_ms;
+  announcement.facts.id = worker->spec.node + "/" + std::to_string(worker->start_time_ms);
+  announcement.facts.start_time_ms = worker->start_time_ms;
   announcement.facts.service = "plans";
   announcement.facts.rack = worker->spec.rack;
   announcement.facts.labels = {"plain", worker->spec.rack};
   announcement.facts.capacity = worker->spec.capacity;
   announcement.facts.draining = worker->draining;
-  worker->agent->TakeAnnouncement(announcement);
+  worker->agent->HandleAnnouncement(announcement);
 }
 
-void PoolBed::TakeOrders(Worker* worker, const AgentOrders& orders, Time sent) {
+void PoolBed::HandleOrders(Worker* worker, const AgentOrders& orders, Time sent) {
   AgentState& agent = *worker->agent;
-  const AgentOrders todo = agent.TakeOrders(orders, sent, now_);
+  const AgentOrders todo = agent.HandleOrders(orders, sent, now_);
   for (const RunId& stop : todo.stops) {
     const auto live = worker->live.find(stop);
     if (live != worker->live.end()) live->second.stop_at = now_ + bounds_.stop / kStopShare;
     int64_t& newest = worker->newest_over[stop.task];
     newest = std::max(newest, stop.number);
-    agent.TakeStopAnswer(stop, OrderAnswer::kTaken, now_);
+    agent.HandleStopAnswer(stop, OrderAnswer::kAccepted, now_);
   }
   for (const StartOrder& start : todo.starts) {
     StartRun(worker, start, sent + orders.start_window);
@@ -407,9 +407,9 @@
     if (to.poll_sent != sent.sent) return;
     to.poll_sent.reset();
   }
-  to.planner_late = orders.late;
-  to.agent->ReportTaken(sent.report);
-  TakeOrders(&to, orders, sent.sent);
+  to.planner_late = orders.lag;
+  to.agent->ReportDelivered(sent.report);
+  HandleOrders(&to, orders, sent.sent);
 }
 
 void PoolBed::TickAgent(Worker* worker) {
@@ -420,9 +420,9 @@
   } else if (cut_.count(worker->spec.node) == 0) {
     const AgentReport report = agent.Report(Duration::zero(), now_);
     planner_->ApplyReport(report, wall_ms(), now_);
-    agent.ReportTaken(report);
+    agent.ReportDelivered(report);
     const AgentOrders orders = planner_->Orders(worker->spec.node, now_);
-    TakeOrders(worker, orders, now_);
+    HandleOrders(worker, orders, now_);
   }
   TickHold(worker);
 }
@@ -435,18 +435,18 @@
   worker->fence = hold.fence;
   if (hold.lease_until) {
     worker->lease_until = std::max(worker->lease_until, *hold.lease_until);
-    agent.NoteLease(hold.lease_until, OrderAnswer::kTaken, now_);
+    agent.NoteLeaseAnswered(hold.lease_until, OrderAnswer::kAccepted, now_);
   }
-  worker->ended.erase(worker->ended.begin(), worker->ended.upper_bound(hold.ends_kept));
+  worker->ended.erase(worker->ended.begin(), worker->ended.upper_bound(hold.acked_ends));
   WorkerLists lists;
-  lists.born_ms = worker->born_ms;
+  lists.start_time_ms = worker->start_time_ms;
   lists.clock = wall_ms();
   for (const auto& [run, live] : worker->live) {
     const int percent = static_cast<int>(100 * live.worked / TimeOf(run.task));
     lists.running.push_back({run, live.checkpoint, percent});
   }
   for (const auto& [number, end] : worker->ended) lists.ended.push_back(end);
-  worker->news = agent.TakeLists(lists, hold.fence, now_, now_) || worker->news;
+  worker->news = agent.HandleLists(lists, hold.fence, now_, now_) || worker->news;
 }
 
 StepSpec BedStep(int tasks, int accelerators, Duration estimate) {
--- a/tests/stand_ins/pool_bed.h
+++ b/tests/stand_ins/pool_bed.h
@@ -104,7 +104,7 @@
   void TickWorker(Worker* worker);
   void TickAgent(Worker* worker);
   void Announce(Worker* worker);
-  void TakeOrders(Worker* worker, const AgentOrders& orders, Time sent);
+  void HandleOrders(Worker* worker, const AgentOrders& orders, Time sent);
   // Agents and planner that talk by SetReportsPerTick.
   void SendReport(Worker* worker);
   void ReadReports();
