--- a/main/benches/pool_rounds_bench.cc
+++ b/main/benches/pool_rounds_bench.cc
@@ -133,14 +133,14 @@
 
   void Step() {
     now_ += kStep;
-    planner_->Confirm(now_);
+    planner_->ConfirmLeadership(now_);
     planner_->outbox().Take();
     planner_->outbox().MarkDurable();
     planner_->SetOperatorState(operators_, now_);
     std::poisson_distribution<int> arrivals(arrivals_ * Seconds(kStep));
     for (int left = arrivals(random_); left > 0; --left) Submit();
     const Time begun = DefaultClock().Now();
-    planner_->NoteKept();
+    planner_->NoteDurable();
     planner_->Plan(wall_ms(), now_);
     rounds_.push_back(Seconds(DefaultClock().Now() - begun));
     for (BenchWorker& worker : workers_) StepWorker(&worker);
@@ -155,7 +155,7 @@
       End(worker, run->first, pool::EndKind::kDone);
       run = worker->running.erase(run);
     }
-    const bool told = planner_->HasNews(worker->node);
+    const bool told = planner_->HasPendingOrders(worker->node);
     if (now_ < worker->next_poll && !worker->news && !told) return;
     worker->news = false;
     worker->next_poll = now_ + kPollEvery;
@@ -194,7 +194,7 @@
   void Exchange(BenchWorker* worker) {
     const AgentReport report = ReportOf(worker);
     const Time begun = DefaultClock().Now();
-    planner_->TakeReport(report, wall_ms(), now_);
+    planner_->ApplyReport(report, wall_ms(), now_);
     const pool::AgentOrders orders = planner_->Orders(worker->node, now_);
     report_seconds_ += Seconds(DefaultClock().Now() - begun);
     ++reports_;
--- a/main/commands/pool_commands.cc
+++ b/main/commands/pool_commands.cc
@@ -51,7 +51,7 @@
   entry_options.callers = HttpAt(settings.callers);
   entry_options.readiness = HttpAt(settings.readiness);
   entry_options.planner.planner = pool::PlannerOptionsFor(settings.bounds);
-  entry_options.planner.planner.off = settings.mechanisms_off;
+  entry_options.planner.planner.disabled_mechanisms = settings.mechanisms_off;
   pool::ApplyBounds(settings.bounds, &entry_options.front);
   for (const std::string& unmet : pool::UnattainableBounds(settings.bounds)) {
     LogEvent(LogLevel::kWarning, "bound_unmet", {{"reason", unmet}});
--- a/main/settings/process_settings.cc
+++ b/main/settings/process_settings.cc
@@ -72,7 +72,7 @@
           PlatformTimeKey("status_kept_s", 0, kMostSeconds, std::chrono::seconds(1),
                           &bounds->status_kept),
           {"stray_factor", false, [bounds](const std::string& factor) {
-             bounds->stray_factor = ParseNumber(factor, 1, kMostStrayFactor);
+             bounds->off_rack_slowdown = ParseNumber(factor, 1, kMostStrayFactor);
            }}};
 }
 
@@ -88,7 +88,7 @@
 }
 
 // Names of mechanisms, apart by spaces.
-IniKey MechanismsKey(const std::string& name, pool::MechanismsOff* off) {
+IniKey MechanismsKey(const std::string& name, pool::DisabledMechanisms* off) {
   return {name, false, [name, off](const std::string& text) {
             std::vector<std::string> names;
             WordsKey(name, kOptional, &names).assign(text);
--- a/main/settings/process_settings.h
+++ b/main/settings/process_settings.h
@@ -96,7 +96,7 @@
   pool::VmResources vm;
   pool::PoolBounds bounds;
   // Left out of the policy.
-  pool::MechanismsOff mechanisms_off;
+  pool::DisabledMechanisms mechanisms_off;
   // From the signal to stop until the process is killed.
   Duration stop_limit = std::chrono::seconds(6);
 };
--- a/main/settings/process_settings_test.cc
+++ b/main/settings/process_settings_test.cc
@@ -71,7 +71,7 @@
   EXPECT_EQ(settings.bounds.stop, std::chrono::milliseconds(900));
   EXPECT_EQ(settings.bounds.reclaim, std::chrono::milliseconds(3500));
   EXPECT_EQ(settings.bounds.restore, std::chrono::milliseconds(250));
-  EXPECT_EQ(settings.bounds.stray_factor, 2.5);
+  EXPECT_EQ(settings.bounds.off_rack_slowdown, 2.5);
   EXPECT_EQ(settings.callers.port, 80);
   EXPECT_EQ(settings.sessions.address, "10.0.0.1");
   EXPECT_EQ(settings.stop_limit, std::chrono::milliseconds(6500));
@@ -102,7 +102,8 @@
 TEST(PoolSettings, TellWhatThePolicyLeavesOut) {
   const PoolEntrySettings settings = ParsePoolEntrySettings(
       "entry.ini", std::string(kPoolEntry) + "[policy]\noff = last_call hold_room\n");
-  const pool::MechanismsOff off = {pool::Mechanism::kLastCall, pool::Mechanism::kHoldRoom};
+  const pool::DisabledMechanisms off = {pool::Mechanism::kExpiringJobsFirst,
+                                        pool::Mechanism::kBackfilling};
   EXPECT_EQ(settings.mechanisms_off, off);
 }
 
--- a/servers/pool/job_estimator.cc
+++ b/servers/pool/job_estimator.cc
@@ -46,7 +46,7 @@
 
 Duration JobEstimator::ExpectedTime(const JobSpec& spec, const StepSpec& step) const {
   if (!Enabled(Mechanism::kLearnedTimes)) return step.estimate;
-  return run_times_.Expect(spec.queue, step.estimate);
+  return run_times_.ExpectedTime(spec.queue, step.estimate);
 }
 
 JobTiming JobEstimator::TimingOf(const JobSpec& spec, const QueueTerms& terms,
@@ -58,7 +58,7 @@
   timing.critical_path = FairShareCriticalPath(spec, terms.service);
   timing.stretch = terms.stretch;
   timing.target_latency = terms.target_latency;
-  if (Enabled(Mechanism::kLikelihood)) timing.spread = run_times_.SpreadOf(spec.queue);
+  if (Enabled(Mechanism::kOnTimeProbability)) timing.spread = run_times_.SpreadOf(spec.queue);
   return timing;
 }
 
@@ -83,7 +83,7 @@
   const auto found = capacity_.find(service);
   const Room total = found == capacity_.end() ? Room() : found->second;
   return CriticalPath(spec, [&](const StepSpec& step) {
-    return ExpectedTime(spec, step) * (Enabled(Mechanism::kWideInGoes) ? WavesOf(step, total) : 1);
+    return ExpectedTime(spec, step) * (Enabled(Mechanism::kWideInWaves) ? WavesOf(step, total) : 1);
   });
 }
 
--- a/servers/pool/job_estimator.h
+++ b/servers/pool/job_estimator.h
@@ -16,7 +16,7 @@
 
 class JobEstimator {
  public:
-  explicit JobEstimator(const MechanismsOff& disabled_mechanisms)
+  explicit JobEstimator(const DisabledMechanisms& disabled_mechanisms)
       : disabled_mechanisms_(disabled_mechanisms) {}
 
   // Records the run time of a task that ran undisturbed: the caller's `estimate` and the `actual`
@@ -50,7 +50,7 @@
   // the pool at a time.
   Duration FairShareCriticalPath(const JobSpec& spec, const std::string& service) const;
 
-  const MechanismsOff disabled_mechanisms_;
+  const DisabledMechanisms disabled_mechanisms_;
   RunTimes run_times_;
   std::map<std::string, Room> capacity_;
   // Work of recent jobs by queue, in core-seconds.
--- a/servers/pool/job_estimator_test.cc
+++ b/servers/pool/job_estimator_test.cc
@@ -28,7 +28,7 @@
   return terms;
 }
 
-JobEstimator EstimatorForPool(const MechanismsOff& disabled_mechanisms) {
+JobEstimator EstimatorForPool(const DisabledMechanisms& disabled_mechanisms) {
   JobEstimator appraiser(disabled_mechanisms);
   appraiser.SetCapacity({{"plans", {640'000, 1'310'720, 80}}});
   return appraiser;
@@ -47,7 +47,8 @@
   JobSpec gang = OneStep(16, 8);
   gang.steps[0].gang = true;
   EXPECT_EQ(CriticalPathOf(appraiser, gang), seconds(2));
-  EXPECT_EQ(CriticalPathOf(EstimatorForPool({Mechanism::kWideInGoes}), OneStep(16, 8)), seconds(2));
+  EXPECT_EQ(CriticalPathOf(EstimatorForPool({Mechanism::kWideInWaves}), OneStep(16, 8)),
+            seconds(2));
 }
 
 TEST(JobEstimator, ElapsedTimeCountsFromAcceptance) {
--- a/servers/pool/job_intake.cc
+++ b/servers/pool/job_intake.cc
@@ -17,7 +17,7 @@
 
 void JobIntake::Submit(const JobSpec& spec, std::optional<Time> append_sent, PoolPlanner* planner,
                        OnDone done, Time now, Replies* replies) {
-  const bool joins = planner->Knows(spec.id);
+  const bool joins = planner->HasJob(spec.id);
   if (!joins && StoreStalled(append_sent, now)) {
     replies->push_back(Failed(std::move(done), StoreUnavailable()));
     return;
@@ -41,7 +41,7 @@
     // planner.
     const Error unknown(ErrorKind::kNotFound, Outcome::kNotRun, "no such job");
     replies->push_back(
-        Failed(std::move(done), planner->Confirmed(now) ? unknown : StoreUnavailable()));
+        Failed(std::move(done), planner->LeadershipConfirmed(now) ? unknown : StoreUnavailable()));
     return;
   }
   waiters_.push_back({"", result.ticket, now, std::move(done)});
--- a/servers/pool/job_intake_test.cc
+++ b/servers/pool/job_intake_test.cc
@@ -86,7 +86,7 @@
   void NewPlanner() {
     planner_ = std::make_unique<PoolPlanner>(PlannerOptions(), ++epoch_, table_,
                                              std::set<std::string>(), now_);
-    planner_->Confirm(now_);
+    planner_->ConfirmLeadership(now_);
     in_flight_.clear();
     sent_.reset();
   }
@@ -109,11 +109,11 @@
     if (sent_ && store_up_) ApplyAppend();
     if (sent_ && store_up_ && !answers_lost_) {
       planner_->outbox().MarkDurable();
-      planner_->Confirm(now_);
+      planner_->ConfirmLeadership(now_);
       last_write_ = *sent_;
       sent_.reset();
     }
-    planner_->NoteKept();
+    planner_->NoteDurable();
     planner_->Plan(1, now_);
     Replies replies;
     intake_.Answer(sent_, planner_.get(), now_, &replies);
--- a/servers/pool/mechanism.cc
+++ b/servers/pool/mechanism.cc
@@ -10,20 +10,20 @@
 
 constexpr std::array<std::pair<Mechanism, const char*>, 15> kNames = {{
     {Mechanism::kLearnedTimes, "learned_times"},
-    {Mechanism::kWideInGoes, "wide_in_goes"},
-    {Mechanism::kLikelihood, "likelihood"},
-    {Mechanism::kLastCall, "last_call"},
-    {Mechanism::kHoldRoom, "hold_room"},
+    {Mechanism::kWideInWaves, "wide_in_goes"},
+    {Mechanism::kOnTimeProbability, "likelihood"},
+    {Mechanism::kExpiringJobsFirst, "last_call"},
+    {Mechanism::kBackfilling, "hold_room"},
     {Mechanism::kUrgentReserve, "urgent_reserve"},
-    {Mechanism::kLikeWithLike, "like_with_like"},
-    {Mechanism::kStrayByForecast, "stray_by_forecast"},
-    {Mechanism::kLossOfStopped, "loss_of_stopped"},
-    {Mechanism::kRepeatPrice, "repeat_price"},
-    {Mechanism::kOwedPatience, "owed_patience"},
-    {Mechanism::kBorrowedRoom, "borrowed_room"},
-    {Mechanism::kWorkerJudge, "worker_judge"},
-    {Mechanism::kStandstill, "standstill"},
-    {Mechanism::kLastTry, "last_try"},
+    {Mechanism::kGroupSimilarTasks, "like_with_like"},
+    {Mechanism::kOffRackByForecast, "stray_by_forecast"},
+    {Mechanism::kVictimLoss, "loss_of_stopped"},
+    {Mechanism::kRepeatPreemptionCost, "repeat_price"},
+    {Mechanism::kWaitForGuaranteedRoom, "owed_patience"},
+    {Mechanism::kPreemptForBorrowedRoom, "borrowed_room"},
+    {Mechanism::kExcludeFailingWorkers, "worker_judge"},
+    {Mechanism::kExcludeStalledWorkers, "standstill"},
+    {Mechanism::kProtectLastAttempt, "last_try"},
 }};
 
 }  // namespace
@@ -37,8 +37,8 @@
   throw Error(ErrorKind::kInvalidInput, "no mechanism '" + name + "'; there are: " + names);
 }
 
-MechanismsOff MechanismsFromNames(const std::vector<std::string>& names) {
-  MechanismsOff off;
+DisabledMechanisms MechanismsFromNames(const std::vector<std::string>& names) {
+  DisabledMechanisms off;
   for (const std::string& name : names) off.insert(MechanismFromName(name));
   return off;
 }
--- a/servers/pool/mechanism.h
+++ b/servers/pool/mechanism.h
@@ -12,39 +12,39 @@
   // Times of a queue are learned from its runs.
   kLearnedTimes,
   // Wide steps have the time of several goes.
-  kWideInGoes,
+  kWideInWaves,
   // Being in time is a likelihood rather than a yes or no.
-  kLikelihood,
+  kOnTimeProbability,
   // A late job goes first before it is of no use.
-  kLastCall,
+  kExpiringJobsFirst,
   // Workers are kept for gangs and wide tasks that wait.
-  kHoldRoom,
+  kBackfilling,
   // Room is kept free for urgent jobs to come.
   kUrgentReserve,
   // Single tasks keep to workers with tasks of their like.
-  kLikeWithLike,
+  kGroupSimilarTasks,
   // Gangs over several racks where that ends sooner by the forecast.
-  kStrayByForecast,
+  kOffRackByForecast,
   // Who makes way is chosen also by what its own job loses.
-  kLossOfStopped,
+  kVictimLoss,
   // What was interrupted before is dearer to interrupt again.
-  kRepeatPrice,
+  kRepeatPreemptionCost,
   // Room that comes free soon is waited for also by those to whom it is owed.
-  kOwedPatience,
+  kWaitForGuaranteedRoom,
   // Others make way for jobs beyond their workspace's guarantee.
-  kBorrowedRoom,
+  kPreemptForBorrowedRoom,
   // Workers that fail what they are given are set aside.
-  kWorkerJudge,
+  kExcludeFailingWorkers,
   // Workers whose runs stand still get nothing new.
-  kStandstill,
+  kExcludeStalledWorkers,
   // A job's last try waits for a worker that has not failed lately.
-  kLastTry,
+  kProtectLastAttempt,
 };
 // Throws Error(kInvalidInput) that lists the names there are.
 Mechanism MechanismFromName(const std::string& name);
 
 // Which are left out.
-using MechanismsOff = std::set<Mechanism>;
-MechanismsOff MechanismsFromNames(const std::vector<std::string>& names);
+using DisabledMechanisms = std::set<Mechanism>;
+DisabledMechanisms MechanismsFromNames(const std::vector<std::string>& names);
 
 }  // namespace turmericshift::pool
--- a/servers/pool/placer.cc
+++ b/servers/pool/placer.cc
@@ -16,9 +16,9 @@
 }
 
 // Workers that a single task had better go to come first: those of its like.
-int LikenessRank(const StepSpec& step, Tenants tenants) {
-  if (tenants == Tenants::kNone) return 1;
-  return (tenants == Tenants::kSaved) == step.checkpoints ? 0 : 2;
+int LikenessRank(const StepSpec& step, Occupancy tenants) {
+  if (tenants == Occupancy::kNone) return 1;
+  return (tenants == Occupancy::kSaved) == step.checkpoints ? 0 : 2;
 }
 
 // Sound workers first, and of those the ones with least left. Single tasks keep to their like:
--- a/servers/pool/placer.h
+++ b/servers/pool/placer.h
@@ -14,7 +14,7 @@
 namespace turmericshift::pool {
 
 // What runs on a worker, as far as clearing it for a gang goes.
-enum class Tenants {
+enum class Occupancy {
   kNone,
   // All of it can be stopped and go on later from where it was.
   kSaved,
@@ -30,7 +30,7 @@
   Room free;
   // How many tasks of this step it may take besides room; from the limit per worker.
   int most_tasks = 0;
-  Tenants tenants = Tenants::kNone;
+  Occupancy tenants = Occupancy::kNone;
   // Set for workers that look slow or unwell; they come last.
   bool doubtful = false;
 };
--- a/servers/pool/planner_lateness.cc
+++ b/servers/pool/planner_lag.cc
@@ -1,9 +1,9 @@
-#include "servers/pool/planner_lateness.h"
-
 #include <algorithm>
 #include <utility>
 #include <vector>
 
+#include "servers/pool/planner_lag.h"
+
 namespace turmericshift::pool {
 namespace {
 
--- a/servers/pool/planner_lateness_test.cc
+++ b/servers/pool/planner_lag_test.cc
@@ -1,7 +1,7 @@
-#include "servers/pool/planner_lateness.h"
-
 #include <gtest/gtest.h>
 
+#include "servers/pool/planner_lag.h"
+
 namespace turmericshift::pool {
 namespace {
 
--- a/servers/pool/planner_service.cc
+++ b/servers/pool/planner_service.cc
@@ -60,7 +60,7 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     planner_ =
         std::make_unique<PoolPlanner>(options_.planner, epoch, book, agents, LeaseClock().Now());
-    planner_->Confirm(requested_at);
+    planner_->ConfirmLeadership(requested_at);
     epoch_gauge_.Set(static_cast<double>(epoch));
     sequence_ = sequence;
     releasing_ = false;
@@ -171,9 +171,10 @@
     } else if (!planner_) {
       replies.push_back(Failed(std::move(done), NotActiveError()));
     } else {
-      const int64_t news = planner_->news();
-      planner_->TakeReport(report, LeaseClock().WallMillis(), now);
-      replan = planner_->changed() || planner_->news() != news || !planner_->outbox().empty();
+      const int64_t orders_version = planner_->orders_version();
+      planner_->ApplyReport(report, LeaseClock().WallMillis(), now);
+      replan = planner_->needs_planning() || planner_->orders_version() != orders_version ||
+               !planner_->outbox().empty();
       const auto earlier = polls_.find(report.node);
       if (earlier != polls_.end() && report.wait > Duration::zero()) {
         // The agent has abandoned its earlier poll; the connection of that poll may be gone.
@@ -181,11 +182,11 @@
             Succeeded(std::move(earlier->second.done), planner_->Orders(report.node, now)));
         polls_.erase(earlier);
       }
-      if (report.wait > Duration::zero() && !planner_->HasNews(report.node)) {
+      if (report.wait > Duration::zero() && !planner_->HasPendingOrders(report.node)) {
         polls_[report.node] = {std::move(done), now + report.wait};
       } else {
         replies.push_back(Succeeded(std::move(done), planner_->Orders(report.node, now)));
-        if (report.wait > Duration::zero()) planner_->NoteAnswered(report.node, now);
+        if (report.wait > Duration::zero()) planner_->NotePollAnswered(report.node, now);
       }
       replan_needed_ = replan_needed_ || replan;
     }
@@ -282,12 +283,12 @@
 
 void PlannerService::AnswerPolls(Time now, Replies* replies) {
   for (auto poll = polls_.begin(); poll != polls_.end();) {
-    if (!planner_->HasNews(poll->first) && now < poll->second.until) {
+    if (!planner_->HasPendingOrders(poll->first) && now < poll->second.until) {
       ++poll;
       continue;
     }
     replies->push_back(Succeeded(std::move(poll->second.done), planner_->Orders(poll->first, now)));
-    planner_->NoteAnswered(poll->first, now);
+    planner_->NotePollAnswered(poll->first, now);
     poll = polls_.erase(poll);
   }
 }
@@ -306,7 +307,7 @@
       begun = now;
       const Freshness read = operators_->freshness();
       if (read.requested_at) planner_->SetOperatorState(operators_->state(), *read.requested_at);
-      planner_->NoteKept();
+      planner_->NoteDurable();
       planner_->Plan(LeaseClock().WallMillis(), now);
       AnswerPolls(now, &replies);
       intake_.Answer(append_started_at_, planner_.get(), now, &replies);
@@ -373,7 +374,7 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     if (!planner_ || planner_->epoch() != epoch) return true;
     planner_->outbox().MarkDurable();
-    planner_->Confirm(requested_at);
+    planner_->ConfirmLeadership(requested_at);
     append_started_at_.reset();
     last_write_ = requested_at;
     replan_needed_ = true;
--- a/servers/pool/pool_bounds.cc
+++ b/servers/pool/pool_bounds.cc
@@ -74,27 +74,28 @@
   const Duration zone_out = bounds.zone_out - kStartReserve;
   options.start_window =
       std::min(kMaxStartWindow, Scaled(std::min(cancel, zone_out), kStartWindowShare));
-  options.confirm_limit =
+  options.confirm_age_limit =
       CheckedLimit("the bound on cancelled jobs",
                    std::min(kMaxConfirmAge, cancel - options.start_window), kMinLimit);
-  options.document_limit =
+  options.document_age_limit =
       CheckedLimit("the bound on zones that are out",
                    std::min(kMaxDocumentAge, zone_out - options.start_window), kMinLimit);
-  options.gang_start_limit =
+  options.gang_start_timeout =
       CheckedLimit("the time that members of a gang wait",
                    std::min(kMaxGangStartTimeout, bounds.gang_wait - bounds.stop - kStopOrderDelay),
                    kMinGangStartTimeout);
-  options.longest_gang_start =
-      std::max(options.gang_start_limit, bounds.gang_wait - bounds.stop - kStopOrderDelay);
+  options.max_gang_start_timeout =
+      std::max(options.gang_start_timeout, bounds.gang_wait - bounds.stop - kStopOrderDelay);
   const Duration spare = bounds.reclaim - bounds.stop - kStartLatency;
-  options.owed_stray_after = std::max(Duration::zero(), spare - kReclaimInterval - kRetryReserve);
-  options.owed_patience =
+  options.guaranteed_off_rack_delay =
+      std::max(Duration::zero(), spare - kReclaimInterval - kRetryReserve);
+  options.guaranteed_wait_limit =
       std::max(Duration::zero(), spare - kReclaimInterval - kForecastError - kStartLatency);
   options.stop = bounds.stop;
   options.reservation_limit = bounds.stop + kReservationMargin;
   options.restore = bounds.restore;
-  options.status_limit = bounds.status_kept + kStatusReserve;
-  options.stray_factor = bounds.stray_factor;
+  options.ended_job_retention = bounds.status_kept + kStatusReserve;
+  options.off_rack_slowdown = bounds.off_rack_slowdown;
   return options;
 }
 
--- a/servers/pool/pool_bounds.h
+++ b/servers/pool/pool_bounds.h
@@ -35,7 +35,7 @@
   // Shortest time for which the state of an ended job can be queried.
   Duration status_kept = std::chrono::seconds(120);
   // Slowdown of tasks off their data's rack, and of gangs spread over racks.
-  double stray_factor = 3;
+  double off_rack_slowdown = 3;
 };
 
 // Returns limits that keep the bounds. Throws Error(kInvalidInput) if a bound leaves too little
--- a/servers/pool/pool_bounds_test.cc
+++ b/servers/pool/pool_bounds_test.cc
@@ -48,13 +48,13 @@
     const PoolBounds bounds = generator.Next();
     const PlannerOptions options = PlannerOptionsFor(bounds);
     EXPECT_LT(options.lease, bounds.longest_lease);
-    EXPECT_LT(options.confirm_limit + options.start_window, bounds.cancel);
-    EXPECT_LT(options.document_limit + options.start_window, bounds.zone_out);
-    EXPECT_LT(options.gang_start_limit + bounds.stop, bounds.gang_wait);
+    EXPECT_LT(options.confirm_age_limit + options.start_window, bounds.cancel);
+    EXPECT_LT(options.document_age_limit + options.start_window, bounds.zone_out);
+    EXPECT_LT(options.gang_start_timeout + bounds.stop, bounds.gang_wait);
     // The lease's clock skew on the slowest clock, plus the stop time.
     EXPECT_GT(options.lease_margin, bounds.stop + options.lease / 50);
-    EXPECT_LT(options.owed_stray_after, bounds.reclaim);
-    EXPECT_LT(options.owed_patience, bounds.reclaim);
+    EXPECT_LT(options.guaranteed_off_rack_delay, bounds.reclaim);
+    EXPECT_LT(options.guaranteed_wait_limit, bounds.reclaim);
     EXPECT_GT(options.reservation_limit, bounds.stop);
     JobApiOptions api;
     ApplyBounds(bounds, &api);
@@ -75,8 +75,8 @@
       EXPECT_LT(bounds.reclaim, stop_and_start + milliseconds(300));
       continue;
     }
-    EXPECT_LE(options.owed_patience + stop_and_start, bounds.reclaim);
-    EXPECT_LE(options.owed_stray_after + stop_and_start, bounds.reclaim);
+    EXPECT_LE(options.guaranteed_wait_limit + stop_and_start, bounds.reclaim);
+    EXPECT_LE(options.guaranteed_off_rack_delay + stop_and_start, bounds.reclaim);
   }
 }
 
@@ -103,7 +103,7 @@
   EXPECT_TRUE(UnattainableBounds(bounds).empty());
   bounds.reclaim = bounds.stop;
   EXPECT_EQ(UnattainableBounds(bounds).size(), 1U);
-  EXPECT_EQ(PlannerOptionsFor(bounds).owed_patience, Duration::zero());
+  EXPECT_EQ(PlannerOptionsFor(bounds).guaranteed_wait_limit, Duration::zero());
 }
 
 }  // namespace
--- a/servers/pool/pool_planner.cc
+++ b/servers/pool/pool_planner.cc
@@ -11,11 +11,11 @@
                          const std::set<std::string>& nodes, Time now)
     : options_(options),
       epoch_(epoch),
-      outbox_(options.append_bytes),
+      outbox_(options.max_append_bytes),
       begun_(now),
       listed_(nodes.size()),
       unheard_(nodes),
-      appraiser_(options.off),
+      appraiser_(options.disabled_mechanisms),
       stop_takes_(options.stop) {
   for (const auto& [id, entry] : book.jobs()) {
     Job& job = jobs_[id];
@@ -31,7 +31,7 @@
   inherited_safe_at_ = now + options.unconfirmed_limit + options.lease + options.lease_margin;
 }
 
-void PoolPlanner::Confirm(Time asked) {
+void PoolPlanner::ConfirmLeadership(Time asked) {
   if (!confirmed_ || asked > *confirmed_) confirmed_ = asked;
 }
 
@@ -80,7 +80,7 @@
   return {true, job->changed};
 }
 
-bool PoolPlanner::HasNews(const std::string& node) const {
+bool PoolPlanner::HasPendingOrders(const std::string& node) const {
   const auto found = workers_.find(node);
   return found != workers_.end() && found->second.version > found->second.version_seen;
 }
@@ -105,7 +105,7 @@
   return orders;
 }
 
-void PoolPlanner::NoteKept() {
+void PoolPlanner::NoteDurable() {
   while (!releases_.empty() && releases_.begin()->first <= outbox_.durable()) {
     NoteNews(&workers_[releases_.begin()->second]);
     releases_.erase(releases_.begin());
@@ -199,7 +199,8 @@
 }
 
 void PoolPlanner::DropOldJobs(int64_t wall_ms) {
-  const int64_t limit = duration_cast<std::chrono::milliseconds>(options_.status_limit).count();
+  const int64_t limit =
+      duration_cast<std::chrono::milliseconds>(options_.ended_job_retention).count();
   for (auto job = jobs_.begin(); job != jobs_.end();) {
     const JobProgress& progress = job->second.progress;
     const bool old = IsOver(progress.state) && wall_ms - progress.ended_ms > limit;
--- a/servers/pool/pool_planner.h
+++ b/servers/pool/pool_planner.h
@@ -21,7 +21,7 @@
 #include "servers/pool/mechanism.h"
 #include "servers/pool/outbox.h"
 #include "servers/pool/placer.h"
-#include "servers/pool/planner_lateness.h"
+#include "servers/pool/planner_lag.h"
 #include "servers/pool/pool_config.h"
 #include "servers/pool/pool_messages.h"
 #include "servers/pool/reclaimer.h"
@@ -43,23 +43,23 @@
   // How long an agent may go on obeying a planner whose duty nobody confirms.
   Duration unconfirmed_limit = std::chrono::seconds(10);
   // No starts when the planner's own duty was last confirmed longer ago than this,
-  Duration confirm_limit = std::chrono::milliseconds(1200);
+  Duration confirm_age_limit = std::chrono::milliseconds(1200);
   // or the operators' documents were last read longer ago than this.
-  Duration document_limit = std::chrono::milliseconds(2000);
+  Duration document_age_limit = std::chrono::milliseconds(2000);
   // Starts are carried out at most so long after the agent asked. Together with the two limits it
   // stays below the bounds on cancelled jobs and on zones that are out.
   Duration start_window = std::chrono::milliseconds(1500);
   // A gang whose members have not all started by then is stopped; its workers wait longer.
-  Duration gang_start_limit = std::chrono::milliseconds(1300);
+  Duration gang_start_timeout = std::chrono::milliseconds(1300);
   // The same at most, whatever the planner is late by: they would be waiting alone by then.
-  Duration longest_gang_start = std::chrono::milliseconds(2100);
+  Duration max_gang_start_timeout = std::chrono::milliseconds(2100);
   // A single start that is not answered by then is taken back.
-  Duration start_limit = std::chrono::milliseconds(2500);
+  Duration start_timeout = std::chrono::milliseconds(2500);
   // An urgent gang within its workspace's guarantee that finds no rack goes over several after
   // this, so that it begins within the bound on reclaiming with time to spare for the start.
-  Duration owed_stray_after = std::chrono::milliseconds(1300);
+  Duration guaranteed_off_rack_delay = std::chrono::milliseconds(1300);
   // Room that comes free by itself within this is waited for also by those to whom it is owed.
-  Duration owed_patience = std::chrono::milliseconds(800);
+  Duration guaranteed_wait_limit = std::chrono::milliseconds(800);
   // A stop takes so long at most.
   Duration stop = std::chrono::milliseconds(400);
   // Room that is being freed is held for so long for the one it is freed for.
@@ -67,14 +67,14 @@
   // Going on from a saved state takes so long.
   Duration restore = std::chrono::milliseconds(600);
   // Ended jobs are known for so long.
-  Duration status_limit = std::chrono::seconds(130);
+  Duration ended_job_retention = std::chrono::seconds(130);
   // Tasks away from their data, and gangs over several racks that want one, take so many times as
   // long.
-  double stray_factor = 3;
+  double off_rack_slowdown = 3;
   // Left out of the policy.
-  MechanismsOff off;
+  DisabledMechanisms disabled_mechanisms;
   // What one append may carry.
-  size_t append_bytes = size_t{1} << 20;
+  size_t max_append_bytes = size_t{1} << 20;
 };
 
 // What became of a cancellation.
@@ -95,30 +95,30 @@
   Outbox& outbox() { return outbox_; }
 
   // The store has confirmed the duty by an answer to what was asked at `asked`.
-  void Confirm(Time asked);
+  void ConfirmLeadership(Time asked);
   // Whether the duty was confirmed so lately that nobody can have taken it over since.
-  bool Confirmed(Time now) const;
+  bool LeadershipConfirmed(Time now) const;
   void SetOperatorState(std::shared_ptr<const OperatorState> state, Time asked);
   // The planner before has been heard to plan no more, so it grants no lease from now on.
   void PredecessorGone(Time now);
 
   // Takes a job in; idempotent by id. The job is accepted once the ticket is kept.
   Ticket Submit(const JobSpec& spec);
-  bool Knows(const std::string& id) const { return jobs_.count(id) > 0; }
+  bool HasJob(const std::string& id) const { return jobs_.count(id) > 0; }
   // Takes a submission back that is not accepted yet; false when its record may be on its way or
   // the job has been cancelled.
   bool WithdrawSubmission(const std::string& id);
   CancelResult Cancel(const std::string& id, int64_t wall_ms);
 
-  void TakeReport(const AgentReport& report, int64_t wall_ms, Time now);
+  void ApplyReport(const AgentReport& report, int64_t wall_ms, Time now);
   // Whether there is something that the agent has not been told.
-  bool HasNews(const std::string& node) const;
+  bool HasPendingOrders(const std::string& node) const;
   // Rises whenever there is something new for any agent.
   int64_t news() const { return news_; }
   // A round of planning may bring something new.
   bool changed() const { return changed_; }
   // The agent's poll is answered.
-  void NoteAnswered(const std::string& node, Time now) { lateness_.Answered(node, now); }
+  void NotePollAnswered(const std::string& node, Time now) { lateness_.Answered(node, now); }
   Duration lag() const { return lateness_.lag(); }
   // The answer to one of the agent's reports. The lease in it counts from that report on.
   AgentOrders Orders(const std::string& node, Time now);
@@ -127,7 +127,7 @@
   // without a change since the last costs next to nothing.
   void Plan(int64_t wall_ms, Time now);
   // Records have been kept since the last call.
-  void NoteKept();
+  void NoteDurable();
 
   // What the advice service should be asked now, and its answers.
   AdviceCache& advice() { return advice_; }
@@ -169,7 +169,7 @@
   };
   // What a job can still be, were it started now. In the order in which work of one priority goes:
   // the last call is for one that is late and would soon be of no use.
-  enum class Prospect { kLastCall, kInTime, kLate, kUseless };
+  enum class Prospect { kExpiringJobsFirst, kInTime, kLate, kUseless };
   // Tasks of one step that could start now.
   struct Unit {
     Job* job = nullptr;
@@ -205,7 +205,7 @@
   // Notes which process of the agent reports. False for one that has been replaced: its connection
   // may hold reports that are read after the first of its successor's, and whose lists and worker
   // are those of before. Taken for news they would have what runs now taken for lost.
-  bool TakeIncarnation(const AgentReport& report, WorkerState* worker, Time now);
+  bool AcceptIncarnation(const AgentReport& report, WorkerState* worker, Time now);
   void TakeFacts(const AgentReport& report, WorkerState* worker, Time now);
   void TakeRunning(const AgentReport& report, WorkerState* worker, Time now);
   void StopUnclearRuns(WorkerState* worker);
@@ -232,7 +232,9 @@
   void Save(Job* job);
   void EndJob(Job* job, JobState state, int64_t wall_ms);
 
-  bool Uses(Mechanism mechanism) const { return options_.off.count(mechanism) == 0; }
+  bool Uses(Mechanism mechanism) const {
+    return options_.disabled_mechanisms.count(mechanism) == 0;
+  }
 
   // Planning: pool_planner_planning.cc.
   bool MayStart(Time now) const;
@@ -293,7 +295,7 @@
   // Whether there is anything to weigh anew at `now`.
   bool RoundIsDue(Time now) const;
   void BeginRound(Time now);
-  static Tenants TenantsOf(const WorkerState& worker);
+  static Occupancy TenantsOf(const WorkerState& worker);
   void LogQueue(const std::vector<Unit>& units, Time now);
 
   Job* FindJob(const std::string& id);
--- a/servers/pool/pool_planner_holding.cc
+++ b/servers/pool/pool_planner_backfilling.cc
@@ -72,18 +72,18 @@
 
 bool PoolPlanner::StraysNow(const Unit& unit, const PlaceWish& strict, Time now) const {
   const Duration waited = now - *unit.job->steps.at(unit.place).ready_since;
-  if (IsOwed(unit) && waited > options_.owed_stray_after) return true;
+  if (IsOwed(unit) && waited > options_.guaranteed_off_rack_delay) return true;
   if (!KnowsPool(now)) return false;
   if (idle_ && waited > kIdleStrayAfter) return true;
   // No rack would ever hold it, so that waiting for one is pointless.
   if (!FitsOneRack(strict, RoomsFor(unit, true, now))) return true;
-  if (!Uses(Mechanism::kStrayByForecast) || lateness_.sheds()) return false;
+  if (!Uses(Mechanism::kOffRackByForecast) || lateness_.sheds()) return false;
   const std::optional<RoomForecast> forecast = ForecastRoom(strict, FutureRoomsFor(unit, now));
-  return !forecast || forecast->in > Scaled(unit.expected, options_.stray_factor - 1);
+  return !forecast || forecast->in > Scaled(unit.expected, options_.off_rack_slowdown - 1);
 }
 
 void PoolPlanner::HoldRoom(const Unit& unit, const PlaceWish& wish, Time now) {
-  if (!Uses(Mechanism::kHoldRoom)) return;
+  if (!Uses(Mechanism::kBackfilling)) return;
   const UnitKey key = {unit.job->spec.id, unit.place};
   if (reservations_.count(key) > 0) return;
   if (!wish.step->gang && wish.step->need.accelerators < kHoldFromAccelerators) return;
--- a/servers/pool/pool_planner_planning.cc
+++ b/servers/pool/pool_planner_planning.cc
@@ -21,7 +21,7 @@
 constexpr Duration kGuardLastTry = std::chrono::milliseconds(2200);
 // Room for a late job is found within this as a rule. Passed over for longer it would be of no use
 // to its caller at all, while those that go after it have time left.
-constexpr Duration kLastCall = std::chrono::milliseconds(1500);
+constexpr Duration kExpiringJobsFirst = std::chrono::milliseconds(1500);
 // With so much of the pool free nothing may stand still for the sake of a better place: a job that
 // does for 3 s while under half of the pool is in use counts as forgotten.
 constexpr double kIdleShare = 0.4;
@@ -58,12 +58,13 @@
 
 }  // namespace
 
-bool PoolPlanner::Confirmed(Time now) const {
-  return confirmed_ && now - *confirmed_ < options_.confirm_limit;
+bool PoolPlanner::LeadershipConfirmed(Time now) const {
+  return confirmed_ && now - *confirmed_ < options_.confirm_age_limit;
 }
 
 bool PoolPlanner::MayStart(Time now) const {
-  return Confirmed(now) && operators_read_ && now - *operators_read_ < options_.document_limit;
+  return LeadershipConfirmed(now) && operators_read_ &&
+         now - *operators_read_ < options_.document_age_limit;
 }
 
 bool PoolPlanner::InheritedIsSafe(Time now) const {
@@ -123,11 +124,11 @@
   return changed_ || !last_round_ || now - *last_round_ >= kLongestPause;
 }
 
-Tenants PoolPlanner::TenantsOf(const WorkerState& worker) {
-  if (worker.live.empty()) return Tenants::kNone;
+Occupancy PoolPlanner::TenantsOf(const WorkerState& worker) {
+  if (worker.live.empty()) return Occupancy::kNone;
   const bool saved = std::all_of(worker.live.begin(), worker.live.end(),
                                  [](const auto& row) { return row.second.saved; });
-  return saved ? Tenants::kSaved : Tenants::kUnsaved;
+  return saved ? Occupancy::kSaved : Occupancy::kUnsaved;
 }
 
 void PoolPlanner::BeginRound(Time now) {
@@ -147,7 +148,7 @@
       starts_under_way_ += run.phase == RunPhase::kOrdered;
     }
     worker.left = worker.free();
-    worker.tenants = TenantsOf(worker);
+    worker.occupancy = TenantsOf(worker);
     capacity[worker.facts.service] += worker.facts.capacity;
     all += worker.facts.capacity;
     all_left += worker.left;
@@ -191,8 +192,8 @@
 }
 
 Duration PoolPlanner::StartLimit(bool gang) const {
-  if (!gang) return options_.start_limit + lateness_.lag();
-  return std::min(options_.gang_start_limit + lateness_.lag(), options_.longest_gang_start);
+  if (!gang) return options_.start_timeout + lateness_.lag();
+  return std::min(options_.gang_start_timeout + lateness_.lag(), options_.max_gang_start_timeout);
 }
 
 void PoolPlanner::TakeBackLateStarts(Time now) {
@@ -241,8 +242,9 @@
   if (over_ms <= unit.due_ms) return Prospect::kInTime;
   const int64_t useless_ms = unit.begun_ms + kUselessFactor * (unit.due_ms - unit.begun_ms);
   if (over_ms > useless_ms) return Prospect::kUseless;
-  if (!Uses(Mechanism::kLastCall)) return Prospect::kLate;
-  return over_ms + Millis(kLastCall) > useless_ms ? Prospect::kLastCall : Prospect::kLate;
+  if (!Uses(Mechanism::kExpiringJobsFirst)) return Prospect::kLate;
+  return over_ms + Millis(kExpiringJobsFirst) > useless_ms ? Prospect::kExpiringJobsFirst
+                                                           : Prospect::kLate;
 }
 
 void PoolPlanner::CollectStep(Job* job, const StepPlace& place, int64_t wall_ms, Time now,
@@ -292,7 +294,8 @@
 std::vector<WorkerRoom> PoolPlanner::RoomsFor(const Unit& unit, bool empty, Time now) const {
   const StepSpec& step = unit.job->spec.steps[static_cast<size_t>(unit.place.step)];
   const std::string& service = Terms(*unit.job).service;
-  const bool only_sound = !empty && Uses(Mechanism::kLastTry) && GuardsLastTry(unit, now);
+  const bool only_sound =
+      !empty && Uses(Mechanism::kProtectLastAttempt) && GuardsLastTry(unit, now);
   std::vector<WorkerRoom> rooms;
   for (const auto& [node, worker] : workers_) {
     if (!worker.usable(now) || worker.facts.service != service) continue;
@@ -309,7 +312,8 @@
     room.rack = worker.facts.rack;
     room.free = empty ? worker.facts.capacity : worker.left;
     room.doubtful = judge_.IsSuspect(node, now);
-    room.tenants = empty || !Uses(Mechanism::kLikeWithLike) ? Tenants::kNone : worker.tenants;
+    room.occupancy =
+        empty || !Uses(Mechanism::kGroupSimilarTasks) ? Occupancy::kNone : worker.occupancy;
     room.most_tasks = static_cast<int>(unit.waiting.size());
     if (step.max_per_worker > 0) {
       room.most_tasks = step.max_per_worker - TasksOnWorker(*unit.job, unit.place, node);
@@ -441,14 +445,14 @@
           advice_.TicketFor({job->spec.id, unit.place}, AdvisedWorkerOf(worker), now).value_or("");
     }
     const bool away = !step.data_rack.empty() && worker.facts.rack != step.data_rack;
-    run.estimate = Scaled(unit.expected, torn || away ? options_.stray_factor : 1.0);
+    run.estimate = Scaled(unit.expected, torn || away ? options_.off_rack_slowdown : 1.0);
     run.start_after = job->begun;
     const auto saved =
         job->progress.checkpoints.find({place.occurrence, place.step, step.gang ? 0 : index});
     if (saved != job->progress.checkpoints.end()) run.checkpoint = saved->second;
     run.saved = step.checkpoints;
-    if (worker.tenants != Tenants::kUnsaved) {
-      worker.tenants = step.checkpoints ? Tenants::kSaved : Tenants::kUnsaved;
+    if (worker.occupancy != Occupancy::kUnsaved) {
+      worker.occupancy = step.checkpoints ? Occupancy::kSaved : Occupancy::kUnsaved;
     }
     run.representative = run.checkpoint.empty() && !torn && !away;
     worker.live[run.run] = run;
--- a/servers/pool/pool_planner_reclaiming.cc
+++ b/servers/pool/pool_planner_reclaiming.cc
@@ -40,10 +40,10 @@
   if (unit.entitled) {
     const Duration waited = now - *unit.job->steps.at(unit.place).ready_since;
     const bool comes_anyway =
-        Uses(Mechanism::kOwedPatience) && waited + wait < options_.owed_patience;
+        Uses(Mechanism::kWaitForGuaranteedRoom) && waited + wait < options_.guaranteed_wait_limit;
     return comes_anyway ? 0 : kNoLimit;
   }
-  return Uses(Mechanism::kBorrowedRoom)
+  return Uses(Mechanism::kPreemptForBorrowedRoom)
              ? gain * appraiser_.ValueOf(unit.job->spec, Terms(*unit.job))
              : 0;
 }
@@ -61,12 +61,12 @@
   timing.remaining = later + (step.checkpoints ? left + options_.restore : whole);
   const double share_then = ExpectedValueShare(timing, stop_takes_ + away);
   double loss = std::max(0.0, share_now - share_then) * appraiser_.ValueOf(job.spec, Terms(job));
-  if (!Uses(Mechanism::kLossOfStopped)) loss = 0;
+  if (!Uses(Mechanism::kVictimLoss)) loss = 0;
   // The members of a gang are stopped together and lose it once.
   if (step.gang) loss /= step.tasks;
   double thrown = CoreEquivalent(run.need) * LostSeconds(run, step, options_.restore, now);
   const auto state = job.steps.find(place);
-  if (state != job.steps.end() && Uses(Mechanism::kRepeatPrice)) {
+  if (state != job.steps.end() && Uses(Mechanism::kRepeatPreemptionCost)) {
     thrown *= 1 + kAgainFactor * state->second.interrupted;
   }
   return thrown + loss;
--- a/servers/pool/pool_planner_reports.cc
+++ b/servers/pool/pool_planner_reports.cc
@@ -22,10 +22,10 @@
 
 }  // namespace
 
-void PoolPlanner::TakeReport(const AgentReport& report, int64_t wall_ms, Time now) {
+void PoolPlanner::ApplyReport(const AgentReport& report, int64_t wall_ms, Time now) {
   WorkerState& worker = workers_[report.node];
   worker.node = report.node;
-  if (!TakeIncarnation(report, &worker, now)) return;
+  if (!AcceptIncarnation(report, &worker, now)) return;
   if (report.sequence <= worker.sequence) return;
   worker.sequence = report.sequence;
   lateness_.Returned(report.node, now);
@@ -62,7 +62,7 @@
   if (over) LoseRuns(&worker, "the worker is away and its lease has run out", now);
 }
 
-bool PoolPlanner::TakeIncarnation(const AgentReport& report, WorkerState* worker, Time now) {
+bool PoolPlanner::AcceptIncarnation(const AgentReport& report, WorkerState* worker, Time now) {
   if (worker->incarnation == report.incarnation) return true;
   std::deque<std::string>& former = worker->former_incarnations;
   if (std::find(former.begin(), former.end(), report.incarnation) != former.end()) {
@@ -144,7 +144,7 @@
     ++running;
     if (!run.progress.StandsStill(run.estimate, now)) return;
   }
-  if (running > 0 && Uses(Mechanism::kStandstill)) judge_.StandsStill(worker.node, now);
+  if (running > 0 && Uses(Mechanism::kExcludeStalledWorkers)) judge_.StandsStill(worker.node, now);
 }
 
 // What the worker lists neither as running nor as ended may still begin: the call that the agent's
@@ -251,7 +251,7 @@
       // A run that was given up when its lease ran out; another has been started since.
       if (!replaced) TakeDone(end, job, wall_ms);
     } else if (end.kind == EndKind::kFailed) {
-      if (Uses(Mechanism::kWorkerJudge)) judge_.RunFailed(worker->node, task.job, now);
+      if (Uses(Mechanism::kExcludeFailingWorkers)) judge_.RunFailed(worker->node, task.job, now);
       SaveCheckpoint(end.run, end.checkpoint, job);
       TakeFailed(end, job, wall_ms);
     } else {
@@ -273,7 +273,7 @@
             {"how", EndKindName(end.kind)},
             {"asked", asked_to_stop},
             {"node", worker->node}});
-  NoteKept();
+  NoteDurable();
 }
 
 void PoolPlanner::NoteStop(const LiveRun& run, Time now) {
--- a/servers/pool/pool_planner_test.cc
+++ b/servers/pool/pool_planner_test.cc
@@ -136,9 +136,9 @@
   PoolPlanner planner(options, 1, book, {"n", "missing"}, now);
   const auto placed_after = [&](Duration waited) {
     const Time then = now + waited;
-    planner.Confirm(then);
+    planner.ConfirmLeadership(then);
     planner.SetOperatorState(std::make_shared<OperatorState>(BedOperators(0)), then);
-    planner.TakeReport(Report("first", waited.count() + 1), 0, then);
+    planner.ApplyReport(Report("first", waited.count() + 1), 0, then);
     planner.Plan(0, then);
     return !planner.workers().at("n").live.empty();
   };
@@ -208,9 +208,9 @@
 // A planner with one worker, to which one task has just been given.
 struct OneWorker {
   OneWorker() : planner(PlannerOptions(), 1, JobTable(), {}, now) {
-    planner.Confirm(now);
+    planner.ConfirmLeadership(now);
     planner.SetOperatorState(std::make_shared<OperatorState>(BedOperators(0)), now);
-    planner.TakeReport(Report("first", 1), 0, now);
+    planner.ApplyReport(Report("first", 1), 0, now);
     planner.Submit(BedJob("j", "batch", "one", BedStep(1, 1, seconds(2))));
     planner.outbox().Take();
     planner.outbox().MarkDurable();
@@ -235,11 +235,11 @@
   second.worker.id.clear();
   second.worker.start_time_ms = 0;
   second.worker.reachable = false;
-  one.planner.TakeReport(second, 0, one.now);
+  one.planner.ApplyReport(second, 0, one.now);
   EXPECT_TRUE(one.planner.Orders("n", one.now).starts.empty());
   AgentReport listed = Report("second", 2);
   listed.running = {{run, ""}};
-  one.planner.TakeReport(listed, 0, one.now);
+  one.planner.ApplyReport(listed, 0, one.now);
   EXPECT_EQ(one.planner.workers().at("n").live.at(run).phase, RunPhase::kRunning);
 }
 
@@ -248,7 +248,7 @@
 TEST(PoolPlanner, StopsAnOlderStartThatANewAgentDoesNotFind) {
   OneWorker one;
   const RunId run = one.run();
-  one.planner.TakeReport(Report("second", 1), 0, one.now);
+  one.planner.ApplyReport(Report("second", 1), 0, one.now);
   EXPECT_EQ(one.planner.workers().at("n").live.at(run).phase, RunPhase::kStopping);
   EXPECT_EQ(one.planner.Orders("n", one.now).stops, std::vector<RunId>{run});
 }
@@ -259,13 +259,13 @@
   OneWorker one;
   AgentReport started = Report("first", 2);
   started.running = {{one.run(), ""}};
-  one.planner.TakeReport(started, 0, one.now);
+  one.planner.ApplyReport(started, 0, one.now);
   AgentReport away = Report("second", 1);
   away.worker.reachable = false;
-  one.planner.TakeReport(away, 0, one.now + seconds(1));
+  one.planner.ApplyReport(away, 0, one.now + seconds(1));
   EXPECT_TRUE(one.has_run());
   away.sequence = 2;
-  one.planner.TakeReport(away, 0, one.now + seconds(6));
+  one.planner.ApplyReport(away, 0, one.now + seconds(6));
   EXPECT_FALSE(one.has_run());
 }
 
@@ -278,11 +278,11 @@
   AgentReport reborn = Report("second", 1);
   reborn.worker.id = "i2";
   reborn.worker.start_time_ms = 2;
-  one.planner.TakeReport(reborn, 0, one.now);
+  one.planner.ApplyReport(reborn, 0, one.now);
   one.planner.Plan(0, one.now);
   ASSERT_TRUE(one.has_run());
   const RunId run = one.run();
-  one.planner.TakeReport(Report("first", 2), 0, one.now);
+  one.planner.ApplyReport(Report("first", 2), 0, one.now);
   EXPECT_EQ(one.planner.workers().at("n").live.count(run), 1U);
   EXPECT_EQ(one.planner.workers().at("n").facts.id, "i2");
 }
@@ -294,19 +294,19 @@
   OneWorker one;
   AgentReport started = Report("first", 2);
   started.running = {{one.run(), ""}};
-  one.planner.TakeReport(started, 0, one.now);
+  one.planner.ApplyReport(started, 0, one.now);
   AgentReport gone = started;
   gone.worker.reachable = false;
   const Time later = one.now + seconds(10);
   for (int sequence = 3; sequence < 6; ++sequence) {
     gone.sequence = sequence;
-    one.planner.TakeReport(gone, 0, later);
+    one.planner.ApplyReport(gone, 0, later);
     gone.orders_seen = one.planner.Orders("n", later).version;
   }
   EXPECT_FALSE(one.has_run());
   gone.sequence = 6;
-  one.planner.TakeReport(gone, 0, later);
-  EXPECT_FALSE(one.planner.HasNews("n"));
+  one.planner.ApplyReport(gone, 0, later);
+  EXPECT_FALSE(one.planner.HasPendingOrders("n"));
 }
 
 TEST(PoolPlanner, FailsAJobWhoseTaskHasFailedAsOftenAsItsQueueAllows) {
@@ -344,7 +344,7 @@
     AgentReport report = Report("first", sequence);
     report.node = node;
     report.ended = {{sequence, {{"j", 0, 0, 0}, run}, EndKind::kFailed, ""}};
-    planner.TakeReport(report, 0, now);
+    planner.ApplyReport(report, 0, now);
   };
   fails("n", 1, 20);
   fails("m", 1, 10);
--- a/servers/pool/run_times.cc
+++ b/servers/pool/run_times.cc
@@ -34,7 +34,7 @@
   known.ratio.Add(std::log(seconds / std::max(kLeastSeconds, Seconds(estimate))), known.count);
 }
 
-Duration RunTimes::Expect(const std::string& queue, Duration estimate) const {
+Duration RunTimes::ExpectedTime(const std::string& queue, Duration estimate) const {
   const auto found = queues_.find(queue);
   if (found == queues_.end() || found->second.count < kLeastRuns) return estimate;
   const Queue& known = found->second;
--- a/servers/pool/run_times.h
+++ b/servers/pool/run_times.h
@@ -17,7 +17,7 @@
 
   // What a task of the queue should take: by the mean of its queue or by its estimate, whichever
   // has been the better guide; the estimate while little is known.
-  Duration Expect(const std::string& queue, Duration estimate) const;
+  Duration ExpectedTime(const std::string& queue, Duration estimate) const;
 
   // How far true times lie off the expected ones: the standard deviation of the logarithm of their
   // ratio.
--- a/servers/pool/run_times_test.cc
+++ b/servers/pool/run_times_test.cc
@@ -11,8 +11,8 @@
 TEST(RunTimes, GoesByTheEstimateWhileLittleIsKnown) {
   RunTimes times;
   times.Note("q", seconds(1), seconds(9));
-  EXPECT_EQ(times.Expect("q", seconds(2)), seconds(2));
-  EXPECT_EQ(times.Expect("other", seconds(2)), seconds(2));
+  EXPECT_EQ(times.ExpectedTime("q", seconds(2)), seconds(2));
+  EXPECT_EQ(times.ExpectedTime("other", seconds(2)), seconds(2));
 }
 
 // Callers' guesses are anywhere between a tenth and twice of what a task takes, while all tasks
@@ -22,16 +22,16 @@
   for (int i = 0; i < 12; ++i) {
     times.Note("q", milliseconds(900 + 1400 * i), seconds(8) + milliseconds(100 * i));
   }
-  EXPECT_NEAR(Seconds(times.Expect("q", seconds(1))), 8.5, 0.3);
-  EXPECT_NEAR(Seconds(times.Expect("q", seconds(17))), 8.5, 0.3);
+  EXPECT_NEAR(Seconds(times.ExpectedTime("q", seconds(1))), 8.5, 0.3);
+  EXPECT_NEAR(Seconds(times.ExpectedTime("q", seconds(17))), 8.5, 0.3);
 }
 
 // Tasks differ by ten times and callers know it, but all take half as long again as they say.
 TEST(RunTimes, GoesByTheEstimateWhereItTellsTasksApart) {
   RunTimes times;
   for (int i = 1; i <= 12; ++i) times.Note("q", seconds(i), milliseconds(1500 * i));
-  EXPECT_NEAR(Seconds(times.Expect("q", seconds(2))), 3.0, 0.1);
-  EXPECT_NEAR(Seconds(times.Expect("q", seconds(10))), 15.0, 0.1);
+  EXPECT_NEAR(Seconds(times.ExpectedTime("q", seconds(2))), 3.0, 0.1);
+  EXPECT_NEAR(Seconds(times.ExpectedTime("q", seconds(10))), 15.0, 0.1);
 }
 
 }  // namespace
--- a/servers/pool/worker_state.h
+++ b/servers/pool/worker_state.h
@@ -62,7 +62,7 @@
   std::string incarnation;
   // Time of the first report of the agent's process.
   Time incarnation_since{};
-  // The most recent previous incarnations; see PoolPlanner::TakeIncarnation.
+  // The most recent previous incarnations; see PoolPlanner::AcceptIncarnation.
   std::deque<std::string> former_incarnations;
   int64_t sequence = -1;
   WorkerFacts facts;
@@ -85,7 +85,7 @@
   // Free room in the current planning round; see PoolPlanner::Plan.
   Room left;
   // Which kind of runs occupies the worker in the current planning round.
-  Tenants tenants = Tenants::kNone;
+  Occupancy occupancy = Occupancy::kNone;
 
   // Capacity less the room of live runs. Runs that are being stopped still count.
   Room free() const;
--- a/tests/stand_ins/pool_bed.cc
+++ b/tests/stand_ins/pool_bed.cc
@@ -69,7 +69,7 @@
     nodes.insert(spec.node);
   }
   planner_ = std::make_unique<PoolPlanner>(options_, epoch_, book_, nodes, now_);
-  planner_->Confirm(now_);
+  planner_->ConfirmLeadership(now_);
 }
 
 PoolBed::~PoolBed() = default;
@@ -120,7 +120,7 @@
   std::set<std::string> nodes;
   for (const auto& row : workers_) nodes.insert(row.first);
   planner_ = std::make_unique<PoolPlanner>(options_, ++epoch_, book_, nodes, now_);
-  planner_->Confirm(now_);
+  planner_->ConfirmLeadership(now_);
 }
 
 void PoolBed::RestartWorker(const std::string& node) {
@@ -174,7 +174,7 @@
   for (auto& row : workers_) TickAgent(row.second.get());
   if (!planner_held_up_) {
     planner_->SetOperatorState(std::make_shared<OperatorState>(operators_), now_);
-    planner_->NoteKept();
+    planner_->NoteDurable();
     planner_->Plan(wall_ms(), now_);
     ReadReports();
   }
@@ -215,7 +215,7 @@
 
 void PoolBed::TickStore() {
   if (store_down_ || planner_held_up_) return;
-  planner_->Confirm(now_);
+  planner_->ConfirmLeadership(now_);
   for (KeyedRecord& record : planner_->outbox().Take()) {
     record.offset = offset_++;
     book_.Apply(record);
@@ -379,7 +379,7 @@
   for (int left = reports_per_tick_.value_or(0); left > 0 && !mailbox_.empty(); --left) {
     SentReport sent = std::move(mailbox_.front());
     mailbox_.pop_front();
-    planner_->TakeReport(sent.report, wall_ms(), now_);
+    planner_->ApplyReport(sent.report, wall_ms(), now_);
     if (sent.report.wait == Duration::zero()) {
       Answer(sent);
     } else {
@@ -389,11 +389,11 @@
   }
   for (auto held = held_.begin(); held != held_.end();) {
     const auto& [poll, until] = held->second;
-    if (now_ < until && !planner_->HasNews(poll.node)) {
+    if (now_ < until && !planner_->HasPendingOrders(poll.node)) {
       ++held;
       continue;
     }
-    planner_->NoteAnswered(poll.node, now_);
+    planner_->NotePollAnswered(poll.node, now_);
     Answer(poll);
     held = held_.erase(held);
   }
@@ -419,7 +419,7 @@
     SendReport(worker);
   } else if (cut_.count(worker->spec.node) == 0) {
     const AgentReport report = agent.Report(Duration::zero(), now_);
-    planner_->TakeReport(report, wall_ms(), now_);
+    planner_->ApplyReport(report, wall_ms(), now_);
     agent.ReportDelivered(report);
     const AgentOrders orders = planner_->Orders(worker->spec.node, now_);
     HandleOrders(worker, orders, now_);
