--- a/servers/pool/job_api_test.cc
+++ b/servers/pool/job_api_test.cc
@@ -13,8 +13,8 @@
 
 using std::chrono::milliseconds;
 
-// Operators that lay down one open queue, whatever the record says.
-class OneQueue : public OperatorDecoder {
+// Configures one open queue, whatever the record contains.
+class SingleQueueDecoder : public OperatorDecoder {
  public:
   std::string topic() const override { return "documents"; }
   void Apply(const KeyedRecord& /*record*/, OperatorState* state) const override {
@@ -28,8 +28,8 @@
   }
 };
 
-// A planner whose store is silent: it takes jobs in and never answers.
-class SilentGate : public PlannerGate {
+// A planner whose store is unresponsive: it accepts jobs and never answers.
+class UnresponsiveGate : public PlannerGate {
  public:
   int submissions() const { return submissions_.load(); }
   void Exchange(const AgentReport& /*report*/,
@@ -46,8 +46,8 @@
   std::atomic<int> submissions_{0};
 };
 
-// A planner that has lost the store and been told who follows it.
-class FollowedGate : public SilentGate {
+// A planner that has lost the store and been told of its successor.
+class SupersededGate : public UnresponsiveGate {
  public:
   PlannerRecord Successor() const override { return {2, "e2", "there"}; }
   void Submit(const JobSpec& /*spec*/, std::function<void(Attempt<Done>)> done) override {
@@ -57,8 +57,8 @@
   }
 };
 
-// Takes everything in.
-class WillingPort : public PlannerClient {
+// Accepts every call.
+class AcceptingClient : public PlannerClient {
  public:
   AgentOrders Exchange(const AgentReport& /*report*/, Duration /*timeout*/) override { return {}; }
   void Submit(const JobSpec& /*spec*/, Duration /*timeout*/) override {}
@@ -67,16 +67,16 @@
   void Offer(Duration /*timeout*/) override {}
 };
 
-// Reaches the planner at "there".
-class OneNeighbour : public PlannerConnector {
+// Connects to the planner at "there" only.
+class SinglePlannerConnector : public PlannerConnector {
  public:
   std::shared_ptr<PlannerClient> Connect(const std::string& address, Duration /*limit*/) override {
     if (address != "there") throw Error(ErrorKind::kUnavailable, Outcome::kNotRun, "nobody there");
-    return std::make_shared<WillingPort>();
+    return std::make_shared<AcceptingClient>();
   }
 };
 
-class NoConnector : public PlannerConnector {
+class FailingConnector : public PlannerConnector {
  public:
   std::shared_ptr<PlannerClient> Connect(const std::string& /*address*/,
                                          Duration /*limit*/) override {
@@ -84,16 +84,18 @@
   }
 };
 
-struct Front {
-  Front() : Front(std::make_unique<SilentGate>(), std::make_unique<NoConnector>()) {}
-  Front(std::unique_ptr<PlannerGate> planner, std::unique_ptr<PlannerConnector> neighbours)
-      : gate(std::move(planner)), connector(std::move(neighbours)) {
+struct ApiFixture {
+  ApiFixture()
+      : ApiFixture(std::make_unique<UnresponsiveGate>(), std::make_unique<FailingConnector>()) {}
+  ApiFixture(std::unique_ptr<PlannerGate> planner,
+             std::unique_ptr<PlannerConnector> planner_connector)
+      : gate(std::move(planner)), connector(std::move(planner_connector)) {
     log.Append("documents", {{"document", "1"}}, {}, std::chrono::seconds(1));
     log.Append(kWorkTopic, {{kPlannerKey, EncodePlanner({1, "e1", "here"})}}, {},
                std::chrono::seconds(1));
     JobApiOptions options;
     options.node = "e1";
-    front = std::make_unique<JobApi>(options, &work, &operators, gate.get(), &reach, &metrics);
+    api = std::make_unique<JobApi>(options, &work, &operators, gate.get(), &router, &metrics);
     while (operators.state()->config.version == 0 || work.leadership().planner.epoch == 0) {
       std::this_thread::yield();
     }
@@ -106,50 +108,52 @@
     call.path = "/jobs/" + id;
     call.timeout = timeout;
     call.read_body = [](JobSpec* spec) { spec->steps.emplace_back(); };
-    return front->Handle(call, LeaseClock().Now()).kind;
+    return api->Handle(call, LeaseClock().Now()).kind;
   }
 
   MemoryKeyedLog log;
   WorkView work{&log};
-  OperatorView operators{&log, std::make_unique<OneQueue>()};
+  OperatorView operators{&log, std::make_unique<SingleQueueDecoder>()};
   std::unique_ptr<PlannerGate> gate;
   std::unique_ptr<PlannerConnector> connector;
   MembersView members{&log, std::chrono::milliseconds(200)};
-  PlannerRouter reach{"e1", "a", &members, connector.get()};
+  PlannerRouter router{"e1", "a", &members, connector.get()};
   MetricsRegistry metrics;
-  std::unique_ptr<JobApi> front;
+  std::unique_ptr<JobApi> api;
 };
 
-// The store goes silent as a job is on its way into it, and the caller is told that nobody knows.
-// It comes again with little patience left, too little to ask anyone. Were it told that its job
-// never runs, it would order anew, and be charged twice once the store is back.
-TEST(JobApi, DoesNotRefuseAJobThatItMayHaveTakenInBefore) {
-  Front front;
-  EXPECT_EQ(front.Submit("j", milliseconds(500)), JobAnswerKind::kUnknown);
-  EXPECT_EQ(front.Submit("j", milliseconds(100)), JobAnswerKind::kUnknown);
-  EXPECT_EQ(front.Submit("other", milliseconds(100)), JobAnswerKind::kNotAccepted);
+// The store becomes unresponsive while a job's record is in flight, and the caller gets kUnknown.
+// The caller repeats the call with too little time left to contact a planner. If the answer were
+// that the job never runs, the caller would order again and be charged twice once the store is
+// back.
+TEST(JobApi, DoesNotRefuseAJobThatMayHaveBeenAccepted) {
+  ApiFixture fixture;
+  EXPECT_EQ(fixture.Submit("j", milliseconds(500)), JobAnswerKind::kUnknown);
+  EXPECT_EQ(fixture.Submit("j", milliseconds(100)), JobAnswerKind::kUnknown);
+  EXPECT_EQ(fixture.Submit("other", milliseconds(100)), JobAnswerKind::kNotAccepted);
 }
 
-// The planner has lost the store and is followed, and its own view of the store still shows itself.
-// A caller that comes to it then waited until its patience was gone, and had none left to try
+// This entry's planner has lost the store and been superseded, but the entry's view still shows it
+// as active. Guards against a call that waits there until its timeout and leaves no time to try
 // another entry.
-TEST(JobApi, GoesToThePlannerThatItHasBeenToldOf) {
-  Front front(std::make_unique<FollowedGate>(), std::make_unique<OneNeighbour>());
-  EXPECT_EQ(front.Submit("j", milliseconds(1000)), JobAnswerKind::kAccepted);
+TEST(JobApi, CallsTheAnnouncedSuccessor) {
+  ApiFixture fixture(std::make_unique<SupersededGate>(),
+                     std::make_unique<SinglePlannerConnector>());
+  EXPECT_EQ(fixture.Submit("j", milliseconds(1000)), JobAnswerKind::kAccepted);
 }
 
-// The process ends before the caller's patience does: the call must be answered, not cut, and a job
-// that no planner was asked about never runs.
+// The process ends before the caller's timeout: the call must be answered rather than cut off, and
+// a job that was never passed to a planner does not run.
 TEST(JobApi, AnswersBeforeTheProcessEnds) {
-  auto gate = std::make_unique<SilentGate>();
-  const SilentGate& planner = *gate;
-  Front front(std::move(gate), std::make_unique<NoConnector>());
-  front.front->SetAnswerDeadline(LeaseClock().Now());
-  EXPECT_EQ(front.Submit("j", std::chrono::hours(1)), JobAnswerKind::kNotAccepted);
+  auto gate = std::make_unique<UnresponsiveGate>();
+  const UnresponsiveGate& planner = *gate;
+  ApiFixture fixture(std::move(gate), std::make_unique<FailingConnector>());
+  fixture.api->SetAnswerDeadline(LeaseClock().Now());
+  EXPECT_EQ(fixture.Submit("j", std::chrono::hours(1)), JobAnswerKind::kNotAccepted);
   EXPECT_EQ(planner.submissions(), 0);
 }
 
-TEST(UnresolvedCalls, ForgetsAfterAWhile) {
+TEST(UnresolvedCalls, ExpireAfterAMinute) {
   UnresolvedCalls calls;
   const Time now = Time(std::chrono::hours(1));
   calls.Note("a", now);
--- a/servers/requests/target_sender.h
+++ b/servers/requests/target_sender.h
@@ -1,5 +1,5 @@
-// Chooses a target, sends it one attempt, and finds out what became of the attempt when the answer
-// does not come back whole.
+// Chooses a target, sends it one attempt of a request, and determines the attempt's outcome when
+// the answer is lost or truncated.
 #pragma once
 
 #include <condition_variable>
@@ -19,14 +19,14 @@
 
 struct SenderOptions {
   std::string own_zone;
-  // An agent not heard for this long gets no new requests.
+  // An agent whose last heartbeat is older gets no new requests.
   Duration heartbeat_age_limit = std::chrono::seconds(3);
-  // The calls in flight to an agent not heard for this long end, and their ids are asked about
-  // over its next connection.
+  // After this long without a heartbeat, an agent's connection is dropped and its calls in flight
+  // fail. Their outcomes are then asked for over the agent's next connection.
   Duration dead = std::chrono::seconds(5);
-  // How long an agent that can't be reached is tried before the outcome is called unknown.
+  // How long an unreachable agent is asked about an attempt before the outcome is called unknown.
   Duration unreachable_timeout = std::chrono::seconds(5);
-  JudgeOptions outliers;
+  OutlierOptions outliers;
 };
 
 class TargetSender {
@@ -38,46 +38,49 @@
   TargetSender(const TargetSender&) = delete;
   TargetSender& operator=(const TargetSender&) = delete;
 
-  // A target of `service`, one not in `avoid` if there is any. Targets that are out get a probe
-  // now and then if `may_probe`. Throws Error(kUnavailable) when there is none.
+  // Chooses a target of `service`, preferably one not in `avoid`. With `may_probe`, an ejected
+  // target that is due for a probe comes first. Throws Error(kUnavailable) without any target.
   AgentState Choose(const std::string& service, const std::set<std::string>& avoid, bool may_probe);
 
-  // Sends `request` to `agent` and returns its whole answer. Throws Error: outcome not_run only if
-  // the agent has refused the attempt and will never run it.
+  // Sends `request` to `agent` and returns its complete answer. Throws Error; its outcome is
+  // not_run only if the agent has refused the attempt and will never run it.
   ServiceAnswer Deliver(const AgentState& agent, const ServiceRequest& request, Time deadline);
 
-  // What became of an attempt sent at `sent` to that start of that agent: its answer, waited for
-  // until `deadline` while it runs. Throws Error as Deliver does.
-  ServiceAnswer Settle(const std::string& agent, const SeenQuestion& question, Time sent,
-                       Time deadline);
+  // Asks `agent` for the outcome of an attempt that was sent at `sent`. Returns its answer, waiting
+  // until `deadline` while the attempt runs. Throws Error as Deliver does.
+  ServiceAnswer ResolveOutcome(const std::string& agent, const SeenQuestion& question, Time sent,
+                               Time deadline);
 
-  // When a refused caller of `service` should come back, from the load of its targets.
+  // How long a refused caller of `service` should wait, estimated from the load of its targets.
   Duration RetryAfter(const std::string& service) const;
 
  private:
-  // Asks once; none when the agent could not be asked.
-  std::optional<SeenAnswer> Ask(const AgentState& agent, SeenQuestion question, Time sent, Time now,
-                                Time deadline) const;
-  void Judge(const std::string& agent, Duration latency, const Error* error, int status, Time now);
-  void RunWatch();
+  // Asks the agent once; nullopt when the agent could not be reached.
+  std::optional<SeenAnswer> QueryAgent(const AgentState& agent, SeenQuestion question, Time sent,
+                                       Time now, Time deadline) const;
+  // Passes a call's result to the outlier detector and the policy. `error` is null for an answer.
+  void RecordResult(const std::string& agent, Duration latency, const Error* error, int status,
+                    Time now);
+  // Thread that disconnects silent agents.
+  void RunSilenceWatch();
 
   const SenderOptions options_;
   const std::unique_ptr<RoutingPolicy> policy_;
   AgentDirectory* const directory_;
-  Counter* const settled_;
+  Counter* const resolved_by_question_;
   Counter* const unknown_;
-  TargetJudge judge_;
+  OutlierDetector outlier_detector_;
 
   std::mutex mutex_;
   std::condition_variable stop_;
   bool stopping_ = false;
-  Thread watch_;
+  Thread silence_watch_;
 };
 
-// The question that settles `request` when it was sent.
-SeenQuestion QuestionAbout(const ServiceRequest& request);
+// The question that asks an agent for the outcome of `request`.
+SeenQuestion MakeQuestion(const ServiceRequest& request);
 
-// Throws Error(kDeadlineExceeded), outcome `outcome`, when `deadline` is not after `now`.
+// Throws Error(kDeadlineExceeded) with `outcome` when `deadline` is not after `now`.
 void RequireTimeLeft(Time deadline, Time now, Outcome outcome);
 
 }  // namespace turmericshift
