--- a/examples/embed/embed.cc
+++ b/examples/embed/embed.cc
@@ -4,7 +4,7 @@
 
 #include "core/digest.h"
 #include "modules/stand_ins/memory_log.h"
-#include "servers/state/config_fold.h"
+#include "servers/state/replicated_config.h"
 #include "servers/state/stream_client.h"
 
 namespace ts = turmericshift;
@@ -32,14 +32,14 @@
 int main() {
   ts::MemoryLog log;  // in production a client of the platform's log, a plug-in of a page
   ts::MetricsRegistry metrics;
-  ts::ConfigFold first_fold;
-  ts::ConfigFold second_fold;
-  ts::StreamClient first(ts::Stream::kConfig, &log, &first_fold, &metrics);
-  ts::StreamClient second(ts::Stream::kConfig, &log, &second_fold, &metrics);
-  const ts::Written won = first.Write(FirstVersion("ilona"), kTimeout);
-  const ts::Written lost = second.Write(FirstVersion("ewan"), kTimeout);
+  ts::ReplicatedConfig first_config;
+  ts::ReplicatedConfig second_config;
+  ts::StreamClient first(ts::Stream::kConfig, &log, &first_config, &metrics);
+  ts::StreamClient second(ts::Stream::kConfig, &log, &second_config, &metrics);
+  const ts::WriteResult won = first.Write(FirstVersion("ilona"), kTimeout);
+  const ts::WriteResult lost = second.Write(FirstVersion("ewan"), kTimeout);
   std::printf("ilona: %s; ewan: %s\n", won.verdict.accepted ? "accepted" : "refused",
               lost.verdict.reason.c_str());
-  const bool agree = first_fold.current()->author == second_fold.current()->author;
+  const bool agree = first_config.current()->author == second_config.current()->author;
   return won.verdict.accepted && !lost.verdict.accepted && agree ? 0 : 1;
 }
--- a/main/benches/bench_control.cc
+++ b/main/benches/bench_control.cc
@@ -14,7 +14,7 @@
 #include "main/benches/bench_spread.h"
 #include "main/dev_cluster.h"
 #include "rpc/traffic.h"
-#include "servers/state/job_fold.h"
+#include "servers/state/replicated_jobs.h"
 
 namespace turmericshift {
 namespace {
@@ -176,14 +176,14 @@
 
 // The epoch of a zone's planner, as the log has it.
 Sequence PlannerEpochIn(DevCluster* cluster, const std::string& zone) {
-  JobFold fold;
+  ReplicatedJobs replicated_jobs;
   const LogBatch batch = cluster->log().Read("jobs", 0, {}, {});
   for (const LogEntry& entry : batch.entries) {
     for (const PlacedRecord& placed : DecodeRecords(entry.bytes)) {
-      fold.Apply(placed.record, SequenceOf(entry.offset, placed.place));
+      replicated_jobs.Apply(placed.record, SequenceOf(entry.offset, placed.place));
     }
   }
-  return fold.Planner(zone).epoch;
+  return replicated_jobs.Planner(zone).epoch;
 }
 
 // An entry goes without a word and another VM takes its name: until the zone has a planner again.
@@ -223,18 +223,18 @@
     log.Append("jobs", EncodeRecords(group), {});
   }
   StreamOptions options;
-  options.snapshot_spread = Duration::zero();
+  options.snapshot_jitter = Duration::zero();
   if (with_snapshot) {
-    JobFold fold;
+    ReplicatedJobs replicated_jobs;
     MetricsRegistry metrics;
-    StreamClient writer(Stream::kJobs, &log, &fold, &metrics, options);
+    StreamClient writer(Stream::kJobs, &log, &replicated_jobs, &metrics, options);
     writer.WaitUntilFresh(kLimit);
-    writer.KeepSnapshot(DefaultClock().Now(), DefaultClock().WallMillis());
+    writer.WriteSnapshotIfDue(DefaultClock().Now(), DefaultClock().WallMillis());
   }
-  JobFold fold;
+  ReplicatedJobs replicated_jobs;
   MetricsRegistry metrics;
   const Time begun = DefaultClock().Now();
-  StreamClient client(Stream::kJobs, &log, &fold, &metrics, options);
+  StreamClient client(Stream::kJobs, &log, &replicated_jobs, &metrics, options);
   Await("not fresh", [&] { return client.view().ever_fresh; });
   const std::string name =
       std::to_string(jobs) + "_jobs" + (with_snapshot ? "_snapshot" : "_whole");
--- a/main/benches/bench_spread.cc
+++ b/main/benches/bench_spread.cc
@@ -83,7 +83,8 @@
     const Time sent = DefaultClock().Now();
     AgentBeat own;
     own.config_version = beat.agent->guard.config_version();
-    beat.agent->guard.Hear(beat.agent->ports[beat.port]->Heartbeat(own, kHeartbeat), sent);
+    beat.agent->guard.HandleHeartbeatReply(beat.agent->ports[beat.port]->Heartbeat(own, kHeartbeat),
+                                           sent);
     if (beat.agent->guard.config_version() >= version && beat.agent->in_force_nanos.load() == 0) {
       beat.agent->in_force_nanos.store(DefaultClock().Now().time_since_epoch().count());
     }
--- a/main/benches/capacity_bench.cc
+++ b/main/benches/capacity_bench.cc
@@ -12,7 +12,7 @@
 #include "servers/agent/start_guard.h"
 #include "servers/planner/guarantee_split.h"
 #include "servers/replay/synthetic_document.h"
-#include "servers/state/job_fold.h"
+#include "servers/state/replicated_jobs.h"
 
 namespace turmericshift {
 namespace {
@@ -128,7 +128,7 @@
       EntryBeat answer;
       answer.freshness.age = Duration::zero();
       const Time hearing = DefaultClock().Now();
-      for (int beat = 0; beat < kBeats; ++beat) guard.Hear(answer, hearing);
+      for (int beat = 0; beat < kBeats; ++beat) guard.HandleHeartbeatReply(answer, hearing);
       hear.push_back(MicrosecondsFor(hearing, kBeats));
     }
     figures->push_back(MachineFigure("agent_beat_encode", "us", encode));
@@ -144,19 +144,19 @@
       records.reserve(kJobs);
       for (int number = 0; number < kJobs; ++number) records.push_back(SubmittedRecord(number));
       const size_t before = BytesInUse();
-      JobFold fold;
+      ReplicatedJobs replicated_jobs;
       const Time begun = DefaultClock().Now();
-      for (int number = 0; number < kJobs; ++number) fold.Apply(records[number], number);
+      for (int number = 0; number < kJobs; ++number) replicated_jobs.Apply(records[number], number);
       apply.push_back(MicrosecondsFor(begun, kJobs));
       bytes.push_back(static_cast<double>(BytesInUse() - before) / kJobs);
       for (int number = kOpenJobs; number < kJobs; ++number) {
         const JobSpec& spec = std::get<JobSubmitted>(records[number]).spec;
         JobEnded ended;
         ended.job = JobId(spec.workspace, spec.key);
-        fold.Apply(ended, kJobs + number);
+        replicated_jobs.Apply(ended, kJobs + number);
       }
       const Time listing = DefaultClock().Now();
-      for (int call = 0; call < kOpenJobsCalls; ++call) fold.OpenJobs("zone-0");
+      for (int call = 0; call < kOpenJobsCalls; ++call) replicated_jobs.OpenJobs("zone-0");
       list.push_back(MicrosecondsFor(listing, kOpenJobsCalls));
     }
     figures->push_back(MachineFigure("job_fold_memory_a_job", "B", bytes));
--- a/servers/agent/agent_server.cc
+++ b/servers/agent/agent_server.cc
@@ -172,7 +172,7 @@
   const Time give_up = DefaultClock().Now() + limit;
   std::unique_lock<std::mutex> lock(mutex_);
   changed_.wait_until(lock, give_up, [this] { return AllTold(); });
-  changed_.wait_until(lock, std::min(give_up, DefaultClock().Now() + options_.leave_linger),
+  changed_.wait_until(lock, std::min(give_up, DefaultClock().Now() + options_.leave_grace_period),
                       [this] { return stopping_; });
   return changed_.wait_until(lock, give_up, [this] { return serving_ == 0; });
 }
@@ -233,11 +233,11 @@
     own.members_digest = plan_.members_digest();
     if (beats++ % kBeatsPerHeard == 0) own.heard = guard_.heard(sent);
     EntryBeat beat = port->Heartbeat(own, options_.heartbeat_timeout);
-    guard_.Hear(beat, sent);
+    guard_.HandleHeartbeatReply(beat, sent);
     ApplyLimits();
     plan_.Learn(beat.members, beat.planner_address);
     beat.entries = plan_.addresses();
-    if (gangs_) gangs_->Hear(address, beat, sent);
+    if (gangs_) gangs_->HandleHeartbeatReply(address, beat, sent);
     if (own.leaving) MarkTold(address);
   } while (!PauseUntilChange(options_.heartbeat, changes) && plan_.StillWanted(address));
 }
@@ -248,7 +248,7 @@
   beat.config_version = guard_.config_version();
   beat.leaving = leaving_.load();
   if (gangs_) {
-    gangs_->FillBeat(&beat, DefaultClock().Now());
+    gangs_->FillHeartbeat(&beat, DefaultClock().Now());
   }
   return beat;
 }
--- a/servers/agent/agent_server.h
+++ b/servers/agent/agent_server.h
@@ -34,7 +34,7 @@
   Duration heartbeat_timeout = std::chrono::milliseconds(2000);
   // After every entry has heard that this agent leaves, requests that they had sent just before
   // may still arrive; they are refused for this long, so that none is met by a closed connection.
-  Duration leave_linger = std::chrono::milliseconds(300);
+  Duration leave_grace_period = std::chrono::milliseconds(300);
 };
 
 class AgentServer : public AgentPort {
--- a/servers/agent/gang_host.cc
+++ b/servers/agent/gang_host.cc
@@ -22,16 +22,16 @@
                    const std::string& name)
     : capacity_(capacity), worker_(worker), guard_(guard), name_(name) {}
 
-void GangHost::Hear(const std::string& entry, const EntryBeat& beat, Time sent) {
+void GangHost::HandleHeartbeatReply(const std::string& entry, const EntryBeat& beat, Time sent) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  watch_.Hear(entry, beat, sent);
+  watch_.HandleHeartbeatReply(entry, beat, sent);
 }
 
 void GangHost::Reserve(const GangReserve& reserve, Time now) {
   const std::lock_guard<std::mutex> lock(mutex_);
   RequireEpoch(reserve.epoch, now);
   RequireTrust(now);
-  guard_->RequireStart(now);
+  guard_->RequireStartAllowed(now);
   const auto found = parts_.find({reserve.job, reserve.attempt});
   if (found != parts_.end()) {
     // The same message again is no news.
@@ -53,7 +53,7 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   RequireEpoch(start.epoch, now);
   RequireTrust(now);
-  guard_->RequireStart(now);
+  guard_->RequireStartAllowed(now);
   Part& part = RequirePart(start.job, start.attempt);
   if (part.phase != Phase::kReserved) return;
   // Marked first: if the worker takes some tasks and then fails, the stop must reach them.
@@ -85,7 +85,7 @@
   if (part.phase == Phase::kStopping) throw Error(ErrorKind::kConflict, "stopping");
   if (now >= part.until) throw Error(ErrorKind::kConflict, "the hold has run out");
   RequireTrust(now);
-  guard_->RequireStart(now);
+  guard_->RequireStartAllowed(now);
   part.phase = Phase::kRunning;
   part.lease = action.lease;
   part.until = now + action.lease;
@@ -180,7 +180,7 @@
   return changed;
 }
 
-void GangHost::FillBeat(AgentBeat* beat, Time now) const {
+void GangHost::FillHeartbeat(AgentBeat* beat, Time now) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   beat->planner_epoch = known_ ? reports_epoch_ : kNoSequence;
   beat->planner_silence = watch_.silence(now);
--- a/servers/agent/gang_host.h
+++ b/servers/agent/gang_host.h
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "servers/agent/planner_watch.h"
+#include "servers/agent/planner_tracker.h"
 #include "servers/agent/start_guard.h"
 #include "servers/platform/worker_service.h"
 #include "servers/ports/messages.h"
@@ -23,7 +23,7 @@
   GangHost(const TaskShape& capacity, WorkerService* worker, const StartGuard* guard,
            const std::string& name = "");
 
-  void Hear(const std::string& entry, const EntryBeat& beat, Time sent);
+  void HandleHeartbeatReply(const std::string& entry, const EntryBeat& beat, Time sent);
 
   // The steps of AgentPort.
   void Reserve(const GangReserve& reserve, Time now);
@@ -39,7 +39,7 @@
   bool Expire(Time now);
 
   // Fills in what a beat says of tasks and planner.
-  void FillBeat(AgentBeat* beat, Time now) const;
+  void FillHeartbeat(AgentBeat* beat, Time now) const;
   Sequence epoch() const;
   // Nothing is reserved, held or running.
   bool idle() const;
--- a/servers/agent/gang_host_test.cc
+++ b/servers/agent/gang_host_test.cc
@@ -60,23 +60,24 @@
     beat.config_version = 1;
     beat.config_text = kDocument;
     beat.freshness.age = Duration::zero();
-    guard_.Hear(beat, clock_.Now());
+    guard_.HandleHeartbeatReply(beat, clock_.Now());
   }
 
   // As after a restart of the agent's process.
   void StartAgent() {
     host_ = std::make_unique<GangHost>(TaskShape{8, int64_t{8} << 30, 8}, &worker_, &guard_);
     host_->Expire(clock_.Now());
-    Hear(kOld);
+    HandleHeartbeatReply(kOld);
   }
 
-  void Hear(Sequence epoch, const std::string& entry = kEntry, bool failing = false) {
+  void HandleHeartbeatReply(Sequence epoch, const std::string& entry = kEntry,
+                            bool failing = false) {
     EntryBeat beat;
     beat.planner_epoch = epoch;
     beat.planner_active = true;
     beat.jobs_freshness = {failing ? Duration(seconds(60)) : Duration::zero(), failing};
     beat.entries = {kEntry, kOtherEntry};
-    host_->Hear(entry, beat, clock_.Now());
+    host_->HandleHeartbeatReply(entry, beat, clock_.Now());
   }
 
   GangReserve Part(Sequence epoch, int64_t attempt, uint32_t accelerators = 1) const {
@@ -120,7 +121,7 @@
 // successor's now.
 TEST_F(GangHostTest, EveryStepOfAReplacedPlannerIsFenced) {
   Run(1);
-  Hear(kNew);
+  HandleHeartbeatReply(kNew);
   const Time now = clock_.Now();
   EXPECT_EQ(KindOf([&] { host_->Reserve(Part(kOld, 2, 2), now); }), ErrorKind::kFenced);
   EXPECT_EQ(KindOf([&] {
@@ -161,7 +162,7 @@
   GangAction renewal = Action(kOld, 1);
   renewal.beat_sent_at = clock_.Now().time_since_epoch().count();
   Pass(seconds(8));
-  Hear(kOld);
+  HandleHeartbeatReply(kOld);
   host_->Renew(renewal, clock_.Now());
   Pass(milliseconds(1100));
   EXPECT_EQ(phase(), TaskPhase::kStopped);
@@ -173,10 +174,10 @@
 TEST_F(GangHostTest, AnAgentThatHearsOnlyAnEntryWithoutTheLogObeysNobody) {
   Run(1);
   Pass(seconds(6));
-  Hear(kOld, kEntry, true);
+  HandleHeartbeatReply(kOld, kEntry, true);
   EXPECT_EQ(KindOf([&] { host_->Renew(Action(kOld, 1), clock_.Now()); }), std::nullopt);
   Pass(seconds(6));
-  Hear(kOld, kEntry, true);
+  HandleHeartbeatReply(kOld, kEntry, true);
   EXPECT_EQ(KindOf([&] { host_->Renew(Action(kOld, 1), clock_.Now()); }), ErrorKind::kStale);
 }
 
@@ -186,8 +187,8 @@
   Run(1);
   for (int round = 0; round < 20; ++round) {
     Pass(seconds(5));
-    Hear(kOld, kEntry, true);
-    Hear(kOld, kOtherEntry, true);
+    HandleHeartbeatReply(kOld, kEntry, true);
+    HandleHeartbeatReply(kOld, kOtherEntry, true);
     EXPECT_EQ(KindOf([&] { host_->Renew(Action(kOld, 1), clock_.Now()); }), std::nullopt);
   }
   EXPECT_EQ(phase(), TaskPhase::kRunning);
@@ -200,7 +201,7 @@
   Pass(seconds(3));
   StartAgent();
   AgentBeat beat;
-  host_->FillBeat(&beat, clock_.Now());
+  host_->FillHeartbeat(&beat, clock_.Now());
   ASSERT_EQ(beat.tasks.size(), 1U);
   EXPECT_EQ(beat.planner_epoch, kOld);
   const GangReserve other = Part(kOld, 2);
--- a/servers/agent/planner_watch.cc
+++ b/servers/agent/planner_tracker.cc
@@ -1,7 +1,7 @@
-#include "servers/agent/planner_watch.h"
-
 #include <algorithm>
 
+#include "servers/agent/planner_tracker.h"
+
 namespace turmericshift {
 namespace {
 
@@ -10,7 +10,8 @@
 
 }  // namespace
 
-void PlannerWatch::Hear(const std::string& entry, const EntryBeat& beat, Time sent) {
+void PlannerWatch::HandleHeartbeatReply(const std::string& entry, const EntryBeat& beat,
+                                        Time sent) {
   epoch_ = std::max(epoch_, beat.planner_epoch);
   if (beat.planner_active && beat.planner_epoch == epoch_) planner_heard_ = sent;
   known_entries_ = beat.entries.size();
--- a/servers/agent/planner_watch.h
+++ b/servers/agent/planner_tracker.h
@@ -16,7 +16,7 @@
 class PlannerWatch {
  public:
   // The answer of the entry at address `entry` to a beat that was sent at `sent`.
-  void Hear(const std::string& entry, const EntryBeat& beat, Time sent);
+  void HandleHeartbeatReply(const std::string& entry, const EntryBeat& beat, Time sent);
   // The planner at `epoch` has called.
   void Called(Sequence epoch, Time now);
   // A task that was found here had been started under `epoch`.
--- a/servers/agent/start_guard.cc
+++ b/servers/agent/start_guard.cc
@@ -22,7 +22,7 @@
 StartGuard::StartGuard(const std::string& zone, const std::string& agent)
     : zone_(zone), agent_(agent) {}
 
-void StartGuard::Hear(const EntryBeat& beat, Time sent) {
+void StartGuard::HandleHeartbeatReply(const EntryBeat& beat, Time sent) {
   const std::lock_guard<std::mutex> lock(mutex_);
   if (!Belongs(beat)) {
     LogEvent(LogLevel::kError, "config_foreign",
@@ -108,7 +108,7 @@
   return zones.size() >= needed;
 }
 
-void StartGuard::RequireStart(Time now) const {
+void StartGuard::RequireStartAllowed(Time now) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   if (!environment_ || !ever_fresh_) throw Error(ErrorKind::kStale, "no document is known yet");
   const bool fresh = now - fresh_at_ <= environment_->bounds.zone_out;
@@ -136,7 +136,7 @@
   return now - heard_at_ <= limit;
 }
 
-std::vector<HeardEntry> StartGuard::heard(Time now) const {
+std::vector<HeardEntry> StartGuard::entry_statements(Time now) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   std::vector<HeardEntry> result;
   for (const auto& [process, statement] : statements_) {
--- a/servers/agent/start_guard.h
+++ b/servers/agent/start_guard.h
@@ -21,10 +21,10 @@
   // An entry's answer to a heartbeat that was sent at `sent`. Takes the document over if it is
   // newer; versions never fall. A document that can't be read, is damaged or belongs to another
   // environment is refused and logged.
-  void Hear(const EntryBeat& beat, Time sent);
+  void HandleHeartbeatReply(const EntryBeat& beat, Time sent);
 
   // Throws Error(kStale) or Error(kLeaving), outcome not_run, when nothing may start at `now`.
-  void RequireStart(Time now) const;
+  void RequireStartAllowed(Time now) const;
 
   const std::string& zone() const { return zone_; }
   int64_t config_version() const;
@@ -33,7 +33,7 @@
   // The agent has heard any entry within the lease.
   bool heard_within(Duration limit, Time now) const;
   // What each entry last said, for other entries.
-  std::vector<HeardEntry> heard(Time now) const;
+  std::vector<HeardEntry> entry_statements(Time now) const;
 
  private:
   // What an entry last said about itself.
--- a/servers/agent/start_guard_test.cc
+++ b/servers/agent/start_guard_test.cc
@@ -36,7 +36,7 @@
 
   bool MayStart(Time now) const {
     try {
-      guard_.RequireStart(now);
+      guard_.RequireStartAllowed(now);
       return true;
     } catch (const Error& error) {
       EXPECT_EQ(error.outcome(), Outcome::kNotRun);
@@ -51,45 +51,49 @@
 // The agent hears nobody: it can't know whether its zone was taken out meanwhile.
 TEST_F(StartGuardTest, HearingNobodyEndsStartsAfterTheBound) {
   EXPECT_FALSE(MayStart(now_));
-  guard_.Hear(Beat("a", 1, milliseconds(100), false), now_);
+  guard_.HandleHeartbeatReply(Beat("a", 1, milliseconds(100), false), now_);
   EXPECT_TRUE(MayStart(now_ + milliseconds(2900)));
   EXPECT_FALSE(MayStart(now_ + milliseconds(2901)));
 }
 
 // One entry lost its way to the log while others read it: operators may take the zone out there.
 TEST_F(StartGuardTest, AnEntryThatCannotReadDoesNotVouchAloneForTheLog) {
-  guard_.Hear(Beat("a", 1, Duration{}, false), now_);
-  guard_.Hear(Beat("b", 1, Duration{}, false), now_ + milliseconds(1));
-  guard_.Hear(Beat("a", 1, seconds(4), true), now_ + seconds(4));
+  guard_.HandleHeartbeatReply(Beat("a", 1, Duration{}, false), now_);
+  guard_.HandleHeartbeatReply(Beat("b", 1, Duration{}, false), now_ + milliseconds(1));
+  guard_.HandleHeartbeatReply(Beat("a", 1, seconds(4), true), now_ + seconds(4));
   EXPECT_FALSE(MayStart(now_ + seconds(4)));
   // The other one still reads: its word is enough.
-  guard_.Hear(Beat("b", 1, milliseconds(200), false), now_ + seconds(4));
+  guard_.HandleHeartbeatReply(Beat("b", 1, milliseconds(200), false), now_ + seconds(4));
   EXPECT_TRUE(MayStart(now_ + seconds(5)));
 }
 
 // The log is down for all entries: accepted work goes on, for nobody can have accepted a document.
 TEST_F(StartGuardTest, WorkGoesOnWhileEveryEntrySaysThatTheLogIsDown) {
-  for (const char* zone : {"a", "b"}) guard_.Hear(Beat(zone, 1, Duration{}, false), now_);
+  for (const char* zone : {"a", "b"})
+    guard_.HandleHeartbeatReply(Beat(zone, 1, Duration{}, false), now_);
   const Time later = now_ + seconds(600);
-  guard_.Hear(Beat("a", 1, seconds(600), true), later);
+  guard_.HandleHeartbeatReply(Beat("a", 1, seconds(600), true), later);
   EXPECT_FALSE(MayStart(later));
-  guard_.Hear(Beat("b", 1, seconds(599), true), later);
+  guard_.HandleHeartbeatReply(Beat("b", 1, seconds(599), true), later);
   EXPECT_TRUE(MayStart(later));
   // One falls silent: it may be the one that reads again.
-  guard_.Hear(Beat("a", 1, seconds(604), true), later + seconds(4));
+  guard_.HandleHeartbeatReply(Beat("a", 1, seconds(604), true), later + seconds(4));
   EXPECT_FALSE(MayStart(later + seconds(4)));
 }
 
 // An entry that still read the log died during the outage; what it accepted last may have reached
 // no agent. Only a read by another entry shows that there was nothing.
 TEST_F(StartGuardTest, AReaderThatDiedIsNotForgottenUntilTheLogIsReadAgain) {
-  for (const char* zone : {"a", "b", "c"}) guard_.Hear(Beat(zone, 1, Duration{}, false), now_);
+  for (const char* zone : {"a", "b", "c"})
+    guard_.HandleHeartbeatReply(Beat(zone, 1, Duration{}, false), now_);
   const Time later = now_ + seconds(600);
-  for (const char* zone : {"a", "b"}) guard_.Hear(Beat(zone, 1, seconds(600), true), later);
+  for (const char* zone : {"a", "b"})
+    guard_.HandleHeartbeatReply(Beat(zone, 1, seconds(600), true), later);
   EXPECT_FALSE(MayStart(later));
-  guard_.Hear(Beat("a", 1, Duration{}, false), later + seconds(1));
+  guard_.HandleHeartbeatReply(Beat("a", 1, Duration{}, false), later + seconds(1));
   const Time again = later + seconds(100);
-  for (const char* zone : {"a", "b"}) guard_.Hear(Beat(zone, 1, seconds(99), true), again);
+  for (const char* zone : {"a", "b"})
+    guard_.HandleHeartbeatReply(Beat(zone, 1, seconds(99), true), again);
   EXPECT_TRUE(MayStart(again));
 }
 
@@ -97,52 +101,57 @@
 // whose last read is newer than its last word, lose the log. Operators can still take the zone out
 // at the first, and shops would see work start in a zone that is under maintenance.
 TEST_F(StartGuardTest, AReaderThatFellSilentCountsThoughOthersReadOnceMore) {
-  for (const char* zone : {"a", "b", "c"}) guard_.Hear(Beat(zone, 1, Duration{}, false), now_);
+  for (const char* zone : {"a", "b", "c"})
+    guard_.HandleHeartbeatReply(Beat(zone, 1, Duration{}, false), now_);
   for (const char* zone : {"a", "b"}) {
-    guard_.Hear(Beat(zone, 1, Duration{}, false), now_ + seconds(1));
+    guard_.HandleHeartbeatReply(Beat(zone, 1, Duration{}, false), now_ + seconds(1));
   }
   const Time later = now_ + seconds(10);
-  for (const char* zone : {"a", "b"}) guard_.Hear(Beat(zone, 1, seconds(9), true), later);
+  for (const char* zone : {"a", "b"})
+    guard_.HandleHeartbeatReply(Beat(zone, 1, seconds(9), true), later);
   EXPECT_FALSE(MayStart(later));
 }
 
 // An entry has just started when the way to it breaks; the others lose the log a moment later. It
 // has read nothing yet when it was last heard, but it reads on and takes operators' orders.
 TEST_F(StartGuardTest, AnEntryThatWasAboutToReadCounts) {
-  for (const char* zone : {"a", "b"}) guard_.Hear(Beat(zone, 1, Duration{}, false), now_);
-  guard_.Hear(Beat("c", 0, Duration(-1), false), now_);
+  for (const char* zone : {"a", "b"})
+    guard_.HandleHeartbeatReply(Beat(zone, 1, Duration{}, false), now_);
+  guard_.HandleHeartbeatReply(Beat("c", 0, Duration(-1), false), now_);
   const Time later = now_ + seconds(10);
-  for (const char* zone : {"a", "b"}) guard_.Hear(Beat(zone, 1, seconds(10), true), later);
+  for (const char* zone : {"a", "b"})
+    guard_.HandleHeartbeatReply(Beat(zone, 1, seconds(10), true), later);
   EXPECT_FALSE(MayStart(later));
 }
 
 // An entry restarted during the outage knows nothing of what it accepted before.
 TEST_F(StartGuardTest, ARestartedEntryDoesNotVouch) {
-  for (const char* zone : {"a", "b"}) guard_.Hear(Beat(zone, 1, Duration{}, false), now_);
+  for (const char* zone : {"a", "b"})
+    guard_.HandleHeartbeatReply(Beat(zone, 1, Duration{}, false), now_);
   const Time later = now_ + seconds(10);
-  guard_.Hear(Beat("a", 1, seconds(10), true), later);
-  guard_.Hear(Beat("b", 0, Duration(-1), true), later);
+  guard_.HandleHeartbeatReply(Beat("a", 1, seconds(10), true), later);
+  guard_.HandleHeartbeatReply(Beat("b", 0, Duration(-1), true), later);
   EXPECT_FALSE(MayStart(later));
 }
 
 // A process that was paused holds an answer whose age no longer holds; time is counted from before
 // the question was sent.
 TEST_F(StartGuardTest, ALateAnswerClaimsNoMoreThanItsQuestion) {
-  guard_.Hear(Beat("a", 1, Duration{}, false), now_);
+  guard_.HandleHeartbeatReply(Beat("a", 1, Duration{}, false), now_);
   const Time woke = now_ + seconds(300);
   EXPECT_FALSE(MayStart(woke));
-  guard_.Hear(Beat("a", 1, Duration{}, false), now_ + seconds(1));
+  guard_.HandleHeartbeatReply(Beat("a", 1, Duration{}, false), now_ + seconds(1));
   EXPECT_FALSE(MayStart(woke));
 }
 
 TEST_F(StartGuardTest, VersionsNeverFallAndAnOutZoneStaysOut) {
-  guard_.Hear(Beat("a", 1, Duration{}, false), now_);
-  guard_.Hear(Beat("b", 2, Duration{}, false), now_ + seconds(1));
+  guard_.HandleHeartbeatReply(Beat("a", 1, Duration{}, false), now_);
+  guard_.HandleHeartbeatReply(Beat("b", 2, Duration{}, false), now_ + seconds(1));
   EXPECT_FALSE(MayStart(now_ + seconds(1)));
   // The other entry is behind and does not know yet.
   EntryBeat old = Beat("a", 1, Duration{}, false);
   old.config_text = Document("in");
-  guard_.Hear(old, now_ + seconds(2));
+  guard_.HandleHeartbeatReply(old, now_ + seconds(2));
   EXPECT_EQ(guard_.config_version(), 2);
   EXPECT_FALSE(MayStart(now_ + seconds(2)));
 }
@@ -151,14 +160,14 @@
 TEST_F(StartGuardTest, DocumentsOfAnotherEnvironmentAreRefused) {
   EntryBeat trial = Beat("a", 1, Duration{}, false);
   trial.environment = "trial";
-  guard_.Hear(trial, now_);
+  guard_.HandleHeartbeatReply(trial, now_);
   EntryBeat production = Beat("b", 2, Duration{}, false);
   production.environment = "production";
-  guard_.Hear(production, now_);
+  guard_.HandleHeartbeatReply(production, now_);
   EXPECT_EQ(guard_.config_version(), 1);
   EntryBeat other = Beat("b", 1, Duration{}, false);
   other.config_digest = Digest("another document");
-  guard_.Hear(other, now_ + seconds(4));
+  guard_.HandleHeartbeatReply(other, now_ + seconds(4));
   EXPECT_FALSE(MayStart(now_ + seconds(4)));
 }
 
--- a/servers/entry/caller_api.cc
+++ b/servers/entry/caller_api.cc
@@ -152,7 +152,7 @@
   if (request.method == "DELETE" && !key.empty()) return CancelJob(request, workspace, key);
   if (request.method == "GET") {
     nlohmann::json list = nlohmann::json::array();
-    for (const JobRecord& job : entry_->job_fold_.List(workspace)) {
+    for (const JobRecord& job : entry_->replicated_jobs_.List(workspace)) {
       list.push_back(JobJson(job, entry_->planners_->RunningAttempt(job),
                              entry_->planners_->WaitReasonFor(job)));
     }
@@ -169,7 +169,7 @@
     throw Error(ErrorKind::kForbidden,
                 "the job's workspace differs from the token's workspace, " + workspace);
   }
-  const auto config = entry_->config_fold_.current();
+  const auto config = entry_->replicated_config_.current();
   record.id = NewRecordId();
   record.config_version = config->version;
   record.wall_ms = DefaultClock().WallMillis();
@@ -177,37 +177,38 @@
   if (const auto refusal = feasibility.Anywhere(record.spec)) {
     throw Error(ErrorKind::kImpossible, "the job can never run: " + refusal->Text());
   }
-  const ZoneLoads loads = LoadsOf(*config->environment, entry_->job_fold_);
+  const ZoneLoads loads = LoadsOf(*config->environment, entry_->replicated_jobs_);
   record.zone = ChooseZone(*config->environment, feasibility, record.spec, loads);
   if (record.zone.empty()) {
     throw Error(ErrorKind::kUnavailable,
                 "none of the availability zones that the job allows is in");
   }
-  const Written written = entry_->job_stream_.Write(record, kRecordTimeout);
+  const WriteResult written = entry_->job_stream_.Write(record, kRecordTimeout);
   const std::string id = JobId(workspace, record.spec.key);
   LogEvent(LogLevel::kInfo, "job_accepted",
            {{"job", id}, {"zone", record.zone}, {"workspace", workspace}});
-  const std::optional<JobRecord> job = entry_->job_fold_.Find(id);
+  const std::optional<JobRecord> job = entry_->replicated_jobs_.Find(id);
   return JsonResponse(JobJson(*job, 0, "").dump(), written.verdict.accepted ? 201 : 200);
 }
 
 HttpResponse CallerApi::ShowJob(const HttpRequest& request, const std::string& workspace,
                                 const std::string& key) {
-  const std::optional<JobRecord> job = entry_->job_fold_.Find(JobId(workspace, key));
+  const std::optional<JobRecord> job = entry_->replicated_jobs_.Find(JobId(workspace, key));
   if (!job) throw Error(ErrorKind::kNotFound, "no job '" + key + "' in this workspace");
   const std::string planner_answer = AskPlanner(request, *job);
   if (!planner_answer.empty()) return JsonResponse(planner_answer);
   std::string why = entry_->planners_->WaitReasonFor(*job);
-  if (why.empty()) why = PlannerUnavailableReason(entry_->job_fold_.Planner(job->zone), job->zone);
+  if (why.empty())
+    why = PlannerUnavailableReason(entry_->replicated_jobs_.Planner(job->zone), job->zone);
   return JsonResponse(JobJson(*job, entry_->planners_->RunningAttempt(*job), why).dump());
 }
 
 std::string CallerApi::AskPlanner(const HttpRequest& request, const JobRecord& job) {
-  const PlannerEpoch planner = entry_->job_fold_.Planner(job.zone);
+  const PlannerEpoch planner = entry_->replicated_jobs_.Planner(job.zone);
   const bool self = planner.process.empty() || planner.process == entry_->options_.process;
   // Forwarded only once, so that two entries with different views don't forward a query forever.
   if (job.state != JobState::kWaiting || self || !request.header(kAskedByHeader).empty()) return "";
-  for (const MemberJoined& member : entry_->member_fold_.members()) {
+  for (const MemberJoined& member : entry_->replicated_members_.members()) {
     if (member.process != planner.process || member.caller_address.empty()) continue;
     HttpCall call;
     call.url = "http://" + member.caller_address + kJobsPath + "/" + job.spec.key;
@@ -228,7 +229,7 @@
 HttpResponse CallerApi::CancelJob(const HttpRequest& request, const std::string& workspace,
                                   const std::string& key) {
   const std::string id = JobId(workspace, key);
-  if (!entry_->job_fold_.Find(id)) {
+  if (!entry_->replicated_jobs_.Find(id)) {
     throw Error(ErrorKind::kNotFound, "no job '" + key + "' in this workspace");
   }
   entry_->job_stream_.Write(JobCancelled{NewRecordId(), id}, kRecordTimeout);
--- a/servers/entry/config_api.cc
+++ b/servers/entry/config_api.cc
@@ -71,26 +71,27 @@
 }
 
 std::shared_ptr<const ConfigVersion> ConfigApi::Current() const {
-  auto current = entry_->config_fold_.current();
+  auto current = entry_->replicated_config_.current();
   if (!current) throw Error(ErrorKind::kNotFound, "no environment document has been published yet");
   return current;
 }
 
 HttpResponse ConfigApi::ShowVersion(int64_t version) const {
-  const auto found = entry_->config_fold_.Find(version);
+  const auto found = entry_->replicated_config_.Find(version);
   if (!found) {
     throw Error(ErrorKind::kNotFound,
                 "version " + std::to_string(version) + " is not in the history");
   }
   nlohmann::json json = VersionJson(*found);
-  json["environment"] = entry_->config_fold_.environment_name();
+  json["environment"] = entry_->replicated_config_.environment_name();
   json["text"] = found->text;
   return JsonResponse(json.dump());
 }
 
 HttpResponse ConfigApi::ShowHistory() const {
   nlohmann::json list = nlohmann::json::array();
-  for (const auto& version : entry_->config_fold_.history()) list.push_back(VersionJson(*version));
+  for (const auto& version : entry_->replicated_config_.history())
+    list.push_back(VersionJson(*version));
   return JsonResponse(list.dump());
 }
 
@@ -98,11 +99,11 @@
   const Time now = DefaultClock().Now();
   std::vector<PeerState> peers = entry_->peers_.RecentlySeen(now, kInForceMaxReportAge);
   // This entry knows its own version without an agent's report.
-  const auto current = entry_->config_fold_.current();
+  const auto current = entry_->replicated_config_.current();
   const EntryMember self{entry_->options_.process, entry_->options_.zone, ""};
   peers.push_back({self, current ? current->version : 0, now});
-  return ReportInForce(version, entry_->directory_.Agents(""), entry_->member_fold_.members(),
-                       peers, now);
+  return ReportInForce(version, entry_->directory_.Agents(""),
+                       entry_->replicated_members_.members(), peers, now);
 }
 
 HttpResponse ConfigApi::ShowInForce(const HttpRequest& request) const {
@@ -142,7 +143,7 @@
   if (options.trial.empty()) return;
   // A rollback: the document was promoted before, and a rollback must not have to wait for the
   // trial.
-  for (const auto& version : entry_->config_fold_.history()) {
+  for (const auto& version : entry_->replicated_config_.history()) {
     if (version->digest == digest) return;
   }
   const std::string proof = request.argument("trial_proof");
@@ -209,7 +210,7 @@
 }
 
 std::shared_ptr<const ConfigVersion> ConfigApi::CommitChange(const Record& record) {
-  if (auto earlier = entry_->config_fold_.FindChange(RecordId(record))) return earlier;
+  if (auto earlier = entry_->replicated_config_.FindChange(RecordId(record))) return earlier;
   std::shared_ptr<const ConfigVersion> accepted = WriteChange(record);
   LogEvent(LogLevel::kInfo, "config_accepted",
            {{"version", accepted->version},
@@ -222,18 +223,18 @@
 
 std::shared_ptr<const ConfigVersion> ConfigApi::WriteChange(const Record& record) {
   try {
-    const Written written = entry_->config_stream_.Write(record, kRecordTimeout);
+    const WriteResult written = entry_->config_stream_.Write(record, kRecordTimeout);
     if (!written.verdict.accepted) throw Error(ErrorKind::kConflict, written.verdict.reason);
   } catch (const Error& error) {
     // A copy that another entry wrote may have been applied just before this entry's own.
-    auto earlier = entry_->config_fold_.FindChange(RecordId(record));
+    auto earlier = entry_->replicated_config_.FindChange(RecordId(record));
     if (!earlier) throw;
     LogEvent(LogLevel::kInfo, "config_change_found",
              {{"change", earlier->change}, {"error", error.what()}});
     return earlier;
   }
   // Missing only if so many changes followed that this change has left the history again.
-  auto accepted = entry_->config_fold_.FindChange(RecordId(record));
+  auto accepted = entry_->replicated_config_.FindChange(RecordId(record));
   return accepted ? accepted : Current();
 }
 
--- a/servers/entry/config_api.h
+++ b/servers/entry/config_api.h
@@ -24,7 +24,7 @@
 
 #include "core/http_server.h"
 #include "servers/entry/in_force.h"
-#include "servers/state/config_fold.h"
+#include "servers/state/replicated_config.h"
 
 namespace turmericshift {
 
--- a/servers/entry/entry_server.cc
+++ b/servers/entry/entry_server.cc
@@ -49,24 +49,26 @@
       metrics_(metrics),
       incarnation_(RandomHex(kIncarnationBytes)),
       budget_(options.appends_per_second),
-      config_stream_(Stream::kConfig, log, &config_fold_, metrics, OptionsFor(Stream::kConfig)),
-      job_stream_(Stream::kJobs, log, &job_fold_, metrics, OptionsFor(Stream::kJobs)),
-      request_stream_(Stream::kRequests, log, &request_fold_, metrics,
+      config_stream_(Stream::kConfig, log, &replicated_config_, metrics,
+                     OptionsFor(Stream::kConfig)),
+      job_stream_(Stream::kJobs, log, &replicated_jobs_, metrics, OptionsFor(Stream::kJobs)),
+      request_stream_(Stream::kRequests, log, &replicated_requests_, metrics,
                       OptionsFor(Stream::kRequests)),
-      member_stream_(Stream::kMembers, log, &member_fold_, metrics, OptionsFor(Stream::kMembers)),
-      tokens_(&config_fold_) {
+      member_stream_(Stream::kMembers, log, &replicated_members_, metrics,
+                     OptionsFor(Stream::kMembers)),
+      tokens_(&replicated_config_) {
   RouterOptions router;
   router.sender.own_zone = options.zone;
   router.sender.outliers.enabled = options.eject_outliers;
   router_ = std::make_unique<RequestRouter>(
       router, RoutingPolicyRegistry::Instance().Create(options.routing_policy, options.seed),
-      &directory_, &request_stream_, &request_fold_, &config_fold_, metrics);
+      &directory_, &request_stream_, &replicated_requests_, &replicated_config_, metrics);
   ZonePlannerManagerOptions planners;
   planners.process = options.process;
   planners.own_zone = options.zone;
   planners.policy = options.placement_policy;
-  planners_ = std::make_unique<ZonePlannerManager>(planners, &directory_, &job_stream_, &job_fold_,
-                                                   &config_fold_, metrics);
+  planners_ = std::make_unique<ZonePlannerManager>(planners, &directory_, &job_stream_,
+                                                   &replicated_jobs_, &replicated_config_, metrics);
   caller_http_ = std::make_unique<HttpServer>(
       options.caller_http,
       [this](const HttpRequest& request) { return CallerApi(this).Handle(request); });
@@ -105,7 +107,7 @@
   options.snapshot_period = options_.snapshot_period;
   if (stream == Stream::kConfig) {
     // A read that hangs must be counted as failed before the bound for zone changes has passed.
-    options.read_wait = std::chrono::milliseconds(500);
+    options.long_poll_wait = std::chrono::milliseconds(500);
     options.read_timeout = std::chrono::milliseconds(1500);
   }
   return options;
@@ -136,7 +138,7 @@
     address = address_;
   }
   if (address.empty() || leaving_.load()) return;
-  for (const MemberJoined& member : member_fold_.members()) {
+  for (const MemberJoined& member : replicated_members_.members()) {
     if (member.process != options_.process) continue;
     if (member.incarnation == incarnation_ && member.address == address) return;
   }
@@ -155,7 +157,7 @@
     silent_since_.clear();
     return;
   }
-  for (const MemberJoined& member : member_fold_.members()) {
+  for (const MemberJoined& member : replicated_members_.members()) {
     if (seen.count(member.process) != 0) {
       silent_since_.erase(member.process);
       continue;
@@ -187,7 +189,7 @@
     }
     for (StreamClient* stream :
          {&config_stream_, &request_stream_, &job_stream_, &member_stream_}) {
-      stream->KeepSnapshot(now, wall_ms);
+      stream->WriteSnapshotIfDue(now, wall_ms);
     }
   } catch (const Error& error) {
     LogEvent(LogLevel::kWarning, "upkeep_failed", {{"error", error.what()}});
@@ -200,8 +202,8 @@
   // as it must still accept jobs.
   const bool grace_period_over = DefaultClock().Now() - started_ > kStartupGracePeriod;
   if (!grace_period_over && directory_.Agents("").empty()) return false;
-  return !leaving_.load() && config_fold_.current() != nullptr && job_stream_.view().ever_fresh &&
-         request_stream_.view().ever_fresh;
+  return !leaving_.load() && replicated_config_.current() != nullptr &&
+         job_stream_.view().ever_fresh && request_stream_.view().ever_fresh;
 }
 
 // The load balancer checks only from time to time whether this entry is ready. Until then it sends
@@ -235,7 +237,7 @@
   if (view.ever_fresh) answer.freshness.age = now - view.fresh_at;
   answer.freshness.failing = view.failing;
   // The document is read after the freshness, so that it is at least as new as the freshness says.
-  const auto current = config_fold_.current();
+  const auto current = replicated_config_.current();
   if (current) {
     answer.config_version = current->version;
     answer.config_digest = current->digest;
@@ -245,7 +247,7 @@
   const StreamView jobs = job_stream_.view();
   if (jobs.ever_fresh) answer.jobs_freshness.age = now - jobs.fresh_at;
   answer.jobs_freshness.failing = jobs.failing;
-  const PlannerEpoch epoch = job_fold_.Planner(hello.zone);
+  const PlannerEpoch epoch = replicated_jobs_.Planner(hello.zone);
   answer.planner_epoch = epoch.epoch;
   answer.planner_active = epoch.process == options_.process && planners_->Active(hello.zone);
   // An agent may have received a newer version from an entry that has gone since. Naming this
@@ -255,7 +257,7 @@
     answer.config_digest.clear();
     answer.config_text.clear();
   }
-  answer.environment = config_fold_.environment_name();
+  answer.environment = replicated_config_.environment_name();
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     answer.self = {options_.process, options_.zone, address_};
@@ -272,7 +274,7 @@
 
 std::vector<EntryMember> EntryServer::KnownEntries(Time now) const {
   std::vector<EntryMember> result;
-  for (const MemberJoined& member : member_fold_.members()) {
+  for (const MemberJoined& member : replicated_members_.members()) {
     result.push_back({member.process, member.zone, member.address});
   }
   // While the log is down, agents know of entries that could not join. Reported entries are added
--- a/servers/entry/entry_server.h
+++ b/servers/entry/entry_server.h
@@ -19,10 +19,10 @@
 #include "servers/entry/token_table.h"
 #include "servers/planner/zone_planner_manager.h"
 #include "servers/ports/entry_port.h"
-#include "servers/state/config_fold.h"
-#include "servers/state/job_fold.h"
-#include "servers/state/member_fold.h"
-#include "servers/state/request_fold.h"
+#include "servers/state/replicated_config.h"
+#include "servers/state/replicated_jobs.h"
+#include "servers/state/replicated_members.h"
+#include "servers/state/replicated_requests.h"
 #include "servers/state/stream_client.h"
 
 namespace turmericshift {
@@ -101,10 +101,10 @@
   const Time started_ = DefaultClock().Now();
   std::atomic<bool> leaving_{false};
 
-  ConfigFold config_fold_;
-  JobFold job_fold_;
-  RequestFold request_fold_;
-  MemberFold member_fold_;
+  ReplicatedConfig replicated_config_;
+  ReplicatedJobs replicated_jobs_;
+  ReplicatedRequests replicated_requests_;
+  ReplicatedMembers replicated_members_;
   AppendBudget budget_;
   StreamClient config_stream_;
   StreamClient job_stream_;
--- a/servers/entry/operator_api.cc
+++ b/servers/entry/operator_api.cc
@@ -42,7 +42,7 @@
     const SnapshotState state = stream->TakeSnapshot();
     streams[stream->name()] = {{"next", state.covers}, {"digest", Digest(state.bytes)}};
   }
-  const auto current = entry_->config_fold_.current();
+  const auto current = entry_->replicated_config_.current();
   const StreamView view = entry_->config_stream_.view();
   const nlohmann::json status = {{"process", entry_->options_.process},
                                  {"zone", entry_->options_.zone},
@@ -50,7 +50,7 @@
                                  {"config_version", current ? current->version : 0},
                                  {"log_failing", view.failing},
                                  {"planner_duty", entry_->planners_->Active(entry_->options_.zone)},
-                                 {"environment", entry_->config_fold_.environment_name()},
+                                 {"environment", entry_->replicated_config_.environment_name()},
                                  {"streams", streams},
                                  {"agents", agents}};
   return JsonResponse(status.dump());
--- a/servers/entry/request_router.cc
+++ b/servers/entry/request_router.cc
@@ -32,15 +32,15 @@
 
 RequestRouter::RequestRouter(const RouterOptions& options, std::unique_ptr<RoutingPolicy> policy,
                              AgentDirectory* directory, StreamClient* requests,
-                             const RequestFold* fold, const ConfigFold* config,
-                             MetricsRegistry* metrics)
+                             const ReplicatedRequests* replicated_requests,
+                             const ReplicatedConfig* config, MetricsRegistry* metrics)
     : options_(options),
       config_(config),
       retries_(&metrics->counter("router_retries")),
       latency_(&metrics->distribution("router_request_seconds")),
       budget_(options.budget),
       sender_(options.sender, std::move(policy), directory, metrics),
-      idempotent_(&sender_, &budget_, requests, fold, metrics) {}
+      idempotent_(&sender_, &budget_, requests, replicated_requests, metrics) {}
 
 ServiceAnswer RequestRouter::Route(const ServiceRequest& request, int64_t key_first_used_ms) {
   const Time begun = DefaultClock().Now();
--- a/servers/entry/request_router.h
+++ b/servers/entry/request_router.h
@@ -9,7 +9,7 @@
 #include "servers/requests/idempotent_router.h"
 #include "servers/requests/retry_budget.h"
 #include "servers/requests/target_sender.h"
-#include "servers/state/config_fold.h"
+#include "servers/state/replicated_config.h"
 
 namespace turmericshift {
 
@@ -23,8 +23,9 @@
  public:
   // `config` may be null: no service is then repeatable. Other pointers must outlive the router.
   RequestRouter(const RouterOptions& options, std::unique_ptr<RoutingPolicy> policy,
-                AgentDirectory* directory, StreamClient* requests, const RequestFold* fold,
-                const ConfigFold* config, MetricsRegistry* metrics);
+                AgentDirectory* directory, StreamClient* requests,
+                const ReplicatedRequests* replicated_requests, const ReplicatedConfig* config,
+                MetricsRegistry* metrics);
 
   // Throws Error; its outcome says what is known about this request, over all attempts.
   // `request.time_left` is the time until the caller's deadline. A request with an idempotency key
@@ -43,7 +44,7 @@
   bool Repeatable(const std::string& service) const;
 
   const RouterOptions options_;
-  const ConfigFold* const config_;
+  const ReplicatedConfig* const config_;
   Counter* const retries_;
   Distribution* const latency_;
   RetryBudget budget_;
--- a/servers/entry/token_table.cc
+++ b/servers/entry/token_table.cc
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-TokenTable::TokenTable(const ConfigFold* config) : config_(config) {}
+TokenTable::TokenTable(const ReplicatedConfig* config) : config_(config) {}
 
 std::string TokenTable::RequireWorkspace(const HttpRequest& request) {
   const std::string token = BearerToken(request);
--- a/servers/entry/token_table.h
+++ b/servers/entry/token_table.h
@@ -7,13 +7,13 @@
 #include <unordered_map>
 
 #include "core/http_server.h"
-#include "servers/state/config_fold.h"
+#include "servers/state/replicated_config.h"
 
 namespace turmericshift {
 
 class TokenTable {
  public:
-  explicit TokenTable(const ConfigFold* config);
+  explicit TokenTable(const ReplicatedConfig* config);
 
   // The workspace whose token the request carries. Throws Error(kUnauthenticated), or
   // Error(kStale) before the first document.
@@ -24,7 +24,7 @@
   void RequireOperator(const HttpRequest& request, const std::string& bootstrap) const;
 
  private:
-  const ConfigFold* const config_;
+  const ReplicatedConfig* const config_;
   std::mutex mutex_;
   int64_t cached_version_ = 0;
   // Workspace by keyed hash of the token, so that a token seen before costs one hash instead of one
--- a/servers/planner/claim_rule.h
+++ b/servers/planner/claim_rule.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "servers/entry/agent_directory.h"
-#include "servers/state/job_fold.h"
+#include "servers/state/replicated_jobs.h"
 
 namespace turmericshift {
 
--- a/servers/planner/planner_simulation_test.cc
+++ b/servers/planner/planner_simulation_test.cc
@@ -62,8 +62,8 @@
   bool log_unreachable = false;
   bool failing = false;
   Time log_current_at{};
-  std::unique_ptr<JobFold> jobs;
-  std::unique_ptr<ConfigFold> config;
+  std::unique_ptr<ReplicatedJobs> jobs;
+  std::unique_ptr<ReplicatedConfig> config;
   std::unique_ptr<AgentDirectory> directory;
   std::unique_ptr<Writer> writer;
   std::unique_ptr<GangRunner> runner;
@@ -87,7 +87,7 @@
  public:
   Writer(PlannerSimulation* simulation, Entry* entry) : simulation_(simulation), entry_(entry) {}
 
-  Written Write(const Record& record, Duration /*timeout*/) override {
+  WriteResult Write(const Record& record, Duration /*timeout*/) override {
     if (entry_->log_unreachable) {
       throw Error(ErrorKind::kLogUnavailable, Outcome::kNotRun, "the log is unreachable");
     }
@@ -101,7 +101,7 @@
     return {SequenceOf(offset, 0), last_verdict_};
   }
 
-  void Applied(Offset offset, const FoldVerdict& verdict) {
+  void Applied(Offset offset, const RecordVerdict& verdict) {
     if (offset == last_offset_) last_verdict_ = verdict;
   }
 
@@ -109,7 +109,7 @@
   PlannerSimulation* const simulation_;
   Entry* const entry_;
   Offset last_offset_ = kNoOffset;
-  FoldVerdict last_verdict_;
+  RecordVerdict last_verdict_;
 };
 
 // The connection from one entry to an agent. Calls and responses may be lost or delayed, and the
@@ -361,7 +361,7 @@
   const bool paused = now < entry->paused_until;
   if (!entry->up || paused || agent->unreachable_entries.count(entry->name) != 0) return;
   AgentBeat beat;
-  agent->host->FillBeat(&beat, now);
+  agent->host->FillHeartbeat(&beat, now);
   entry->directory->RecordHeartbeat(HelloOf(agent->name), beat, now);
   EntryBeat answer;
   const PlannerEpoch epoch = entry->jobs->Planner(kZone);
@@ -369,13 +369,13 @@
   answer.planner_active = epoch.process == entry->name && entry->service->is_leader();
   answer.jobs_freshness = {now - entry->log_current_at, entry->failing};
   for (const auto& each : entries_) answer.entries.push_back(each->name);
-  agent->host->Hear(entry->name, answer, now);
+  agent->host->HandleHeartbeatReply(entry->name, answer, now);
   // Agents receive documents immediately; outages of this path are tested elsewhere.
   const auto config = entry->config->current();
   answer.config_version = config->version;
   answer.config_text = config->text;
   answer.freshness.age = Duration::zero();
-  agent->guard->Hear(answer, now);
+  agent->guard->HandleHeartbeatReply(answer, now);
 }
 
 void PlannerSimulation::StartEntry(Entry* entry) {
@@ -383,8 +383,8 @@
   entry->log_unreachable = false;
   entry->next = 0;
   entry->appends_seen = -1;
-  entry->jobs = std::make_unique<JobFold>();
-  entry->config = std::make_unique<ConfigFold>();
+  entry->jobs = std::make_unique<ReplicatedJobs>();
+  entry->config = std::make_unique<ReplicatedConfig>();
   entry->directory = std::make_unique<AgentDirectory>();
   entry->writer = std::make_unique<Writer>(this, entry);
   entry->runner = std::make_unique<GangRunner>(entry->directory.get(), 0);
--- a/servers/planner/zone_choice.cc
+++ b/servers/planner/zone_choice.cc
@@ -70,7 +70,7 @@
   workspace_accelerators[spec.workspace] -= AcceleratorsOf(spec);
 }
 
-ZoneLoads LoadsOf(const Environment& environment, const JobFold& jobs) {
+ZoneLoads LoadsOf(const Environment& environment, const ReplicatedJobs& jobs) {
   ZoneLoads loads;
   for (const auto& [name, zone] : environment.zones) {
     for (const JobRecord& job : jobs.OpenJobs(name)) loads[name].Add(job.spec);
--- a/servers/planner/zone_choice.h
+++ b/servers/planner/zone_choice.h
@@ -9,7 +9,7 @@
 
 #include "servers/config/environment.h"
 #include "servers/planner/feasibility.h"
-#include "servers/state/job_fold.h"
+#include "servers/state/replicated_jobs.h"
 
 namespace turmericshift {
 
@@ -25,7 +25,7 @@
 };
 using ZoneLoads = std::map<std::string, ZoneLoad>;
 
-ZoneLoads LoadsOf(const Environment& environment, const JobFold& jobs);
+ZoneLoads LoadsOf(const Environment& environment, const ReplicatedJobs& jobs);
 
 // `environment` must be the one that `feasibility` was made from. Returns a zone that is in,
 // allowed by the job and able to run it; "" if there is none. Prefers zones where the job fits
--- a/servers/planner/zone_planner.h
+++ b/servers/planner/zone_planner.h
@@ -14,7 +14,7 @@
 #include "servers/planner/placement_policy.h"
 #include "servers/planner/worker_health.h"
 #include "servers/planner/zone_view.h"
-#include "servers/state/job_fold.h"
+#include "servers/state/replicated_jobs.h"
 
 namespace turmericshift {
 
--- a/servers/planner/zone_planner_manager.cc
+++ b/servers/planner/zone_planner_manager.cc
@@ -26,8 +26,9 @@
   ManagedZone(const PlannerOptions& options, ZonePlannerManager* owner)
       : steps("planner-step", kStepThreads),
         service(
-            options, owner->directory_, owner->jobs_, owner->job_fold_, owner->config_fold_,
-            &owner->runner_, [this](std::function<void()> work) { steps.Submit(std::move(work)); },
+            options, owner->directory_, owner->jobs_, owner->replicated_jobs_,
+            owner->replicated_config_, &owner->runner_,
+            [this](std::function<void()> work) { steps.Submit(std::move(work)); },
             owner->metrics_) {}
 
   ThreadPool steps;
@@ -38,13 +39,14 @@
 
 ZonePlannerManager::ZonePlannerManager(const ZonePlannerManagerOptions& options,
                                        AgentDirectory* directory, RecordWriter* jobs,
-                                       const JobFold* job_fold, const ConfigFold* config_fold,
+                                       const ReplicatedJobs* replicated_jobs,
+                                       const ReplicatedConfig* replicated_config,
                                        MetricsRegistry* metrics)
     : options_(options),
       directory_(directory),
       jobs_(jobs),
-      job_fold_(job_fold),
-      config_fold_(config_fold),
+      replicated_jobs_(replicated_jobs),
+      replicated_config_(replicated_config),
       metrics_(metrics),
       runner_(directory, kMaxCalls) {
   thread_ = Thread("planners", [this] { Run(); });
@@ -93,7 +95,7 @@
 void ZonePlannerManager::Run() {
   std::unique_lock<std::mutex> lock(mutex_);
   while (!stopping_) {
-    if (const auto config = config_fold_->current()) {
+    if (const auto config = replicated_config_->current()) {
       for (const auto& [name, spec] : config->environment->zones) {
         if (zones_.count(name) != 0) continue;
         PlannerOptions options;
@@ -115,7 +117,7 @@
   int64_t seen_changes = -1;
   Time next_step_at = DefaultClock().Now();
   while (true) {
-    const int64_t changes = job_fold_->changes();
+    const int64_t changes = replicated_jobs_->changes();
     const Time now = DefaultClock().Now();
     if (changes != seen_changes || now >= next_step_at || zone->service.has_completions()) {
       seen_changes = changes;
--- a/servers/planner/zone_planner_manager.h
+++ b/servers/planner/zone_planner_manager.h
@@ -27,8 +27,8 @@
  public:
   // All pointers must outlive the manager.
   ZonePlannerManager(const ZonePlannerManagerOptions& options, AgentDirectory* directory,
-                     RecordWriter* jobs, const JobFold* job_fold, const ConfigFold* config_fold,
-                     MetricsRegistry* metrics);
+                     RecordWriter* jobs, const ReplicatedJobs* replicated_jobs,
+                     const ReplicatedConfig* replicated_config, MetricsRegistry* metrics);
   ~ZonePlannerManager();
   ZonePlannerManager(const ZonePlannerManager&) = delete;
   ZonePlannerManager& operator=(const ZonePlannerManager&) = delete;
@@ -55,8 +55,8 @@
   const ZonePlannerManagerOptions options_;
   AgentDirectory* const directory_;
   RecordWriter* const jobs_;
-  const JobFold* const job_fold_;
-  const ConfigFold* const config_fold_;
+  const ReplicatedJobs* const replicated_jobs_;
+  const ReplicatedConfig* const replicated_config_;
   MetricsRegistry* const metrics_;
   GangRunner runner_;
 
--- a/servers/planner/zone_planner_service.cc
+++ b/servers/planner/zone_planner_service.cc
@@ -38,14 +38,15 @@
 }  // namespace
 
 ZonePlannerService::ZonePlannerService(const PlannerOptions& options, AgentDirectory* directory,
-                                       RecordWriter* jobs, const JobFold* job_fold,
-                                       const ConfigFold* config_fold, GangRunner* runner,
-                                       Executor executor, MetricsRegistry* metrics)
+                                       RecordWriter* jobs, const ReplicatedJobs* replicated_jobs,
+                                       const ReplicatedConfig* replicated_config,
+                                       GangRunner* runner, Executor executor,
+                                       MetricsRegistry* metrics)
     : options_(options),
       directory_(directory),
       jobs_(jobs),
-      job_fold_(job_fold),
-      config_fold_(config_fold),
+      replicated_jobs_(replicated_jobs),
+      replicated_config_(replicated_config),
       runner_(runner),
       executor_(std::move(executor)),
       decide_seconds_(&metrics->distribution("planner_decide_seconds")),
@@ -62,7 +63,7 @@
   RunCompletions(now);
   const std::vector<AgentState> agents = directory_->Agents(options_.zone);
   if (!EnsureLeadership(agents, now)) return;
-  const auto config = config_fold_->current();
+  const auto config = replicated_config_->current();
   if (!config) return;
   planner_->SetEnvironment(config->environment);
   const std::vector<AgentState> confirmed = ConfirmedAgents(agents, now);
@@ -151,7 +152,7 @@
 }
 
 bool ZonePlannerService::EnsureLeadership(const std::vector<AgentState>& agents, Time now) {
-  const PlannerEpoch leader = job_fold_->Planner(options_.zone);
+  const PlannerEpoch leader = replicated_jobs_->Planner(options_.zone);
   if (epoch_ != kNoSequence) {
     if (leader.epoch == epoch_ && leader.process == options_.process) return true;
     StepDown("the log names another active planner");
@@ -168,7 +169,7 @@
     Sequence epoch = kNoSequence;
     try {
       const PlannerClaimed claim{NewRecordId(), options_.zone, options_.process, after};
-      const Written written = jobs_->Write(claim, kRecordTimeout);
+      const WriteResult written = jobs_->Write(claim, kRecordTimeout);
       if (written.verdict.accepted) epoch = written.sequence;
     } catch (const Error& error) {
       LogEvent(LogLevel::kWarning, "planner_claim_failed",
@@ -235,7 +236,8 @@
     }
     if (agent.beat.planner_epoch == epoch_) confirmed.push_back(agent);
   }
-  const AvailabilityZoneSpec* zone = config_fold_->current()->environment->FindZone(options_.zone);
+  const AvailabilityZoneSpec* zone =
+      replicated_config_->current()->environment->FindZone(options_.zone);
   const size_t expected = zone == nullptr ? 0 : static_cast<size_t>(zone->workers);
   all_agents_reported_ =
       all_agents_reported_ || confirmed.size() >= expected || now >= UnreportedLeaseExpiry();
@@ -268,7 +270,7 @@
 
 void ZonePlannerService::SyncJobs(const ReportTable& table, Time now) {
   std::set<std::string> open;
-  for (const JobRecord& job : job_fold_->OpenJobs(options_.zone)) {
+  for (const JobRecord& job : replicated_jobs_->OpenJobs(options_.zone)) {
     open.insert(job.id);
     if (pending_records_.count(job.id) != 0) continue;
     if (resolved_.count(job.id) == 0) {
@@ -303,7 +305,7 @@
   const auto& running = planner_->view().running;
   const auto job = std::find_if(running.begin(), running.end(),
                                 [&](const RunningJob& each) { return each.id == start.job; });
-  const std::optional<JobRecord> record = job_fold_->Find(start.job);
+  const std::optional<JobRecord> record = replicated_jobs_->Find(start.job);
   if (job == running.end()) return;
   // A job with a pending record, such as a move to another zone, may already belong to another
   // planner.
@@ -329,11 +331,11 @@
   RunAsync([this, gang = attempt.gang]() -> Completion {
     bool start_recorded = false;
     const auto before_release = [&] {
-      const std::optional<JobRecord> latest = job_fold_->Find(gang.job);
+      const std::optional<JobRecord> latest = replicated_jobs_->Find(gang.job);
       if (!latest || latest->state != JobState::kWaiting || latest->cancel_asked) {
         throw Error(ErrorKind::kCancelled, "the job is no longer wanted");
       }
-      if (job_fold_->Planner(options_.zone).epoch != gang.epoch) {
+      if (replicated_jobs_->Planner(options_.zone).epoch != gang.epoch) {
         throw Error(ErrorKind::kFenced, "a newer planner has the zone");
       }
       if (gang.spec.repeatable) return;
@@ -342,7 +344,7 @@
       start_recorded = true;
       const JobStarting starting{NewRecordId(), gang.job, gang.attempt, gang.epoch,
                                  !gang.checkpoint.empty()};
-      const Written written = jobs_->Write(starting, kStartRecordTimeout);
+      const WriteResult written = jobs_->Write(starting, kStartRecordTimeout);
       if (written.verdict.accepted) return;
       start_recorded = false;
       throw Error(ErrorKind::kConflict, written.verdict.reason);
@@ -373,7 +375,7 @@
   for (const MemberFailure& failure : result.failures) {
     if (TimedOut(failure.error)) avoided_until_[failure.worker] = now + kWorkerAvoidancePeriod;
   }
-  const std::optional<JobRecord> record = job_fold_->Find(job);
+  const std::optional<JobRecord> record = replicated_jobs_->Find(job);
   if (record && record->cancel_asked) {
     attempt->final_state = JobState::kCancelled;
     attempt->reason = "cancelled by the caller";
@@ -447,7 +449,7 @@
   if (waiting.empty()) return;
   const auto environment = planner_->view().environment;
   const Feasibility feasibility(environment);
-  ZoneLoads loads = LoadsOf(*environment, *job_fold_);
+  ZoneLoads loads = LoadsOf(*environment, *replicated_jobs_);
   const size_t most = planner_->view().in ? kMaxMovesPerInterval : kMaxMovesWhenOut;
   size_t moves = 0;
   for (const WaitingJob& job : waiting) {
@@ -470,7 +472,7 @@
 }
 
 Duration ZonePlannerService::lease() const {
-  const auto config = config_fold_->current();
+  const auto config = replicated_config_->current();
   return config ? config->environment->bounds.lease : Bounds{}.lease;
 }
 
--- a/servers/planner/zone_planner_service.h
+++ b/servers/planner/zone_planner_service.h
@@ -21,9 +21,9 @@
 #include "servers/planner/live_attempt.h"
 #include "servers/planner/report_table.h"
 #include "servers/planner/zone_planner.h"
-#include "servers/state/config_fold.h"
-#include "servers/state/job_fold.h"
 #include "servers/state/record_writer.h"
+#include "servers/state/replicated_config.h"
+#include "servers/state/replicated_jobs.h"
 
 namespace turmericshift {
 
@@ -44,7 +44,8 @@
 
   // All pointers must outlive the service.
   ZonePlannerService(const PlannerOptions& options, AgentDirectory* directory, RecordWriter* jobs,
-                     const JobFold* job_fold, const ConfigFold* config_fold, GangRunner* runner,
+                     const ReplicatedJobs* replicated_jobs,
+                     const ReplicatedConfig* replicated_config, GangRunner* runner,
                      Executor executor, MetricsRegistry* metrics);
   // Waits for all work that was passed to the executor.
   ~ZonePlannerService();
@@ -121,7 +122,7 @@
   void EndJob(const std::string& job, int64_t number, JobState state, const std::string& reason,
               const GangAttempt& attempt_to_forget);
   void WritePendingRecords(Time now);
-  void OnRecordWritten(const std::string& job, const FoldVerdict& verdict);
+  void OnRecordWritten(const std::string& job, const RecordVerdict& verdict);
 
   LiveAttempt* Find(const std::string& job, int64_t number);
   Duration lease() const;
@@ -137,8 +138,8 @@
   const PlannerOptions options_;
   AgentDirectory* const directory_;
   RecordWriter* const jobs_;
-  const JobFold* const job_fold_;
-  const ConfigFold* const config_fold_;
+  const ReplicatedJobs* const replicated_jobs_;
+  const ReplicatedConfig* const replicated_config_;
   GangRunner* const runner_;
   const Executor executor_;
   Distribution* const decide_seconds_;
--- a/servers/planner/zone_planner_service_attempts.cc
+++ b/servers/planner/zone_planner_service_attempts.cc
@@ -220,7 +220,7 @@
   for (const auto& [key, reported] : table.attempts()) {
     const auto& [job, number] = key;
     if (Find(job, number) != nullptr || pending_records_.count(job) != 0) continue;
-    const std::optional<JobRecord> record = job_fold_->Find(job);
+    const std::optional<JobRecord> record = replicated_jobs_->Find(job);
     const bool open =
         record && record->state == JobState::kWaiting && record->zone == options_.zone;
     if (open && resolved_.count(job) == 0) continue;
@@ -264,7 +264,7 @@
     pending.writing = true;
     RunAsync([this, job = job, record = pending.record]() -> Completion {
       try {
-        const FoldVerdict verdict = jobs_->Write(record, kRecordTimeout).verdict;
+        const RecordVerdict verdict = jobs_->Write(record, kRecordTimeout).verdict;
         return [this, job, verdict](Time) { OnRecordWritten(job, verdict); };
       } catch (const Error&) {
         // The agents keep their reports until the log is available again.
@@ -279,7 +279,7 @@
   }
 }
 
-void ZonePlannerService::OnRecordWritten(const std::string& job, const FoldVerdict& verdict) {
+void ZonePlannerService::OnRecordWritten(const std::string& job, const RecordVerdict& verdict) {
   const auto found = pending_records_.find(job);
   if (found == pending_records_.end()) return;
   const PendingRecord pending = found->second;
@@ -288,7 +288,7 @@
   checkpoints_.erase(job);
   const auto* ended = std::get_if<JobEnded>(&pending.record);
   if (ended != nullptr && verdict.accepted) {
-    const std::optional<JobRecord> record = job_fold_->Find(job);
+    const std::optional<JobRecord> record = replicated_jobs_->Find(job);
     if (!record) return;
     LogEvent(LogLevel::kInfo, "job_ended",
              {{"job", job},
@@ -319,7 +319,7 @@
 }
 
 void ZonePlannerService::LogJob(const char* event, const GangAttempt& gang) const {
-  const std::optional<JobRecord> record = job_fold_->Find(gang.job);
+  const std::optional<JobRecord> record = replicated_jobs_->Find(gang.job);
   const int64_t waited = record ? DefaultClock().WallMillis() - record->submitted_wall_ms : 0;
   LogEvent(LogLevel::kInfo, event,
            {{"job", gang.job},
--- a/servers/replay/replay_step.cc
+++ b/servers/replay/replay_step.cc
@@ -32,13 +32,13 @@
     if (worker.zone != name || !worker.up) continue;
     zone->planner->WorkerUp(worker.name, worker.rack, worker.capacity);
   }
-  for (const JobRecord& job : job_fold_.OpenJobs(name)) {
+  for (const JobRecord& job : replicated_jobs_.OpenJobs(name)) {
     zone->planner->JobAccepted(job, now_);
     if (job.cancel_asked) zone->planner->CancelAsked(job.id);
   }
   for (const auto& [key, attempt] : platform_->attempts()) {
     if (attempt.zone != name || attempt.end_time <= now_) continue;
-    zone->planner->FoundRunning(*job_fold_.Find(key.job), key.attempt, attempt.tasks,
+    zone->planner->FoundRunning(*replicated_jobs_.Find(key.job), key.attempt, attempt.tasks,
                                 attempt.borrowed, now_);
   }
   zone->needs_decision = true;
@@ -81,7 +81,7 @@
     EndJob(attempt.zone, attempt.job, attempt.attempt, JobState::kDone, "");
   } else if (end == AttemptEnd::kFailed) {
     EndJob(attempt.zone, attempt.job, attempt.attempt, JobState::kFailed, "a task failed");
-  } else if (job_fold_.Find(attempt.job)->cancel_asked) {
+  } else if (replicated_jobs_.Find(attempt.job)->cancel_asked) {
     EndJob(attempt.zone, attempt.job, attempt.attempt, JobState::kCancelled, "by the caller");
     end = AttemptEnd::kFailed;
   } else if (attempt.saves) {
@@ -126,7 +126,7 @@
   if (log_down_) return;
   const std::vector<WaitingJob> waiting = zone->planner->view().waiting;
   for (const WaitingJob& job : waiting) {
-    if (!job_fold_.Find(job.id)->cancel_asked) continue;
+    if (!replicated_jobs_.Find(job.id)->cancel_asked) continue;
     EndJob(name, job.id, job.last_attempt, JobState::kCancelled, "by the caller");
     zone->planner->JobGone(job.id);
   }
@@ -149,7 +149,7 @@
     jobs_.at(job.id).zone = to;
     zone->planner->JobGone(job.id);
     Zone& next = RequireZone(to);
-    next.planner->JobAccepted(*job_fold_.Find(job.id), now_);
+    next.planner->JobAccepted(*replicated_jobs_.Find(job.id), now_);
     next.needs_decision = true;
     if (++moves >= kMaxMovesPerInterval) return;
   }
--- a/servers/replay/replayer.cc
+++ b/servers/replay/replayer.cc
@@ -145,8 +145,8 @@
   }
 }
 
-FoldVerdict Replayer::Record(const turmericshift::Record& record) {
-  return job_fold_.Apply(record, next_sequence_++);
+RecordVerdict Replayer::Record(const turmericshift::Record& record) {
+  return replicated_jobs_.Apply(record, next_sequence_++);
 }
 
 void Replayer::Submit(const TracedJob& job, Duration submitted) {
@@ -190,20 +190,20 @@
   recorder_.Write(Kind::kJobAccepted,
                   {{"job", id}, {"workspace", job.spec.workspace}, {"zone", record.zone}}, now_);
   Zone& zone = RequireZone(record.zone);
-  zone.planner->JobAccepted(*job_fold_.Find(id), now_);
+  zone.planner->JobAccepted(*replicated_jobs_.Find(id), now_);
   zone.needs_decision = true;
 }
 
 void Replayer::Cancel(const std::string& job) {
   if (!Record(JobCancelled{NewRecordId(), job}).accepted) return;
-  Zone& zone = RequireZone(job_fold_.Find(job)->zone);
+  Zone& zone = RequireZone(replicated_jobs_.Find(job)->zone);
   zone.planner->CancelAsked(job);
   zone.needs_decision = true;
 }
 
 void Replayer::CancelWave(const TraceEvent& event) {
   std::vector<std::string> open;
-  for (const JobRecord& job : job_fold_.List("")) {
+  for (const JobRecord& job : replicated_jobs_.List("")) {
     if (job.state == JobState::kWaiting && job.id.rfind(event.subject, 0) == 0) {
       open.push_back(job.id);
     }
@@ -258,7 +258,7 @@
 }
 
 void Replayer::ApplyConfig(const turmericshift::Record& record) {
-  const FoldVerdict verdict = config_.Apply(record, next_sequence_++);
+  const RecordVerdict verdict = config_.Apply(record, next_sequence_++);
   if (!verdict.accepted) throw Error(ErrorKind::kInvalidInput, verdict.reason);
   const std::shared_ptr<const ConfigVersion> current = config_.current();
   feasibility_ = std::make_unique<Feasibility>(current->environment);
--- a/servers/replay/replayer.h
+++ b/servers/replay/replayer.h
@@ -16,8 +16,8 @@
 #include "servers/replay/replay_platform.h"
 #include "servers/replay/replay_recorder.h"
 #include "servers/replay/trace.h"
-#include "servers/state/config_fold.h"
-#include "servers/state/job_fold.h"
+#include "servers/state/replicated_config.h"
+#include "servers/state/replicated_jobs.h"
 
 namespace turmericshift {
 
@@ -71,7 +71,7 @@
   // log is up.
   bool NeedsLog(const TraceEvent& event) const;
 
-  FoldVerdict Record(const turmericshift::Record& record);
+  RecordVerdict Record(const turmericshift::Record& record);
   void EndJob(const std::string& zone, const std::string& job, int64_t attempt, JobState state,
               const std::string& reason);
   void RecordEnd(const JobEnded& ended);
@@ -105,8 +105,8 @@
   const std::string policy_;
   const Time start_;
   Time now_;
-  ConfigFold config_;
-  JobFold job_fold_;
+  ReplicatedConfig config_;
+  ReplicatedJobs replicated_jobs_;
   Sequence next_sequence_ = 1;
   bool log_down_ = false;
   std::deque<TraceEvent> events_;
--- a/servers/requests/idempotent_router.cc
+++ b/servers/requests/idempotent_router.cc
@@ -58,12 +58,13 @@
 }  // namespace
 
 IdempotentRouter::IdempotentRouter(TargetSender* sender, RetryBudget* budget,
-                                   StreamClient* requests, const RequestFold* fold,
+                                   StreamClient* requests,
+                                   const ReplicatedRequests* replicated_requests,
                                    MetricsRegistry* metrics)
     : sender_(sender),
       budget_(budget),
       requests_(requests),
-      fold_(fold),
+      replicated_requests_(replicated_requests),
       claims_(&metrics->counter("router_claims")),
       followed_(&metrics->counter("router_claims_followed")) {}
 
@@ -96,12 +97,13 @@
 
 std::optional<RequestState> IdempotentRouter::FindAfterGracePeriod(const ServiceRequest& request,
                                                                    Time deadline) const {
-  std::optional<RequestState> state = fold_->Find(request.workspace, request.idempotency_key);
+  std::optional<RequestState> state =
+      replicated_requests_->Find(request.workspace, request.idempotency_key);
   const Time limit = std::min(deadline, DefaultClock().Now() + kForwardGracePeriod);
   while (state && !state->ended && !state->never_ran && !state->expired &&
          DefaultClock().Now() < limit) {
     std::this_thread::sleep_for(kGracePollInterval);
-    state = fold_->Find(request.workspace, request.idempotency_key);
+    state = replicated_requests_->Find(request.workspace, request.idempotency_key);
   }
   return state;
 }
@@ -140,7 +142,7 @@
   claim.agent = agent.hello.process;
   claim.incarnation = agent.hello.incarnation;
   claim.wall_ms = DefaultClock().WallMillis();
-  Written written;
+  WriteResult written;
   try {
     claims_->Add();
     const Duration left = deadline - DefaultClock().Now();
@@ -164,7 +166,7 @@
     // A follower may have had the agent refuse this attempt, and may be running the next one.
     if (error.kind() == ErrorKind::kFenced) return std::nullopt;
     if (error.outcome() != Outcome::kNotRun) throw;
-    const auto state = fold_->Find(request.workspace, request.idempotency_key);
+    const auto state = replicated_requests_->Find(request.workspace, request.idempotency_key);
     if (state && state->claim.attempt != attempt) return std::nullopt;
     RecordNeverRan(claim);
     const bool retry = AnswerFor(error.kind()).retryable && budget_->Spend();
@@ -182,7 +184,8 @@
 }
 
 void IdempotentRouter::RequireKeyRetained(int64_t key_first_used_ms) const {
-  if (key_first_used_ms != 0 && key_first_used_ms <= fold_->forgotten_until_ms()) ThrowKeyExpired();
+  if (key_first_used_ms != 0 && key_first_used_ms <= replicated_requests_->forgotten_until_ms())
+    ThrowKeyExpired();
 }
 
 void IdempotentRouter::RecordOutcome(const RequestClaimed& claim, const ServiceAnswer& answer) {
--- a/servers/requests/idempotent_router.h
+++ b/servers/requests/idempotent_router.h
@@ -9,7 +9,7 @@
 #include "core/metrics.h"
 #include "servers/requests/retry_budget.h"
 #include "servers/requests/target_sender.h"
-#include "servers/state/request_fold.h"
+#include "servers/state/replicated_requests.h"
 #include "servers/state/stream_client.h"
 
 namespace turmericshift {
@@ -18,7 +18,7 @@
  public:
   // All pointers must outlive the router.
   IdempotentRouter(TargetSender* sender, RetryBudget* budget, StreamClient* requests,
-                   const RequestFold* fold, MetricsRegistry* metrics);
+                   const ReplicatedRequests* replicated_requests, MetricsRegistry* metrics);
 
   // Throws Error; its outcome says what is known about this request, over all attempts.
   // `key_first_used_ms` is when the caller first used the key (ms since 1970), 0 if not given.
@@ -47,7 +47,7 @@
   TargetSender* const sender_;
   RetryBudget* const budget_;
   StreamClient* const requests_;
-  const RequestFold* const fold_;
+  const ReplicatedRequests* const replicated_requests_;
   Counter* const claims_;
   Counter* const followed_;
 };
--- a/servers/state/record_writer.h
+++ b/servers/state/record_writer.h
@@ -6,7 +6,7 @@
 
 namespace turmericshift {
 
-struct Written;
+struct WriteResult;
 
 class RecordWriter {
  public:
@@ -14,7 +14,7 @@
   // Appends `record` and waits until the fold has it.
   // Throws Error(kLogUnavailable): outcome not_run when it was surely not appended, otherwise
   // unknown; Error(kOverloaded) when too many records wait already.
-  virtual Written Write(const Record& record, Duration timeout) = 0;
+  virtual WriteResult Write(const Record& record, Duration timeout) = 0;
 };
 
 }  // namespace turmericshift
--- a/servers/state/config_fold.cc
+++ b/servers/state/replicated_config.cc
@@ -1,10 +1,9 @@
-#include "servers/state/config_fold.h"
-
 #include <nlohmann/json.hpp>
 #include <utility>
 
 #include "core/digest.h"
 #include "core/error.h"
+#include "servers/state/replicated_config.h"
 
 namespace turmericshift {
 namespace {
@@ -34,7 +33,7 @@
 
 }  // namespace
 
-FoldVerdict ConfigFold::Apply(const Record& record, Sequence sequence) {
+RecordVerdict ReplicatedConfig::Apply(const Record& record, Sequence sequence) {
   const std::lock_guard<std::mutex> lock(mutex_);
   try {
     if (const auto* published = std::get_if<ConfigPublished>(&record)) {
@@ -47,7 +46,7 @@
   return {false, "not a config record"};
 }
 
-FoldVerdict ConfigFold::Take(const ConfigPublished& published, Sequence sequence) {
+RecordVerdict ReplicatedConfig::Take(const ConfigPublished& published, Sequence sequence) {
   const std::string foreign = Foreign(published.environment);
   if (!foreign.empty()) return {false, foreign};
   const ConfigVersion* before = newest();
@@ -82,7 +81,7 @@
   return {};
 }
 
-FoldVerdict ConfigFold::Take(const ZoneChanged& change, Sequence sequence) {
+RecordVerdict ReplicatedConfig::Take(const ZoneChanged& change, Sequence sequence) {
   const std::string foreign = Foreign(change.environment);
   if (!foreign.empty()) return {false, foreign};
   const ConfigVersion* before = newest();
@@ -104,14 +103,14 @@
   return {};
 }
 
-std::string ConfigFold::Foreign(const std::string& environment) const {
+std::string ReplicatedConfig::Foreign(const std::string& environment) const {
   if (environment.empty() || environment_name_.empty() || environment == environment_name_) {
     return "";
   }
   return "this is the log of environment " + environment_name_ + ", not of " + environment;
 }
 
-void ConfigFold::Append(ConfigVersion version) {
+void ReplicatedConfig::Append(ConfigVersion version) {
   if (!version.environment) {
     version.environment = std::make_shared<const Environment>(
         ParseEnvironment("version " + std::to_string(version.version), version.text));
@@ -122,11 +121,11 @@
   changed_.notify_all();
 }
 
-const ConfigVersion* ConfigFold::newest() const {
+const ConfigVersion* ReplicatedConfig::newest() const {
   return history_.empty() ? nullptr : history_.back().get();
 }
 
-nlohmann::json ConfigFold::Snapshot() const {
+nlohmann::json ReplicatedConfig::Snapshot() const {
   const std::lock_guard<std::mutex> lock(mutex_);
   nlohmann::json versions = nlohmann::json::array();
   for (const auto& version : history_) {
@@ -140,7 +139,7 @@
   return {{"environment", environment_name_}, {"versions", versions}};
 }
 
-void ConfigFold::Restore(const nlohmann::json& state) {
+void ReplicatedConfig::Restore(const nlohmann::json& state) {
   const std::lock_guard<std::mutex> lock(mutex_);
   history_.clear();
   environment_name_ = state.at("environment").get<std::string>();
@@ -156,17 +155,17 @@
   }
 }
 
-std::shared_ptr<const ConfigVersion> ConfigFold::current() const {
+std::shared_ptr<const ConfigVersion> ReplicatedConfig::current() const {
   const std::lock_guard<std::mutex> lock(mutex_);
   return history_.empty() ? nullptr : history_.back();
 }
 
-std::vector<std::shared_ptr<const ConfigVersion>> ConfigFold::history() const {
+std::vector<std::shared_ptr<const ConfigVersion>> ReplicatedConfig::history() const {
   const std::lock_guard<std::mutex> lock(mutex_);
   return history_;
 }
 
-std::shared_ptr<const ConfigVersion> ConfigFold::Find(int64_t version) const {
+std::shared_ptr<const ConfigVersion> ReplicatedConfig::Find(int64_t version) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   for (const auto& each : history_) {
     if (each->version == version) return each;
@@ -174,7 +173,7 @@
   return nullptr;
 }
 
-std::shared_ptr<const ConfigVersion> ConfigFold::FindChange(const std::string& change) const {
+std::shared_ptr<const ConfigVersion> ReplicatedConfig::FindChange(const std::string& change) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   for (const auto& each : history_) {
     if (!change.empty() && each->change == change) return each;
@@ -182,12 +181,12 @@
   return nullptr;
 }
 
-std::string ConfigFold::environment_name() const {
+std::string ReplicatedConfig::environment_name() const {
   const std::lock_guard<std::mutex> lock(mutex_);
   return environment_name_;
 }
 
-bool ConfigFold::WaitFor(int64_t version, Duration limit) const {
+bool ReplicatedConfig::WaitFor(int64_t version, Duration limit) const {
   std::unique_lock<std::mutex> lock(mutex_);
   return changed_.wait_for(
       lock, limit, [&] { return !history_.empty() && history_.back()->version >= version; });
--- a/servers/state/config_fold.h
+++ b/servers/state/replicated_config.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "servers/config/environment.h"
-#include "servers/state/fold.h"
+#include "servers/state/replicated_state.h"
 
 namespace turmericshift {
 
@@ -25,9 +25,9 @@
   std::shared_ptr<const Environment> environment;
 };
 
-class ConfigFold : public Fold {
+class ReplicatedConfig : public ReplicatedState {
  public:
-  FoldVerdict Apply(const Record& record, Sequence sequence) override;
+  RecordVerdict Apply(const Record& record, Sequence sequence) override;
   nlohmann::json Snapshot() const override;
   void Restore(const nlohmann::json& state) override;
 
@@ -45,8 +45,8 @@
   bool WaitFor(int64_t version, Duration limit) const;
 
  private:
-  FoldVerdict Take(const ConfigPublished& published, Sequence sequence);
-  FoldVerdict Take(const ZoneChanged& change, Sequence sequence);
+  RecordVerdict Take(const ConfigPublished& published, Sequence sequence);
+  RecordVerdict Take(const ZoneChanged& change, Sequence sequence);
   // "" or why a record of that environment does not belong here.
   std::string Foreign(const std::string& environment) const;
   // Throws Error(kInvalidInput) for a text that is no document.
--- a/servers/state/config_fold_test.cc
+++ b/servers/state/replicated_config_test.cc
@@ -1,8 +1,7 @@
-#include "servers/state/config_fold.h"
-
 #include <gtest/gtest.h>
 
 #include "core/digest.h"
+#include "servers/state/replicated_config.h"
 
 namespace turmericshift {
 namespace {
@@ -29,10 +28,10 @@
 // Two operators publish on the same parent: the log's order decides, and the second is told whose
 // document came first.
 TEST(ConfigFoldTest, OfTwoRacingDocumentsTheFirstCounts) {
-  ConfigFold fold;
+  ReplicatedConfig fold;
   EXPECT_TRUE(fold.Apply(Publish(0, Document("in")), 0).accepted);
   EXPECT_TRUE(fold.Apply(Publish(1, Document("in") + "# one\n"), 1).accepted);
-  const FoldVerdict second = fold.Apply(Publish(1, Document("in") + "# two\n"), 2);
+  const RecordVerdict second = fold.Apply(Publish(1, Document("in") + "# two\n"), 2);
   EXPECT_FALSE(second.accepted);
   EXPECT_EQ(second.reason, "version 2 by 'kati' came first");
   EXPECT_EQ(fold.current()->version, 2);
@@ -41,7 +40,7 @@
 // One operator takes a zone out while another publishes an unrelated change: the zone is out in
 // either order, and a document written before does not bring it back unnoticed.
 TEST(ConfigFoldTest, AZoneChangeNeverLosesAgainstADocument) {
-  ConfigFold fold;
+  ReplicatedConfig fold;
   fold.Apply(Publish(0, Document("in")), 0);
   fold.Apply(Publish(1, Document("in") + "# one\n"), 1);
   EXPECT_TRUE(fold.Apply(Zone(false), 2).accepted);
@@ -58,7 +57,7 @@
 
 // A document is promoted while production has a zone out: the zone stays out.
 TEST(ConfigFoldTest, APromotedDocumentMayKeepTheZonesAsTheyAre) {
-  ConfigFold fold;
+  ReplicatedConfig fold;
   fold.Apply(Publish(0, Document("in")), 0);
   fold.Apply(Zone(false), 1);
   ConfigPublished promoted = Publish(2, Document("in") + "# new\n");
@@ -68,7 +67,7 @@
 }
 
 TEST(ConfigFoldTest, RefusesDocumentsOfOtherEnvironmentsAndDeployments) {
-  ConfigFold fold;
+  ReplicatedConfig fold;
   ConfigPublished first = Publish(0, Document("in"));
   first.environment = "trial";
   EXPECT_TRUE(fold.Apply(first, 0).accepted);
--- a/servers/state/job_fold.cc
+++ b/servers/state/replicated_jobs.cc
@@ -1,8 +1,8 @@
-#include "servers/state/job_fold.h"
-
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
+#include "servers/state/replicated_jobs.h"
+
 namespace turmericshift {
 namespace {
 
@@ -14,10 +14,10 @@
 
 }  // namespace
 
-FoldVerdict JobFold::Apply(const Record& record, Sequence sequence) {
+RecordVerdict ReplicatedJobs::Apply(const Record& record, Sequence sequence) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  const FoldVerdict verdict = std::visit(
-      [&](const auto& each) -> FoldVerdict {
+  const RecordVerdict verdict = std::visit(
+      [&](const auto& each) -> RecordVerdict {
         if constexpr (requires { Take(each, sequence); }) {
           return Take(each, sequence);
         } else {
@@ -29,7 +29,7 @@
   return verdict;
 }
 
-FoldVerdict JobFold::Take(const JobSubmitted& record, Sequence sequence) {
+RecordVerdict ReplicatedJobs::Take(const JobSubmitted& record, Sequence sequence) {
   const std::string id = JobId(record.spec.workspace, record.spec.key);
   if (jobs_.count(id) != 0) return {false, "the job was submitted before"};
   JobRecord job;
@@ -43,7 +43,7 @@
   return {};
 }
 
-FoldVerdict JobFold::Take(const JobCancelled& record, Sequence /*sequence*/) {
+RecordVerdict ReplicatedJobs::Take(const JobCancelled& record, Sequence /*sequence*/) {
   const auto found = jobs_.find(record.job);
   if (found == jobs_.end()) return {false, "no such job"};
   if (found->second.state != JobState::kWaiting) return {false, "the job has ended"};
@@ -51,7 +51,7 @@
   return {};
 }
 
-FoldVerdict JobFold::Take(const JobEnded& record, Sequence /*sequence*/) {
+RecordVerdict ReplicatedJobs::Take(const JobEnded& record, Sequence /*sequence*/) {
   const auto found = jobs_.find(record.job);
   if (found == jobs_.end()) return {false, "no such job"};
   if (found->second.state != JobState::kWaiting) return {false, "the job has ended"};
@@ -68,7 +68,7 @@
   return {};
 }
 
-FoldVerdict JobFold::Take(const JobMoved& record, Sequence /*sequence*/) {
+RecordVerdict ReplicatedJobs::Take(const JobMoved& record, Sequence /*sequence*/) {
   const auto found = jobs_.find(record.job);
   if (found == jobs_.end()) return {false, "no such job"};
   JobRecord& job = found->second;
@@ -83,7 +83,7 @@
   return {};
 }
 
-FoldVerdict JobFold::Take(const JobStarting& record, Sequence /*sequence*/) {
+RecordVerdict ReplicatedJobs::Take(const JobStarting& record, Sequence /*sequence*/) {
   const auto found = jobs_.find(record.job);
   if (found == jobs_.end()) return {false, "no such job"};
   JobRecord& job = found->second;
@@ -97,7 +97,7 @@
   return {};
 }
 
-FoldVerdict JobFold::Take(const JobNotStarted& record, Sequence /*sequence*/) {
+RecordVerdict ReplicatedJobs::Take(const JobNotStarted& record, Sequence /*sequence*/) {
   const auto found = jobs_.find(record.job);
   if (found == jobs_.end()) return {false, "no such job"};
   const std::string why = WhyVoid(found->second, record.epoch);
@@ -107,14 +107,14 @@
   return {};
 }
 
-FoldVerdict JobFold::Take(const PlannerClaimed& record, Sequence sequence) {
+RecordVerdict ReplicatedJobs::Take(const PlannerClaimed& record, Sequence sequence) {
   PlannerEpoch& planner = planners_[record.zone];
   if (planner.epoch != record.after) return {false, "another entry has taken the zone"};
   planner = {record.process, sequence};
   return {};
 }
 
-FoldVerdict JobFold::Take(const PlannerReleased& record, Sequence /*sequence*/) {
+RecordVerdict ReplicatedJobs::Take(const PlannerReleased& record, Sequence /*sequence*/) {
   PlannerEpoch& planner = planners_[record.zone];
   if (planner.epoch != record.epoch) return {false, "a newer planner has the zone"};
   // The epoch stays: the next one must be above it.
@@ -122,7 +122,7 @@
   return {};
 }
 
-std::string JobFold::WhyVoid(const JobRecord& job, Sequence epoch) const {
+std::string ReplicatedJobs::WhyVoid(const JobRecord& job, Sequence epoch) const {
   if (job.state != JobState::kWaiting) return "the job has ended";
   const auto planner = planners_.find(job.zone);
   if (planner == planners_.end() || planner->second.epoch != epoch) {
@@ -131,7 +131,7 @@
   return "";
 }
 
-nlohmann::json JobFold::Snapshot() const {
+nlohmann::json ReplicatedJobs::Snapshot() const {
   const std::lock_guard<std::mutex> lock(mutex_);
   nlohmann::json jobs = nlohmann::json::array();
   for (const auto& [id, job] : jobs_) {
@@ -156,7 +156,7 @@
   return {{"changes", changes_}, {"jobs", jobs}, {"planners", planners}};
 }
 
-void JobFold::Restore(const nlohmann::json& state) {
+void ReplicatedJobs::Restore(const nlohmann::json& state) {
   const std::lock_guard<std::mutex> lock(mutex_);
   jobs_.clear();
   open_.clear();
@@ -186,14 +186,14 @@
   }
 }
 
-std::optional<JobRecord> JobFold::Find(const std::string& id) const {
+std::optional<JobRecord> ReplicatedJobs::Find(const std::string& id) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   const auto found = jobs_.find(id);
   if (found == jobs_.end()) return std::nullopt;
   return found->second;
 }
 
-std::vector<JobRecord> JobFold::List(const std::string& workspace) const {
+std::vector<JobRecord> ReplicatedJobs::List(const std::string& workspace) const {
   std::vector<JobRecord> result;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
@@ -205,7 +205,7 @@
   return result;
 }
 
-std::vector<JobRecord> JobFold::OpenJobs(const std::string& zone) const {
+std::vector<JobRecord> ReplicatedJobs::OpenJobs(const std::string& zone) const {
   std::vector<JobRecord> result;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
@@ -217,7 +217,7 @@
   return result;
 }
 
-std::map<std::string, size_t> JobFold::OpenJobCounts() const {
+std::map<std::string, size_t> ReplicatedJobs::OpenJobCounts() const {
   const std::lock_guard<std::mutex> lock(mutex_);
   std::map<std::string, size_t> counts;
   for (const auto& [id, job] : jobs_) {
@@ -226,13 +226,13 @@
   return counts;
 }
 
-PlannerEpoch JobFold::Planner(const std::string& zone) const {
+PlannerEpoch ReplicatedJobs::Planner(const std::string& zone) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   const auto found = planners_.find(zone);
   return found == planners_.end() ? PlannerEpoch{} : found->second;
 }
 
-int64_t JobFold::changes() const {
+int64_t ReplicatedJobs::changes() const {
   const std::lock_guard<std::mutex> lock(mutex_);
   return changes_;
 }
--- a/servers/state/job_fold.h
+++ b/servers/state/replicated_jobs.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "servers/state/fold.h"
+#include "servers/state/replicated_state.h"
 
 namespace turmericshift {
 
@@ -37,9 +37,9 @@
   Sequence epoch = kNoSequence;
 };
 
-class JobFold : public Fold {
+class ReplicatedJobs : public ReplicatedState {
  public:
-  FoldVerdict Apply(const Record& record, Sequence sequence) override;
+  RecordVerdict Apply(const Record& record, Sequence sequence) override;
   nlohmann::json Snapshot() const override;
   void Restore(const nlohmann::json& state) override;
 
@@ -56,14 +56,14 @@
   int64_t changes() const;
 
  private:
-  FoldVerdict Take(const JobSubmitted& record, Sequence sequence);
-  FoldVerdict Take(const JobCancelled& record, Sequence sequence);
-  FoldVerdict Take(const JobEnded& record, Sequence sequence);
-  FoldVerdict Take(const JobMoved& record, Sequence sequence);
-  FoldVerdict Take(const JobStarting& record, Sequence sequence);
-  FoldVerdict Take(const JobNotStarted& record, Sequence sequence);
-  FoldVerdict Take(const PlannerClaimed& record, Sequence sequence);
-  FoldVerdict Take(const PlannerReleased& record, Sequence sequence);
+  RecordVerdict Take(const JobSubmitted& record, Sequence sequence);
+  RecordVerdict Take(const JobCancelled& record, Sequence sequence);
+  RecordVerdict Take(const JobEnded& record, Sequence sequence);
+  RecordVerdict Take(const JobMoved& record, Sequence sequence);
+  RecordVerdict Take(const JobStarting& record, Sequence sequence);
+  RecordVerdict Take(const JobNotStarted& record, Sequence sequence);
+  RecordVerdict Take(const PlannerClaimed& record, Sequence sequence);
+  RecordVerdict Take(const PlannerReleased& record, Sequence sequence);
   // Why a record of the planner at `epoch` about `job` is void; "" if it is not.
   std::string WhyVoid(const JobRecord& job, Sequence epoch) const;
 
--- a/servers/state/job_fold_test.cc
+++ b/servers/state/replicated_jobs_test.cc
@@ -1,10 +1,10 @@
 // Jobs and planner epochs as the log's order decides them.
-#include "servers/state/job_fold.h"
-
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
 
+#include "servers/state/replicated_jobs.h"
+
 namespace turmericshift {
 namespace {
 
@@ -33,7 +33,7 @@
   }
 
   const std::string job_ = JobId("shops", "labels");
-  JobFold fold_;
+  ReplicatedJobs fold_;
 };
 
 // Two entries notice at the same moment that a planner is silent and both claim. Without an order
@@ -116,7 +116,7 @@
   ended.job = JobId("shops", "blends");
   fold_.Apply(ended, 42);
   EXPECT_TRUE(fold_.OpenJobs(kZone).empty());
-  JobFold restored;
+  ReplicatedJobs restored;
   restored.Restore(fold_.Snapshot());
   EXPECT_TRUE(restored.OpenJobs(kZone).empty());
   ASSERT_EQ(restored.OpenJobs("bud-b").size(), 1U);
--- a/servers/state/member_fold.cc
+++ b/servers/state/replicated_members.cc
@@ -1,10 +1,10 @@
-#include "servers/state/member_fold.h"
-
 #include <nlohmann/json.hpp>
 
+#include "servers/state/replicated_members.h"
+
 namespace turmericshift {
 
-FoldVerdict MemberFold::Apply(const Record& record, Sequence /*sequence*/) {
+RecordVerdict ReplicatedMembers::Apply(const Record& record, Sequence /*sequence*/) {
   const std::lock_guard<std::mutex> lock(mutex_);
   if (const auto* joined = std::get_if<MemberJoined>(&record)) {
     members_[joined->process] = *joined;
@@ -21,13 +21,13 @@
   return {};
 }
 
-nlohmann::json MemberFold::Snapshot() const {
+nlohmann::json ReplicatedMembers::Snapshot() const {
   nlohmann::json list = nlohmann::json::array();
   for (const MemberJoined& member : members()) list.push_back(RecordToJson(member));
   return list;
 }
 
-void MemberFold::Restore(const nlohmann::json& state) {
+void ReplicatedMembers::Restore(const nlohmann::json& state) {
   const std::lock_guard<std::mutex> lock(mutex_);
   members_.clear();
   for (const nlohmann::json& json : state) {
@@ -36,7 +36,7 @@
   }
 }
 
-std::vector<MemberJoined> MemberFold::members() const {
+std::vector<MemberJoined> ReplicatedMembers::members() const {
   const std::lock_guard<std::mutex> lock(mutex_);
   std::vector<MemberJoined> result;
   for (const auto& [process, member] : members_) result.push_back(member);
--- a/servers/state/member_fold.h
+++ b/servers/state/replicated_members.h
@@ -7,13 +7,13 @@
 #include <string>
 #include <vector>
 
-#include "servers/state/fold.h"
+#include "servers/state/replicated_state.h"
 
 namespace turmericshift {
 
-class MemberFold : public Fold {
+class ReplicatedMembers : public ReplicatedState {
  public:
-  FoldVerdict Apply(const Record& record, Sequence sequence) override;
+  RecordVerdict Apply(const Record& record, Sequence sequence) override;
   nlohmann::json Snapshot() const override;
   void Restore(const nlohmann::json& state) override;
 
--- a/servers/state/request_fold.cc
+++ b/servers/state/replicated_requests.cc
@@ -1,9 +1,8 @@
-#include "servers/state/request_fold.h"
-
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
 #include "core/digest.h"
+#include "servers/state/replicated_requests.h"
 
 namespace turmericshift {
 namespace {
@@ -21,14 +20,14 @@
 
 }  // namespace
 
-FoldVerdict RequestFold::Apply(const Record& record, Sequence sequence) {
+RecordVerdict ReplicatedRequests::Apply(const Record& record, Sequence sequence) {
   const std::lock_guard<std::mutex> lock(mutex_);
   if (const auto* claim = std::get_if<RequestClaimed>(&record)) return Take(*claim, sequence);
   if (const auto* ended = std::get_if<RequestEnded>(&record)) return Take(*ended);
   return {false, "not a request record"};
 }
 
-FoldVerdict RequestFold::Take(const RequestClaimed& claim, Sequence sequence) {
+RecordVerdict ReplicatedRequests::Take(const RequestClaimed& claim, Sequence sequence) {
   const std::string full_key = FullKey(claim.workspace, claim.key);
   if (expired_.contains(HashOf(full_key))) {
     return {false, "the key is older than what is kept"};
@@ -49,7 +48,7 @@
   return {};
 }
 
-FoldVerdict RequestFold::Take(const RequestEnded& ended) {
+RecordVerdict ReplicatedRequests::Take(const RequestEnded& ended) {
   const std::string full_key = FullKey(ended.workspace, ended.key);
   const auto found = requests_.find(full_key);
   if (found == requests_.end()) return {false, "no such claim"};
@@ -68,7 +67,7 @@
   return {};
 }
 
-void RequestFold::Shrink() {
+void ReplicatedRequests::Shrink() {
   while (body_bytes_ > limits_.max_body_bytes && !with_body_.empty()) {
     const auto oldest = requests_.find(with_body_.front());
     with_body_.pop_front();
@@ -86,7 +85,7 @@
   }
 }
 
-void RequestFold::Expire(const ExpiredKey& key) {
+void ReplicatedRequests::Expire(const ExpiredKey& key) {
   if (!expired_.insert(key.hash).second) return;
   expired_order_.push_back(key);
   if (expired_order_.size() <= limits_.max_expired) return;
@@ -96,7 +95,7 @@
   expired_order_.pop_front();
 }
 
-nlohmann::json RequestFold::Snapshot() const {
+nlohmann::json ReplicatedRequests::Snapshot() const {
   const std::lock_guard<std::mutex> lock(mutex_);
   nlohmann::json list = nlohmann::json::array();
   for (const auto& [key, state] : requests_) {
@@ -115,7 +114,7 @@
           {"forgotten_until_ms", forgotten_wall_ms_}};
 }
 
-void RequestFold::Restore(const nlohmann::json& state) {
+void ReplicatedRequests::Restore(const nlohmann::json& state) {
   const std::lock_guard<std::mutex> lock(mutex_);
   requests_.clear();
   with_body_.clear();
@@ -143,8 +142,8 @@
   }
 }
 
-std::optional<RequestState> RequestFold::Find(const std::string& workspace,
-                                              const std::string& key) const {
+std::optional<RequestState> ReplicatedRequests::Find(const std::string& workspace,
+                                                     const std::string& key) const {
   const std::string full_key = FullKey(workspace, key);
   const std::lock_guard<std::mutex> lock(mutex_);
   const auto found = requests_.find(full_key);
@@ -155,7 +154,7 @@
   return state;
 }
 
-int64_t RequestFold::forgotten_until_ms() const {
+int64_t ReplicatedRequests::forgotten_until_ms() const {
   const std::lock_guard<std::mutex> lock(mutex_);
   return forgotten_wall_ms_;
 }
--- a/servers/state/request_fold.h
+++ b/servers/state/replicated_requests.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <unordered_set>
 
-#include "servers/state/fold.h"
+#include "servers/state/replicated_state.h"
 
 namespace turmericshift {
 
@@ -28,17 +28,17 @@
 
 // How much a fold keeps; the same in every process, or their folds would differ. What falls out is
 // remembered as expired for `max_expired` keys more.
-struct RequestFoldLimits {
+struct RequestRetentionLimits {
   size_t max_ended = 20000;
   size_t max_body_bytes = size_t{4} << 20;
   size_t max_expired = 100000;
 };
 
-class RequestFold : public Fold {
+class ReplicatedRequests : public ReplicatedState {
  public:
-  explicit RequestFold(const RequestFoldLimits& limits = {}) : limits_(limits) {}
+  explicit ReplicatedRequests(const RequestRetentionLimits& limits = {}) : limits_(limits) {}
 
-  FoldVerdict Apply(const Record& record, Sequence sequence) override;
+  RecordVerdict Apply(const Record& record, Sequence sequence) override;
   nlohmann::json Snapshot() const override;
   void Restore(const nlohmann::json& state) override;
 
@@ -48,8 +48,8 @@
   int64_t forgotten_until_ms() const;
 
  private:
-  FoldVerdict Take(const RequestClaimed& claim, Sequence sequence);
-  FoldVerdict Take(const RequestEnded& ended);
+  RecordVerdict Take(const RequestClaimed& claim, Sequence sequence);
+  RecordVerdict Take(const RequestEnded& ended);
   void Shrink();
   struct ExpiredKey {
     uint64_t hash = 0;
@@ -57,7 +57,7 @@
   };
   void Expire(const ExpiredKey& key);
 
-  const RequestFoldLimits limits_;
+  const RequestRetentionLimits limits_;
   mutable std::mutex mutex_;
   int64_t forgotten_wall_ms_ = 0;
   size_t body_bytes_ = 0;
--- a/servers/state/request_fold_test.cc
+++ b/servers/state/replicated_requests_test.cc
@@ -1,9 +1,9 @@
-#include "servers/state/request_fold.h"
-
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
 
+#include "servers/state/replicated_requests.h"
+
 namespace turmericshift {
 namespace {
 
@@ -30,7 +30,7 @@
 }
 
 TEST(RequestFoldTest, FirstClaimOfAnAttemptOwnsTheKey) {
-  RequestFold fold;
+  ReplicatedRequests fold;
   EXPECT_TRUE(fold.Apply(Claim("k", 1), 1).accepted);
   EXPECT_FALSE(fold.Apply(Claim("k", 1), 2).accepted);
   EXPECT_TRUE(fold.Apply(Claim("k", 2), 3).accepted);
@@ -42,7 +42,7 @@
 }
 
 TEST(RequestFoldTest, AnAttemptThatNeverRanFreesTheKey) {
-  RequestFold fold;
+  ReplicatedRequests fold;
   fold.Apply(Claim("k", 1), 1);
   EXPECT_TRUE(fold.Apply(End("k", 1, kNeverRanStatus), 2).accepted);
   EXPECT_TRUE(fold.Find("w", "k")->never_ran);
@@ -51,9 +51,9 @@
 }
 
 TEST(RequestFoldTest, WhatIsDroppedStaysExpired) {
-  RequestFoldLimits limits;
+  RequestRetentionLimits limits;
   limits.max_ended = 2;
-  RequestFold fold(limits);
+  ReplicatedRequests fold(limits);
   for (int index = 0; index < 4; ++index) {
     const std::string key = "k" + std::to_string(index);
     fold.Apply(Claim(key, 1), index * 2);
@@ -62,7 +62,7 @@
   EXPECT_TRUE(fold.Find("w", "k0")->expired);
   EXPECT_FALSE(fold.Apply(Claim("k0", 1), 100).accepted);
   EXPECT_TRUE(fold.Find("w", "k3")->ended);
-  RequestFold other(limits);
+  ReplicatedRequests other(limits);
   other.Restore(fold.Snapshot());
   EXPECT_EQ(other.Snapshot(), fold.Snapshot());
   EXPECT_TRUE(other.Find("w", "k0")->expired);
--- a/servers/state/fold.h
+++ b/servers/state/replicated_state.h
@@ -9,7 +9,7 @@
 namespace turmericshift {
 
 // What a fold made of a record.
-struct FoldVerdict {
+struct RecordVerdict {
   bool accepted = true;
   // Why it is void, for the writer; the same for every reader.
   std::string reason;
@@ -18,10 +18,10 @@
 // Apply must depend on nothing but the records, so that all processes agree at equal offsets. What
 // Apply reads must be part of Snapshot: fold(all) equals fold(snapshot, then the rest), at every
 // cut; snapshot_test.cc holds every fold to that.
-class Fold {
+class ReplicatedState {
  public:
-  virtual ~Fold() = default;
-  virtual FoldVerdict Apply(const Record& record, Sequence sequence) = 0;
+  virtual ~ReplicatedState() = default;
+  virtual RecordVerdict Apply(const Record& record, Sequence sequence) = 0;
   // The whole state. Equal states give equal JSON.
   virtual nlohmann::json Snapshot() const = 0;
   // Replaces the state. Throws Error or the JSON library's exceptions for what Snapshot never made.
--- a/servers/state/snapshot_test.cc
+++ b/servers/state/snapshot_test.cc
@@ -7,11 +7,11 @@
 #include <memory>
 
 #include "core/digest.h"
-#include "servers/state/config_fold.h"
-#include "servers/state/fold_host.h"
-#include "servers/state/job_fold.h"
-#include "servers/state/member_fold.h"
-#include "servers/state/request_fold.h"
+#include "servers/state/replicated_config.h"
+#include "servers/state/replicated_jobs.h"
+#include "servers/state/replicated_members.h"
+#include "servers/state/replicated_requests.h"
+#include "servers/state/state_replica.h"
 
 namespace turmericshift {
 namespace {
@@ -64,14 +64,14 @@
   }
 }
 
-std::vector<std::unique_ptr<Fold>> AllFolds() {
-  std::vector<std::unique_ptr<Fold>> folds;
-  folds.push_back(std::make_unique<ConfigFold>());
-  folds.push_back(std::make_unique<RequestFold>());
+std::vector<std::unique_ptr<ReplicatedState>> AllFolds() {
+  std::vector<std::unique_ptr<ReplicatedState>> folds;
+  folds.push_back(std::make_unique<ReplicatedConfig>());
+  folds.push_back(std::make_unique<ReplicatedRequests>());
   // So small that keys expire and are forgotten within a few records.
-  folds.push_back(std::make_unique<RequestFold>(RequestFoldLimits{2, 8, 2}));
-  folds.push_back(std::make_unique<JobFold>());
-  folds.push_back(std::make_unique<MemberFold>());
+  folds.push_back(std::make_unique<ReplicatedRequests>(RequestRetentionLimits{2, 8, 2}));
+  folds.push_back(std::make_unique<ReplicatedJobs>());
+  folds.push_back(std::make_unique<ReplicatedMembers>());
   return folds;
 }
 
@@ -94,17 +94,17 @@
       entries.push_back({offset, EncodeRecords(group)});
     }
     const int cut = *rc::gen::inRange(0, count + 1);
-    std::vector<std::unique_ptr<Fold>> all = AllFolds();
-    std::vector<std::unique_ptr<Fold>> resumed = AllFolds();
+    std::vector<std::unique_ptr<ReplicatedState>> all = AllFolds();
+    std::vector<std::unique_ptr<ReplicatedState>> resumed = AllFolds();
     for (size_t index = 0; index < all.size(); ++index) {
-      FoldHost whole("test", all[index].get());
+      StateReplica whole("test", all[index].get());
       SnapshotState snapshot = whole.TakeSnapshot(0);
       for (const LogEntry& entry : entries) {
         if (entry.offset == cut) snapshot = whole.TakeSnapshot(0);
         whole.Apply(entry);
       }
       if (cut == count) snapshot = whole.TakeSnapshot(0);
-      FoldHost rest("test", resumed[index].get());
+      StateReplica rest("test", resumed[index].get());
       rest.Restore(ThroughParts(snapshot));
       for (const LogEntry& entry : entries) {
         if (entry.offset >= rest.next()) rest.Apply(entry);
--- a/servers/state/fold_host.cc
+++ b/servers/state/state_replica.cc
@@ -1,9 +1,8 @@
-#include "servers/state/fold_host.h"
-
 #include <nlohmann/json.hpp>
 #include <utility>
 
 #include "core/error.h"
+#include "servers/state/state_replica.h"
 
 namespace turmericshift {
 namespace {
@@ -12,7 +11,7 @@
 
 }  // namespace
 
-void FoldHost::RecentVerdicts::Add(const std::string& id, const Written& written) {
+void StateReplica::RecentVerdicts::Add(const std::string& id, const WriteResult& written) {
   known_[id] = written;
   order_.push_back(id);
   if (order_.size() <= kRecentVerdicts) return;
@@ -20,19 +19,19 @@
   order_.pop_front();
 }
 
-const Written* FoldHost::RecentVerdicts::Find(const std::string& id) const {
+const WriteResult* StateReplica::RecentVerdicts::Find(const std::string& id) const {
   const auto found = known_.find(id);
   return found == known_.end() ? nullptr : &found->second;
 }
 
-std::vector<AppliedRecord> FoldHost::Apply(const LogEntry& entry) {
+std::vector<AppliedRecord> StateReplica::Apply(const LogEntry& entry) {
   const std::lock_guard<std::mutex> lock(mutex_);
   std::vector<AppliedRecord> applied;
   repeated_.clear();
   for (const PlacedRecord& placed : DecodeRecords(entry.bytes)) {
     const std::string& id = RecordId(placed.record);
     if (!window_.Add(id)) {
-      if (const Written* first = recent_.Find(id)) repeated_.push_back({id, *first});
+      if (const WriteResult* first = recent_.Find(id)) repeated_.push_back({id, *first});
       continue;
     }
     const Sequence sequence = SequenceOf(entry.offset, placed.place);
@@ -50,18 +49,18 @@
   return applied;
 }
 
-std::vector<AppliedRecord> FoldHost::TakeRepeated() {
+std::vector<AppliedRecord> StateReplica::TakeRepeated() {
   const std::lock_guard<std::mutex> lock(mutex_);
   return std::exchange(repeated_, {});
 }
 
-SnapshotState FoldHost::TakeSnapshot(int64_t wall_ms) const {
+SnapshotState StateReplica::TakeSnapshot(int64_t wall_ms) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   const nlohmann::json state = {{"fold", fold_->Snapshot()}, {"window", window_.Snapshot()}};
   return {next_, wall_ms, state.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace)};
 }
 
-void FoldHost::Restore(const SnapshotState& snapshot) {
+void StateReplica::Restore(const SnapshotState& snapshot) {
   const std::lock_guard<std::mutex> lock(mutex_);
   try {
     const nlohmann::json state = nlohmann::json::parse(snapshot.bytes);
@@ -75,17 +74,17 @@
   newest_snapshot_ = {snapshot.covers, snapshot.wall_ms, ""};
 }
 
-Offset FoldHost::next() const {
+Offset StateReplica::next() const {
   const std::lock_guard<std::mutex> lock(mutex_);
   return next_;
 }
 
-void FoldHost::StartAt(Offset offset) {
+void StateReplica::StartAt(Offset offset) {
   const std::lock_guard<std::mutex> lock(mutex_);
   next_ = offset;
 }
 
-SnapshotState FoldHost::newest_snapshot() const {
+SnapshotState StateReplica::newest_snapshot() const {
   const std::lock_guard<std::mutex> lock(mutex_);
   return newest_snapshot_;
 }
--- a/servers/state/fold_host.h
+++ b/servers/state/state_replica.h
@@ -10,27 +10,27 @@
 #include <vector>
 
 #include "servers/platform/log_service.h"
-#include "servers/state/fold.h"
 #include "servers/state/record_window.h"
+#include "servers/state/replicated_state.h"
 #include "servers/state/snapshot.h"
 
 namespace turmericshift {
 
 // Where a record ended up.
-struct Written {
+struct WriteResult {
   Sequence sequence = kNoSequence;
-  FoldVerdict verdict;
+  RecordVerdict verdict;
 };
 
 struct AppliedRecord {
   std::string id;
-  Written written;
+  WriteResult written;
 };
 
-class FoldHost {
+class StateReplica {
  public:
   // `fold` must outlive the host.
-  FoldHost(const std::string& stream, Fold* fold) : stream_(stream), fold_(fold) {}
+  StateReplica(const std::string& stream, ReplicatedState* fold) : stream_(stream), fold_(fold) {}
 
   // The entry must be the one at next(). Returns its records, without repeated ones.
   std::vector<AppliedRecord> Apply(const LogEntry& entry);
@@ -55,17 +55,17 @@
   // What became of the newest records, for the writers of second copies.
   class RecentVerdicts {
    public:
-    void Add(const std::string& id, const Written& written);
+    void Add(const std::string& id, const WriteResult& written);
     // Null for one that is not known.
-    const Written* Find(const std::string& id) const;
+    const WriteResult* Find(const std::string& id) const;
 
    private:
     std::deque<std::string> order_;
-    std::unordered_map<std::string, Written> known_;
+    std::unordered_map<std::string, WriteResult> known_;
   };
 
   const std::string stream_;
-  Fold* const fold_;
+  ReplicatedState* const fold_;
   // Held while the fold changes, so that a snapshot belongs to one offset.
   mutable std::mutex mutex_;
   Offset next_ = 0;
--- a/servers/state/fold_host_test.cc
+++ b/servers/state/state_replica_test.cc
@@ -1,19 +1,19 @@
-#include "servers/state/fold_host.h"
-
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
 
+#include "servers/state/state_replica.h"
+
 namespace turmericshift {
 namespace {
 
 // Takes in the first record of each author.
-class OncePerAuthor : public Fold {
+class OncePerAuthor : public ReplicatedState {
  public:
-  FoldVerdict Apply(const Record& record, Sequence /*sequence*/) override {
+  RecordVerdict Apply(const Record& record, Sequence /*sequence*/) override {
     const bool first = std::get<ZoneChanged>(record).author != last_;
     last_ = std::get<ZoneChanged>(record).author;
-    return first ? FoldVerdict{} : FoldVerdict{false, "again by " + last_};
+    return first ? RecordVerdict{} : RecordVerdict{false, "again by " + last_};
   }
   nlohmann::json Snapshot() const override { return last_; }
   void Restore(const nlohmann::json& state) override { last_ = state.get<std::string>(); }
@@ -29,7 +29,7 @@
 // A change was sent to two entries; the writer of the second copy waited in vain for its record.
 TEST(FoldHostTest, ASecondCopyCarriesTheVerdictOfTheFirst) {
   OncePerAuthor fold;
-  FoldHost host("config", &fold);
+  StateReplica host("config", &fold);
   host.Apply(EntryOf(0, "one", "kati"));
   host.Apply(EntryOf(1, "two", "kati"));
   host.Apply(EntryOf(2, "three", "angus"));
@@ -46,7 +46,7 @@
 // Memory must not grow with the stream.
 TEST(FoldHostTest, VerdictsOfLongAgoAreForgotten) {
   OncePerAuthor fold;
-  FoldHost host("config", &fold);
+  StateReplica host("config", &fold);
   constexpr Offset kMany = 1000;
   for (Offset offset = 0; offset < kMany; ++offset) {
     host.Apply(EntryOf(offset, "id" + std::to_string(offset), "kati"));
--- a/servers/state/stream_client.cc
+++ b/servers/state/stream_client.cc
@@ -31,15 +31,15 @@
   bool in_flight = false;
   bool done = false;
   bool abandoned = false;
-  Written written;
+  WriteResult written;
   // Set for a posted record: it is given up by itself.
   std::optional<Time> give_up;
 
   bool maybe_there() const { return maybe_landed || in_flight; }
 };
 
-StreamClient::StreamClient(Stream stream, LogService* service, Fold* fold, MetricsRegistry* metrics,
-                           const StreamOptions& options)
+StreamClient::StreamClient(Stream stream, LogService* service, ReplicatedState* fold,
+                           MetricsRegistry* metrics, const StreamOptions& options)
     : stream_(stream),
       name_(StreamName(stream)),
       options_(options),
@@ -74,11 +74,12 @@
   changed_.notify_all();
 }
 
-Written StreamClient::Write(const Record& record, Duration timeout) {
+WriteResult StreamClient::Write(const Record& record, Duration timeout) {
   return WriteAll({record}, timeout).front();
 }
 
-std::vector<Written> StreamClient::WriteAll(const std::vector<Record>& records, Duration timeout) {
+std::vector<WriteResult> StreamClient::WriteAll(const std::vector<Record>& records,
+                                                Duration timeout) {
   Group group;
   for (const Record& record : records) {
     auto waiter = std::make_shared<Waiter>();
@@ -102,7 +103,7 @@
   };
   changed_.wait_for(lock, timeout, [&] { return stopping_ || all_done(); });
   bool maybe_there = false;
-  std::vector<Written> written;
+  std::vector<WriteResult> written;
   for (const auto& waiter : group) {
     waiting_.erase(waiter->id);
     // The writer must not send it from here on, or "not run" would be untrue.
@@ -240,7 +241,7 @@
   try {
     if (!located_) Locate();
     // The first reads do not wait at the head, so that a starting process knows it is current.
-    const Duration wait = view().ever_fresh ? options_.read_wait : Duration::zero();
+    const Duration wait = view().ever_fresh ? options_.long_poll_wait : Duration::zero();
     const LogBatch batch = service_->Read(name_, host_.next(), wait, wait + options_.read_timeout);
     ApplyBatch(batch);
     const std::lock_guard<std::mutex> lock(mutex_);
@@ -355,13 +356,13 @@
   }
   if (snapshot_due_at_ == Time{}) {
     const std::lock_guard<std::mutex> lock(mutex_);
-    const int64_t spread = options_.snapshot_spread.count();
+    const int64_t spread = options_.snapshot_jitter.count();
     snapshot_due_at_ = now + Duration(std::uniform_int_distribution<int64_t>(0, spread)(random_));
   }
   return now >= snapshot_due_at_;
 }
 
-bool StreamClient::KeepSnapshot(Time now, int64_t wall_ms) {
+bool StreamClient::WriteSnapshotIfDue(Time now, int64_t wall_ms) {
   // Another process was quicker, or this one's was interrupted and is out of date.
   const Offset newest = host_.newest_snapshot().covers;
   if (!snapshot_parts_.empty() && newest >= snapshot_parts_.front().covers) {
--- a/servers/state/stream_client.h
+++ b/servers/state/stream_client.h
@@ -18,9 +18,9 @@
 #include "core/thread.h"
 #include "servers/platform/log_service.h"
 #include "servers/state/append_budget.h"
-#include "servers/state/fold_host.h"
 #include "servers/state/record.h"
 #include "servers/state/record_writer.h"
+#include "servers/state/state_replica.h"
 
 namespace turmericshift {
 
@@ -37,7 +37,7 @@
 
 struct StreamOptions {
   // A read at the head waits this long for news. Shorter makes a failing log known earlier.
-  Duration read_wait = std::chrono::milliseconds(1000);
+  Duration long_poll_wait = std::chrono::milliseconds(1000);
   // Beyond the wait.
   Duration read_timeout = std::chrono::milliseconds(3000);
   Duration append_timeout = std::chrono::milliseconds(3000);
@@ -48,23 +48,23 @@
   int64_t snapshot_entries = 5000;
   Duration snapshot_period = std::chrono::minutes(10);
   // Processes wait a random part of this before they write one, and skip it if another was quicker.
-  Duration snapshot_spread = std::chrono::seconds(20);
+  Duration snapshot_jitter = std::chrono::seconds(20);
 };
 
 class StreamClient : public RecordWriter {
  public:
   // `service` and `fold` must outlive the client. The fold is called on the reader's thread.
-  StreamClient(Stream stream, LogService* service, Fold* fold, MetricsRegistry* metrics,
+  StreamClient(Stream stream, LogService* service, ReplicatedState* fold, MetricsRegistry* metrics,
                const StreamOptions& options = {});
   // Stops all threads; records still waiting fail with outcome unknown.
   ~StreamClient() override;
   StreamClient(const StreamClient&) = delete;
   StreamClient& operator=(const StreamClient&) = delete;
 
-  Written Write(const Record& record, Duration timeout) override;
+  WriteResult Write(const Record& record, Duration timeout) override;
   // As Write, for records that travel together; they share one append if they fit. On an error,
   // outcome unknown means that any of them may have been appended.
-  std::vector<Written> WriteAll(const std::vector<Record>& records, Duration timeout);
+  std::vector<WriteResult> WriteAll(const std::vector<Record>& records, Duration timeout);
 
   // Sends `record` in the background, again and again until the log has taken it or `keep_trying`
   // is over. For records whose loss costs a question later, never a promise. Returns false when too
@@ -73,7 +73,7 @@
 
   // Writes what is due of a snapshot at `now`; for a thread that calls it every second or so.
   // Returns whether a whole one was written. Throws as Write.
-  bool KeepSnapshot(Time now, int64_t wall_ms);
+  bool WriteSnapshotIfDue(Time now, int64_t wall_ms);
   // The state after the entries before its offset, to compare processes at equal offsets.
   SnapshotState TakeSnapshot() const { return host_.TakeSnapshot(0); }
 
@@ -110,7 +110,7 @@
   const std::string name_;
   const StreamOptions options_;
   LogService* const service_;
-  FoldHost host_;
+  StateReplica host_;
   Counter* const appends_;
   Counter* const append_failures_;
   Counter* const read_failures_;
@@ -130,7 +130,7 @@
   StreamView view_;
   bool located_ = false;
   int append_failures_in_row_ = 0;
-  // Used by KeepSnapshot's one caller only.
+  // Used by WriteSnapshotIfDue's one caller only.
   std::vector<SnapshotPart> snapshot_parts_;
   Time snapshot_due_at_{};
 
--- a/servers/state/stream_client_test.cc
+++ b/servers/state/stream_client_test.cc
@@ -7,7 +7,7 @@
 #include "core/digest.h"
 #include "core/error.h"
 #include "modules/stand_ins/memory_log.h"
-#include "servers/state/member_fold.h"
+#include "servers/state/replicated_members.h"
 
 namespace turmericshift {
 namespace {
@@ -21,9 +21,9 @@
 
 StreamOptions Quick() {
   StreamOptions options;
-  options.read_wait = milliseconds(50);
+  options.long_poll_wait = milliseconds(50);
   options.snapshot_entries = 10;
-  options.snapshot_spread = Duration::zero();
+  options.snapshot_jitter = Duration::zero();
   return options;
 }
 
@@ -52,7 +52,7 @@
 // first append may still take effect, as it does here.
 TEST(StreamClientTest, ALaterRefusalDoesNotMakeALostAnswerNotRun) {
   LostThenRefusedLog log;
-  MemberFold fold;
+  ReplicatedMembers fold;
   MetricsRegistry metrics;
   StreamClient client(Stream::kMembers, &log, &fold, &metrics, Quick());
   try {
@@ -71,10 +71,10 @@
 TEST(StreamClientTest, LostAnswersAreFoundByReading) {
   MemoryLog log;
   log.SetFaults({.append_answers_lost = true});
-  MemberFold fold;
+  ReplicatedMembers fold;
   MetricsRegistry metrics;
   StreamClient client(Stream::kMembers, &log, &fold, &metrics, Quick());
-  const std::vector<Written> written =
+  const std::vector<WriteResult> written =
       client.WriteAll({Member("one"), Member("two"), Member("three")}, seconds(5));
   ASSERT_EQ(written.size(), 3U);
   EXPECT_LT(written[0].sequence, written[2].sequence);
@@ -83,8 +83,8 @@
 
 // A repeated "goodbye" or claim that lands late must not undo what came in between.
 TEST(StreamClientTest, ASecondCopyOfARecordIsLeftOut) {
-  MemberFold fold;
-  FoldHost host("members", &fold);
+  ReplicatedMembers fold;
+  StateReplica host("members", &fold);
   const MemberJoined joined = Member("one");
   host.Apply({0, EncodeRecords({joined})});
   host.Apply({1, EncodeRecords({MemberLeft{NewRecordId(), "one", "i"}})});
@@ -95,7 +95,7 @@
 TEST(StreamClientTest, AWriteDuringAnOutageIsTrulyNotRun) {
   MemoryLog log;
   log.SetFaults({.appends_fail = true, .reads_fail = true});
-  MemberFold fold;
+  ReplicatedMembers fold;
   MetricsRegistry metrics;
   StreamClient client(Stream::kMembers, &log, &fold, &metrics, Quick());
   try {
@@ -113,7 +113,7 @@
 // than that, goes on from the newest whole snapshot and agrees with the others.
 TEST(StreamClientTest, AReaderBehindTheTrimRestartsFromTheSnapshot) {
   MemoryLog log;
-  MemberFold fold;
+  ReplicatedMembers fold;
   MetricsRegistry metrics;
   StreamClient writer(Stream::kMembers, &log, &fold, &metrics, Quick());
   for (int index = 0; index < 20; ++index) {
@@ -121,11 +121,11 @@
   }
   const Time now = DefaultClock().Now();
   ASSERT_TRUE(writer.WaitUntilFresh(seconds(5)));
-  ASSERT_TRUE(writer.KeepSnapshot(now, 1000));
-  EXPECT_FALSE(writer.KeepSnapshot(now, 1000));
+  ASSERT_TRUE(writer.WriteSnapshotIfDue(now, 1000));
+  EXPECT_FALSE(writer.WriteSnapshotIfDue(now, 1000));
   writer.Write(Member("entry-after"), seconds(5));
   log.Trim("members", 20);
-  MemberFold late_fold;
+  ReplicatedMembers late_fold;
   StreamClient late(Stream::kMembers, &log, &late_fold, &metrics, Quick());
   ASSERT_TRUE(late.WaitUntilFresh(seconds(5)));
   EXPECT_EQ(late_fold.members().size(), 21U);
@@ -140,7 +140,7 @@
     log.Append("members", EncodeRecords({Member("one")}), {});
   }
   log.Trim("members", 2);
-  MemberFold fold;
+  ReplicatedMembers fold;
   MetricsRegistry metrics;
   StreamClient client(Stream::kMembers, &log, &fold, &metrics, Quick());
   EXPECT_FALSE(client.WaitUntilFresh(milliseconds(300)));
--- a/tests/control_history_test.cc
+++ b/tests/control_history_test.cc
@@ -169,7 +169,7 @@
       version = present;
       const Time now = DefaultClock().Now();
       try {
-        agent->guard().RequireStart(now);
+        agent->guard().RequireStartAllowed(now);
         if (!counts) continue;
         const std::lock_guard<std::mutex> lock(starts_mutex_);
         starts_.push_back(now);
@@ -242,7 +242,7 @@
 TEST_F(ControlHistoryTest, AgentsCutOffFromTheOneEntryThatReadsStartNothing) {
   const auto may_start = [](const AgentServer& agent) {
     try {
-      agent.guard().RequireStart(DefaultClock().Now());
+      agent.guard().RequireStartAllowed(DefaultClock().Now());
       return true;
     } catch (const Error&) {
       return false;
@@ -255,7 +255,7 @@
   };
   const auto all_heard = [&] {
     return std::all_of(agents_.begin(), agents_.end(), [&](const auto& agent) {
-      return agent->guard().heard(DefaultClock().Now()).size() == entries_.size();
+      return agent->guard().entry_statements(DefaultClock().Now()).size() == entries_.size();
     });
   };
   // An agent knows nothing of an entry that it never heard; docs/notes/zone-out.md says so.
--- a/tests/request_windows_test.cc
+++ b/tests/request_windows_test.cc
@@ -33,7 +33,7 @@
     claim.agent = state.hello.process;
     claim.incarnation = state.hello.incarnation;
     claim.wall_ms = DefaultClock().WallMillis();
-    const Written written = cluster_.entry(0)->stream.Write(claim, kLimit);
+    const WriteResult written = cluster_.entry(0)->stream.Write(claim, kLimit);
     ServiceRequest message;
     message.request_id = "paused";
     message.workspace = claim.workspace;
@@ -143,7 +143,7 @@
 TEST_F(RequestWindowsTest, LogGoesDownWhileTheTargetRuns) {
   const ServiceRequest message = ClaimOnly(0);
   Await("entry 1 did not read the claim",
-        [&] { return cluster_.entry(1)->fold.Find("workspace", kKey).has_value(); });
+        [&] { return cluster_.entry(1)->replicated_requests.Find("workspace", kKey).has_value(); });
   LogFaults down;
   down.appends_fail = true;
   down.reads_fail = true;
@@ -196,7 +196,7 @@
       ASSERT_TRUE(cluster_.Call(0, key, key, kLimit).answered);
     }
     Await("the outcomes were not recorded", [&] {
-      const auto last = cluster_.entry(0)->fold.Find(
+      const auto last = cluster_.entry(0)->replicated_requests.Find(
           "workspace", std::string(round) + std::to_string(TestEntry::kKeptKeys));
       return last && last->ended;
     });
--- a/tests/stand_ins/request_cluster.cc
+++ b/tests/stand_ins/request_cluster.cc
@@ -64,10 +64,10 @@
 }
 
 TestEntry::TestEntry(LogService* log)
-    : fold({kKeptKeys, size_t{1} << 20, kKeptKeys}),
-      stream(Stream::kRequests, log, &fold, &metrics),
-      router(QuickOptions(), std::make_unique<TwoChoices>(1), &directory, &stream, &fold, nullptr,
-             &metrics) {}
+    : replicated_requests({kKeptKeys, size_t{1} << 20, kKeptKeys}),
+      stream(Stream::kRequests, log, &replicated_requests, &metrics),
+      router(QuickOptions(), std::make_unique<TwoChoices>(1), &directory, &stream,
+             &replicated_requests, nullptr, &metrics) {}
 
 RequestCluster::RequestCluster(int entries, int agents, uint64_t seed) : world_(seed) {
   for (int index = 0; index < entries; ++index) {
@@ -98,7 +98,7 @@
   options.hello.incarnation = RandomHex(4);
   options.hello.service = kTestService;
   options.heartbeat = std::chrono::milliseconds(20);
-  options.leave_linger = std::chrono::milliseconds(50);
+  options.leave_grace_period = std::chrono::milliseconds(50);
   for (size_t entry = 0; entry < entries_.size(); ++entry) {
     options.entries.push_back(std::to_string(entry));
   }
--- a/tests/stand_ins/request_cluster.h
+++ b/tests/stand_ins/request_cluster.h
@@ -26,7 +26,7 @@
   static constexpr size_t kKeptKeys = 64;
 
   MetricsRegistry metrics;
-  RequestFold fold;
+  ReplicatedRequests replicated_requests;
   StreamClient stream;
   AgentDirectory directory;
   RequestRouter router;
