--- a/modules/placement/task_placer.cc
+++ b/modules/placement/task_placer.cc
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr int kMaxAccelerators = 32;
-// Less than any stop, so that it only decides between free sites.
-constexpr double kGatheredCost = 1;
+// Lower than the cost of any stop, so that it only matters in the choice between free sites.
+constexpr double kSoftReservedCost = 1;
 
 uint32_t LowestBits(uint32_t mask, int count) {
   uint32_t chosen = 0;
@@ -22,7 +22,7 @@
   return chosen;
 }
 
-// From the smallest and fullest aligned block that still has `count` free.
+// Takes `count` accelerators from the smallest and fullest aligned block that has enough free ones.
 uint32_t ChooseBits(const CellSizes& sizes, uint32_t free, int count) {
   if (count == 0) return 0;
   for (const CellLevel level :
@@ -54,7 +54,7 @@
   return std::max(0, fit);
 }
 
-// Fullest workers first.
+// Orders `candidates` by the number of free accelerators, the fullest workers first.
 std::vector<int> FullestFirst(const ZoneRoom& room, const std::vector<int>& candidates) {
   std::array<std::vector<int>, kMaxAccelerators + 1> buckets;
   for (const int worker : candidates) {
@@ -67,8 +67,8 @@
   return order;
 }
 
-void PutOn(const ZoneRoom& room, int worker, int count, const JobSpec& spec,
-           std::vector<TaskOnWorker>* tasks) {
+void AppendTasks(const ZoneRoom& room, int worker, int count, const JobSpec& spec,
+                 std::vector<TaskOnWorker>* tasks) {
   const RoomWorker& target = room.workers()[worker];
   uint32_t free = target.free_accelerators;
   for (int index = 0; index < count; ++index) {
@@ -79,7 +79,7 @@
   }
 }
 
-// All tasks among `candidates`, or none.
+// Places all tasks on `candidates`, or returns none.
 std::optional<std::vector<TaskOnWorker>> PlaceAmong(const ZoneRoom& room, const JobSpec& spec,
                                                     const std::vector<int>& candidates) {
   int total = 0;
@@ -96,12 +96,12 @@
     const int left = spec.tasks - static_cast<int>(tasks.size());
     if (left == 0) break;
     const int fit = TasksThatFit(room.workers()[worker], spec.shape);
-    PutOn(room, worker, std::min(left, fit), spec, &tasks);
+    AppendTasks(room, worker, std::min(left, fit), spec, &tasks);
   }
   return tasks;
 }
 
-std::vector<int> Allowed(const std::vector<int>& workers, const WorkerFilter& allowed) {
+std::vector<int> FilterWorkers(const std::vector<int>& workers, const WorkerFilter& allowed) {
   std::vector<int> result;
   for (const int worker : workers) {
     if (!allowed || allowed(worker)) result.push_back(worker);
@@ -115,25 +115,25 @@
   return all;
 }
 
-int FreeAmong(const ZoneRoom& room, const std::vector<int>& workers) {
+int FreeAccelerators(const ZoneRoom& room, const std::vector<int>& workers) {
   int free = 0;
   for (const int worker : workers) free += std::popcount(room.workers()[worker].free_accelerators);
   return free;
 }
 
-// A block in which some of the job's units could run.
+// An aligned block of a worker's accelerators in which one or more of the job's units could run.
 struct Site {
   int worker = 0;
   CellLevel level = CellLevel::kAccelerator;
   uint32_t block = 0;
-  // What may be used of it.
+  // The accelerators of the block that the job may use.
   uint32_t mask = 0;
   TaskShape room;
-  // Already bound to the workspace.
+  // The block is already bound to the workspace.
   bool bound = false;
   double cost = 0;
-  // Size of the largest block that binding this one would break.
-  int breaks = 0;
+  // The size of the largest unheld block that is broken up if this block is bound.
+  int broken_block_size = 0;
 };
 
 class CellSearch {
@@ -142,9 +142,9 @@
              bool may_stop)
       : room_(room), view_(view), spec_(spec), cost_(cost), may_stop_(may_stop) {
     workspace_ = room->WorkspaceIndex(spec.workspace);
-    together_ = spec.adjacency == Adjacency::kSameWorker;
-    unit_ = together_ ? MultiplyShape(spec.shape, spec.tasks) : spec.shape;
-    units_ = together_ ? 1 : spec.tasks;
+    same_worker_ = spec.adjacency == Adjacency::kSameWorker;
+    unit_ = same_worker_ ? MultiplyShape(spec.shape, spec.tasks) : spec.shape;
+    unit_count_ = same_worker_ ? 1 : spec.tasks;
   }
 
   std::optional<CellPlacement> Run() {
@@ -153,11 +153,12 @@
     for (int worker = 0; worker < static_cast<int>(room_->workers().size()); ++worker) {
       if (room_->workers()[worker].usable) AddSites(worker, *least);
     }
-    // Least lost first; where that would break room that other guarantees need, tightest first.
+    // The first pass prefers sites where the least work is lost. If that breaks up room that other
+    // guarantees need, the second pass prefers the tightest fit.
     for (const bool tightest : {false, true}) {
       Sort(tightest);
-      for (const std::vector<Site>& group : Groups()) {
-        std::optional<CellPlacement> placement = Fill(group);
+      for (const std::vector<Site>& group : SiteGroups()) {
+        std::optional<CellPlacement> placement = PlaceUnits(group);
         const bool free_now =
             placement && placement->victims.empty() && room_->HasFreeRoom(spec_, placement->tasks);
         if (!may_stop_ && !free_now) continue;
@@ -188,18 +189,18 @@
 
   void AddSite(Site site) {
     const RoomWorker& worker = room_->workers()[site.worker];
-    // A unit that fits beside the lent work stops none of it.
+    // A unit that fits in the block's free accelerators preempts no lent work.
     if (std::popcount(worker.free_accelerators & site.mask) < unit_.accelerators) {
       for (const LentTask& lent : worker.lent) {
         if ((lent.mask & site.mask) != 0) site.cost += Cost(lent.job);
       }
     }
-    if (worker.soft_reserved) site.cost += kGatheredCost;
+    if (worker.soft_reserved) site.cost += kSoftReservedCost;
     if (!site.bound) {
       for (const CellLevel level : {CellLevel::kPair, CellLevel::kHalf, CellLevel::kWorker}) {
         for (const uint32_t block : room_->sizes().Blocks(level)) {
           if ((block & site.mask) == 0 || (block & worker.held) != 0) continue;
-          site.breaks = std::max(site.breaks, std::popcount(block));
+          site.broken_block_size = std::max(site.broken_block_size, std::popcount(block));
         }
       }
     }
@@ -212,35 +213,36 @@
     std::stable_sort(sites_.begin(), sites_.end(), [tightest](const Site& a, const Site& b) {
       const double cost_a = tightest ? 0 : a.cost;
       const double cost_b = tightest ? 0 : b.cost;
-      return std::tuple(!a.bound, cost_a, a.level, a.breaks, a.cost) <
-             std::tuple(!b.bound, cost_b, b.level, b.breaks, b.cost);
+      return std::tuple(!a.bound, cost_a, a.level, a.broken_block_size, a.cost) <
+             std::tuple(!b.bound, cost_b, b.level, b.broken_block_size, b.cost);
     });
   }
 
-  // The sites of each rack for jobs that must stay in one, else all.
-  std::vector<std::vector<Site>> Groups() const {
+  // Groups the sites by rack if the job must stay within one rack; otherwise returns all sites as
+  // one group.
+  std::vector<std::vector<Site>> SiteGroups() const {
     if (spec_.adjacency != Adjacency::kSameRack) return {sites_};
     std::vector<std::vector<Site>> groups(room_->racks().size());
     for (const Site& site : sites_) groups[room_->workers()[site.worker].rack].push_back(site);
     return groups;
   }
 
-  std::optional<CellPlacement> Fill(const std::vector<Site>& sites) {
+  std::optional<CellPlacement> PlaceUnits(const std::vector<Site>& sites) {
     CellPlacement placement;
     std::array<int, kCellLevelCount> bound{};
     std::map<int, uint32_t> taken;
     std::map<int, TaskShape> needed;
     int placed = 0;
     for (const Site& site : sites) {
-      if (placed == units_) break;
+      if (placed == unit_count_) break;
       if ((taken[site.worker] & site.mask) != 0) continue;
       int& used = bound[static_cast<size_t>(site.level)];
       if (!site.bound && used >= room_->Unbound(workspace_, site.level)) continue;
       uint32_t mask = site.mask;
       TaskShape left = site.room;
       int here = 0;
-      while (placed < units_ && FitsIn(unit_, left)) {
-        PutUnit(site, &mask, &placement.tasks);
+      while (placed < unit_count_ && FitsIn(unit_, left)) {
+        PlaceUnit(site, &mask, &placement.tasks);
         left = {left.processors - unit_.processors, left.memory_bytes - unit_.memory_bytes,
                 left.accelerators - unit_.accelerators};
         ++placed;
@@ -252,16 +254,16 @@
       TaskShape& sum = needed[site.worker];
       sum.processors += more.processors;
       sum.memory_bytes += more.memory_bytes;
-      // A rack's cell is bound once, on whichever of its workers comes first.
+      // A rack's cell is bound only once, at the first of its workers.
       if (!site.bound) ++used;
     }
-    if (placed < units_) return std::nullopt;
+    if (placed < unit_count_) return std::nullopt;
     placement.victims = Victims(placement.tasks, needed);
     return placement;
   }
 
-  void PutUnit(const Site& site, uint32_t* mask, std::vector<TaskOnWorker>* tasks) {
-    const int count = together_ ? spec_.tasks : 1;
+  void PlaceUnit(const Site& site, uint32_t* mask, std::vector<TaskOnWorker>* tasks) {
+    const int count = same_worker_ ? spec_.tasks : 1;
     for (int index = 0; index < count; ++index) {
       const uint32_t chosen = CheapestBits(site.worker, *mask);
       *mask &= ~chosen;
@@ -271,7 +273,7 @@
     }
   }
 
-  // Free ones first, then those of lent work that costs least.
+  // Chooses free accelerators first, then those of the lent work that is cheapest to stop.
   uint32_t CheapestBits(int index, uint32_t mask) const {
     const RoomWorker& worker = room_->workers()[index];
     const int count = spec_.shape.accelerators;
@@ -300,12 +302,13 @@
         if ((lent.mask & task.accelerators) != 0) victims.insert(lent.job);
       }
     }
-    for (const auto& [worker, shape] : needed) AddForShape(worker, shape, &victims);
+    for (const auto& [worker, shape] : needed) AddVictimsForShape(worker, shape, &victims);
     return {victims.begin(), victims.end()};
   }
 
-  // Lent work may hold more processors and memory than its accelerators' part.
-  void AddForShape(int index, const TaskShape& shape, std::set<int>* victims) const {
+  // Adds further victims if the processors or memory do not suffice: lent work may use more of them
+  // than the part that belongs to its accelerators.
+  void AddVictimsForShape(int index, const TaskShape& shape, std::set<int>* victims) const {
     const RoomWorker& worker = room_->workers()[index];
     int processors = worker.free_processors;
     int64_t memory = worker.free_memory_bytes;
@@ -333,31 +336,31 @@
   const StopCost& cost_;
   const bool may_stop_;
   int workspace_ = 0;
-  bool together_ = false;
+  bool same_worker_ = false;
   TaskShape unit_;
-  int units_ = 0;
+  int unit_count_ = 0;
   std::vector<Site> sites_;
 };
 
 }  // namespace
 
-std::optional<std::vector<TaskOnWorker>> PlaceTight(const ZoneRoom& room, const JobSpec& spec,
-                                                    const WorkerFilter& allowed) {
+std::optional<std::vector<TaskOnWorker>> PlaceBestFit(const ZoneRoom& room, const JobSpec& spec,
+                                                      const WorkerFilter& allowed) {
   if (spec.adjacency == Adjacency::kSameWorker) {
-    for (const int worker : FullestFirst(room, Allowed(AllWorkers(room), allowed))) {
+    for (const int worker : FullestFirst(room, FilterWorkers(AllWorkers(room), allowed))) {
       if (TasksThatFit(room.workers()[worker], spec.shape) < spec.tasks) continue;
       return PlaceAmong(room, spec, {worker});
     }
     return std::nullopt;
   }
   if (spec.adjacency != Adjacency::kSameRack) {
-    return PlaceAmong(room, spec, Allowed(AllWorkers(room), allowed));
+    return PlaceAmong(room, spec, FilterWorkers(AllWorkers(room), allowed));
   }
   std::optional<std::vector<TaskOnWorker>> best;
   int least = 0;
   for (const std::vector<int>& rack : room.racks()) {
-    const std::vector<int> members = Allowed(rack, allowed);
-    const int free = FreeAmong(room, members);
+    const std::vector<int> members = FilterWorkers(rack, allowed);
+    const int free = FreeAccelerators(room, members);
     if (best && free >= least) continue;
     std::optional<std::vector<TaskOnWorker>> tasks = PlaceAmong(room, spec, members);
     if (!tasks) continue;
