--- a/modules/stand_ins/fake_pool_worker.cc
+++ b/modules/stand_ins/fake_pool_worker.cc
@@ -15,18 +15,18 @@
 
 }  // namespace
 
-const GangBoard::Gang* GangBoard::Find(const RunId& run) const {
+const GangTracker::Gang* GangTracker::Find(const RunId& run) const {
   const auto found = gangs_.find(KeyOf(run));
   return found == gangs_.end() ? nullptr : &found->second;
 }
 
-std::optional<Time> GangBoard::WorksSince(const RunId& run) const {
+std::optional<Time> GangTracker::WorksSince(const RunId& run) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   const Gang* gang = Find(run);
   return gang == nullptr ? std::nullopt : gang->works_since;
 }
 
-void GangBoard::Join(const RunId& run, int size, Time now) {
+void GangTracker::Join(const RunId& run, int size, Time now) {
   const std::lock_guard<std::mutex> lock(mutex_);
   Gang& gang = gangs_[KeyOf(run)];
   gang.present.insert(run.task.index);
@@ -34,7 +34,7 @@
   if (whole && !gang.broken && !gang.works_since) gang.works_since = now;
 }
 
-void GangBoard::Leave(const RunId& run, EndKind kind) {
+void GangTracker::Leave(const RunId& run, EndKind kind) {
   const std::lock_guard<std::mutex> lock(mutex_);
   Gang& gang = gangs_[KeyOf(run)];
   gang.present.erase(run.task.index);
@@ -43,13 +43,13 @@
   if (kind != EndKind::kDone && gang.works_since && !gang.done) gang.broken = true;
 }
 
-bool GangBoard::Broken(const RunId& run) const {
+bool GangTracker::Broken(const RunId& run) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   const Gang* gang = Find(run);
   return gang != nullptr && gang->broken;
 }
 
-bool GangBoard::Done(const RunId& run) const {
+bool GangTracker::Done(const RunId& run) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   const Gang* gang = Find(run);
   return gang != nullptr && gang->done;
@@ -77,7 +77,7 @@
   if (live.gang) owner.index = 0;
   const std::string checkpoint = TaskName(owner) + kProgressMark +
                                  FormatDuration(duration_cast<std::chrono::milliseconds>(done));
-  if (watch_ != nullptr) watch_->Saved(run.task, checkpoint);
+  if (watch_ != nullptr) watch_->OnCheckpointSaved(run.task, checkpoint);
   return checkpoint;
 }
 
@@ -91,7 +91,7 @@
   const EndedTask end = {++ends_, run, kind, checkpoint};
   ended_[end.number] = end;
   if (gang && board_ != nullptr) board_->Leave(run, kind);
-  if (watch_ != nullptr) watch_->Ended(end);
+  if (watch_ != nullptr) watch_->OnEnded(end);
   changed_.notify_all();
 }
 
@@ -104,7 +104,7 @@
     return std::nullopt;
   }
   if (Worked(run, live, now) < live.takes) return std::nullopt;
-  const bool fails = watch_ != nullptr && watch_->Fails(run);
+  const bool fails = watch_ != nullptr && watch_->ShouldFail(run);
   return fails ? EndKind::kFailed : EndKind::kDone;
 }
 
@@ -119,7 +119,7 @@
 
 void FakePoolWorker::NoteLapse(Time now) {
   const bool lapsed = Clock(now) >= lease_until_;
-  if (lapsed && !lapsed_ && watch_ != nullptr) watch_->LeaseLapsed();
+  if (lapsed && !lapsed_ && watch_ != nullptr) watch_->OnLeaseExpired();
   lapsed_ = lapsed;
 }
 
@@ -155,7 +155,7 @@
   Live live;
   live.begun = now;
   live.gang = gang;
-  live.saves = watch_ != nullptr && watch_->Saves(call.run.task);
+  live.saves = watch_ != nullptr && watch_->SavesCheckpoints(call.run.task);
   const size_t mark = call.checkpoint.find(kProgressMark);
   if (mark != std::string::npos) {
     live.done_before = ParseDuration(call.checkpoint.substr(mark + 1));
@@ -163,7 +163,7 @@
   live.takes = ParseDuration(call.payload) - live.done_before;
   live_[call.run] = live;
   if (gang) board_->Join(call.run, size, now);
-  if (watch_ != nullptr) watch_->Begun(call);
+  if (watch_ != nullptr) watch_->OnStarted(call);
   begun_.push_back(call.run);
   return OrderAnswer::kAccepted;
 }
@@ -188,7 +188,7 @@
   Settle(LeaseClock().Now());
   if (call.lease_until) lease_until_ = std::max(lease_until_, *call.lease_until);
   ended_.erase(ended_.begin(), ended_.upper_bound(call.acked_ends));
-  if (watch_ != nullptr) watch_->EndsKept(call.acked_ends);
+  if (watch_ != nullptr) watch_->OnEndsAcknowledged(call.acked_ends);
   const Time until = LeaseClock().Now() + call.wait;
   while (ended_.empty() && LeaseClock().Now() < until) {
     changed_.wait_for(lock, kLookEvery);
--- a/modules/stand_ins/fake_pool_worker.h
+++ b/modules/stand_ins/fake_pool_worker.h
@@ -16,12 +16,12 @@
 namespace turmericshift::pool {
 
 // Where the members of gangs stand, shared by the workers that may run them.
-class GangBoard {
+class GangTracker {
  public:
   // From when on the gang of `run` works; empty while members are missing.
   std::optional<Time> WorksSince(const RunId& run) const;
   void Join(const RunId& run, int size, Time now);
-  // A member is over. Ended otherwise than done, it takes the others with it.
+  // A member is over. OnEnded otherwise than done, it takes the others with it.
   void Leave(const RunId& run, EndKind kind);
   bool Broken(const RunId& run) const;
   // One member has ended done, and so have all.
@@ -45,23 +45,23 @@
 };
 
 // Sees what a worker does and decides what its tasks do. Called with the worker's lock held.
-class WorkerWatch {
+class WorkerHooks {
  public:
-  virtual ~WorkerWatch() = default;
-  virtual void Begun(const StartCall& /*call*/) {}
-  virtual void Ended(const EndedTask& /*end*/) {}
+  virtual ~WorkerHooks() = default;
+  virtual void OnStarted(const StartCall& /*call*/) {}
+  virtual void OnEnded(const EndedTask& /*end*/) {}
   // Ends up to this number may be forgotten.
-  virtual void EndsKept(int64_t /*number*/) {}
+  virtual void OnEndsAcknowledged(int64_t /*number*/) {}
   // The lease has run out, whether anything ran or not.
-  virtual void LeaseLapsed() {}
+  virtual void OnLeaseExpired() {}
   // Members of the task's gang; 0: it is no gang's.
   virtual int GangSize(const TaskId& /*task*/) { return 0; }
   // Whether the run ends failed instead of done.
-  virtual bool Fails(const RunId& /*run*/) { return false; }
+  virtual bool ShouldFail(const RunId& /*run*/) { return false; }
   // Whether the task saves its progress.
-  virtual bool Saves(const TaskId& /*task*/) { return false; }
+  virtual bool SavesCheckpoints(const TaskId& /*task*/) { return false; }
   // A value from which the task, or its gang, may go on.
-  virtual void Saved(const TaskId& /*task*/, const std::string& /*checkpoint*/) {}
+  virtual void OnCheckpointSaved(const TaskId& /*task*/, const std::string& /*checkpoint*/) {}
 };
 
 struct FakeWorkerOptions {
@@ -79,7 +79,7 @@
   explicit FakePoolWorker(int64_t start_time_ms)
       : FakePoolWorker({start_time_ms}, nullptr, nullptr) {}
   // `board` and `watch` must outlive the worker; each may be null.
-  FakePoolWorker(const FakeWorkerOptions& options, GangBoard* board, WorkerWatch* watch)
+  FakePoolWorker(const FakeWorkerOptions& options, GangTracker* board, WorkerHooks* watch)
       : options_(options), board_(board), watch_(watch), born_(LeaseClock().Now()) {}
 
   OrderAnswer Start(const StartCall& call, Duration timeout) override;
@@ -118,8 +118,8 @@
   WorkerMillis Clock(Time now) const;
 
   const FakeWorkerOptions options_;
-  GangBoard* const board_;
-  WorkerWatch* const watch_;
+  GangTracker* const board_;
+  WorkerHooks* const watch_;
   const Time born_;
   mutable std::mutex mutex_;
   std::condition_variable changed_;
--- a/modules/stand_ins/memory_keyed_log.cc
+++ b/modules/stand_ins/memory_keyed_log.cc
@@ -44,8 +44,9 @@
   return batch;
 }
 
-Appended MemoryKeyedLog::Append(const std::string& topic, const std::vector<KeyedRecord>& records,
-                                const AppendGuard& guard, Duration /*timeout*/) {
+AppendResult MemoryKeyedLog::Append(const std::string& topic,
+                                    const std::vector<KeyedRecord>& records,
+                                    const AppendGuard& guard, Duration /*timeout*/) {
   const std::lock_guard<std::mutex> lock(mutex_);
   Topic& state = topics_[topic];
   if (!guard.producer.empty()) {
@@ -62,7 +63,7 @@
   if (guard.as_of && *guard.as_of != state.end()) {
     throw Error(ErrorKind::kConflict, "the topic ends elsewhere");
   }
-  const Appended answer = {state.end(), state.end() + static_cast<Offset>(records.size())};
+  const AppendResult answer = {state.end(), state.end() + static_cast<Offset>(records.size())};
   for (const KeyedRecord& record : records) {
     KeyedRecord kept = record;
     kept.offset = state.end();
@@ -113,10 +114,11 @@
   return batch;
 }
 
-Appended FaultyKeyedLog::Append(const std::string& topic, const std::vector<KeyedRecord>& records,
-                                const AppendGuard& guard, Duration timeout) {
+AppendResult FaultyKeyedLog::Append(const std::string& topic,
+                                    const std::vector<KeyedRecord>& records,
+                                    const AppendGuard& guard, Duration timeout) {
   RequireWay();
-  const Appended answer = log_->Append(topic, records, guard, timeout);
+  const AppendResult answer = log_->Append(topic, records, guard, timeout);
   if (faults().append_answers_lost) {
     throw Error(ErrorKind::kLogUnavailable, Outcome::kUnknown, "the answer was lost");
   }
--- a/modules/stand_ins/memory_keyed_log.h
+++ b/modules/stand_ins/memory_keyed_log.h
@@ -24,8 +24,8 @@
  public:
   KeyedPage Newest(const std::string& topic, const std::string& after, Duration timeout) override;
   KeyedBatch Read(const std::string& topic, Offset from, Duration wait, Duration timeout) override;
-  Appended Append(const std::string& topic, const std::vector<KeyedRecord>& records,
-                  const AppendGuard& guard, Duration timeout) override;
+  AppendResult Append(const std::string& topic, const std::vector<KeyedRecord>& records,
+                      const AppendGuard& guard, Duration timeout) override;
 
   // Drops the history; the newest record of each key stays.
   void DropHistory(const std::string& topic);
@@ -36,7 +36,7 @@
     int64_t epoch = 0;
     int64_t sequence = 0;
     // Answers to the newest appends, by sequence.
-    std::map<int64_t, Appended> answers;
+    std::map<int64_t, AppendResult> answers;
   };
   struct Topic {
     Offset first_kept = 0;
@@ -60,8 +60,8 @@
 
   KeyedPage Newest(const std::string& topic, const std::string& after, Duration timeout) override;
   KeyedBatch Read(const std::string& topic, Offset from, Duration wait, Duration timeout) override;
-  Appended Append(const std::string& topic, const std::vector<KeyedRecord>& records,
-                  const AppendGuard& guard, Duration timeout) override;
+  AppendResult Append(const std::string& topic, const std::vector<KeyedRecord>& records,
+                      const AppendGuard& guard, Duration timeout) override;
 
   void SetFaults(const KeyedLogFaults& faults);
 
--- a/servers/platform/keyed_log.h
+++ b/servers/platform/keyed_log.h
@@ -46,7 +46,7 @@
   int64_t sequence = 0;
 };
 
-struct Appended {
+struct AppendResult {
   Offset first = 0;
   Offset end = 0;
 };
@@ -68,8 +68,8 @@
   // All records or none. Throws Error: kFenced below the highest epoch, kConflict when the topic
   // ends elsewhere or the sequence does not follow, kLogUnavailable with outcome not_run when
   // nothing was done, with outcome unknown when it may have been or may still be done.
-  virtual Appended Append(const std::string& topic, const std::vector<KeyedRecord>& records,
-                          const AppendGuard& guard, Duration timeout) = 0;
+  virtual AppendResult Append(const std::string& topic, const std::vector<KeyedRecord>& records,
+                              const AppendGuard& guard, Duration timeout) = 0;
 };
 
 // Clients by name; the argument is the store's address ("10.0.0.1:8080").
--- a/servers/pool/planner_elector_test.cc
+++ b/servers/pool/planner_elector_test.cc
@@ -8,7 +8,7 @@
 
 #include "core/error.h"
 #include "modules/stand_ins/memory_keyed_log.h"
-#include "platform/operator_records.h"
+#include "platform/operator_record_decoder.h"
 #include "servers/pool/local_planner_client.h"
 
 namespace turmericshift::pool {
@@ -86,7 +86,7 @@
   Candidate(KeyedLog* log, const std::string& node, LocalConnector* connected_entries,
             int capacity = kUnlimitedCapacity)
       : work(log),
-        operators(log, std::make_unique<platform::OperatorRecords>()),
+        operators(log, std::make_unique<platform::OperatorRecordDecoder>()),
         members(log, milliseconds(200)),
         service(PlannerServiceOptions(), log, &operators, &metrics) {
     ElectorOptions options;
@@ -212,8 +212,8 @@
   KeyedBatch Read(const std::string& topic, Offset from, Duration wait, Duration timeout) override {
     return log_->Read(topic, from, wait, timeout);
   }
-  Appended Append(const std::string& topic, const std::vector<KeyedRecord>& records,
-                  const AppendGuard& guard, Duration timeout) override {
+  AppendResult Append(const std::string& topic, const std::vector<KeyedRecord>& records,
+                      const AppendGuard& guard, Duration timeout) override {
     return log_->Append(topic, records, guard, timeout);
   }
 
--- a/servers/pool/planner_service_test.cc
+++ b/servers/pool/planner_service_test.cc
@@ -9,7 +9,7 @@
 
 #include "core/error.h"
 #include "modules/stand_ins/memory_keyed_log.h"
-#include "platform/operator_records.h"
+#include "platform/operator_record_decoder.h"
 #include "servers/pool/local_planner_client.h"
 
 namespace turmericshift::pool {
@@ -97,7 +97,7 @@
 
   MemoryKeyedLog log_;
   FaultyKeyedLog faulty_log_{&log_};
-  OperatorView operators_{&log_, std::make_unique<platform::OperatorRecords>()};
+  OperatorView operators_{&log_, std::make_unique<platform::OperatorRecordDecoder>()};
   MetricsRegistry metrics_;
   Counter& failures_ = metrics_.counter("store_append_failures");
   PlannerService service_{Options(), &faulty_log_, &operators_, &metrics_};
--- a/tests/fuzz/parsers_fuzz.cc
+++ b/tests/fuzz/parsers_fuzz.cc
@@ -5,11 +5,11 @@
 #include <string>
 
 #include "core/error.h"
-#include "platform/caller_calls.h"
-#include "platform/operator_records.h"
+#include "platform/http_caller_endpoint.h"
+#include "platform/operator_record_decoder.h"
 #include "platform/store_client.h"
-#include "platform/worker_announcements.h"
-#include "platform/worker_calls.h"
+#include "platform/worker_announcement_handler.h"
+#include "platform/worker_client.h"
 #include "servers/config/environment.h"
 #include "servers/jobs/job.h"
 #include "servers/pool/job_records.h"
@@ -31,7 +31,7 @@
       platform::DecodeJob(text, &spec);
       break;
     case 1:
-      platform::OperatorRecords().Apply({"config", text, 1}, &state);
+      platform::OperatorRecordDecoder().Apply({"config", text, 1}, &state);
       break;
     case 2:
       platform::DecodeAnnouncement("i-1", text);
--- a/tests/soak/soak_callers.cc
+++ b/tests/soak/soak_callers.cc
@@ -85,14 +85,14 @@
   const int life = entry->process->life();
   const Time sent = LeaseClock().Now();
   const platform::CallOutcome outcome = call(platform::Caller(entry->callers->port()));
-  if (outcome != platform::CallOutcome::kCut) return outcome;
+  if (outcome != platform::CallOutcome::kConnectionLost) return outcome;
   const Duration waited = LeaseClock().Now() - sent;
   const bool by_stop = entry->process->stops_in_order(life) && !entry->callers->FaultSince(sent);
   if (by_stop && waited > kLossSlack) {
     history_->Violation("a call was cut by the ordered stop of " + entry->name + " after " +
                         FormatDuration(waited));
   }
-  return platform::CallOutcome::kUnclear;
+  return platform::CallOutcome::kOutcomeUnknown;
 }
 
 void SoakCallers::Submit(uint64_t seed, int caller) {
--- a/tests/soak/soak_history.cc
+++ b/tests/soak/soak_history.cc
@@ -22,26 +22,26 @@
 
 }  // namespace
 
-class SoakHistory::LifeWatch : public pool::WorkerWatch {
+class SoakHistory::LifeWatch : public pool::WorkerHooks {
  public:
   LifeWatch(SoakHistory* history, std::string node, std::string zone)
       : history_(history), node_(std::move(node)), zone_(std::move(zone)) {}
 
-  void Begun(const pool::StartCall& call) override { history_->Begun(this, call); }
-  void Ended(const pool::EndedTask& end) override { history_->Ended(this, end); }
-  void EndsKept(int64_t number) override {
+  void OnStarted(const pool::StartCall& call) override { history_->OnStarted(this, call); }
+  void OnEnded(const pool::EndedTask& end) override { history_->OnEnded(this, end); }
+  void OnEndsAcknowledged(int64_t number) override {
     const std::lock_guard<std::mutex> lock(history_->mutex_);
     while (kept_ < number) kept_at_[++kept_] = LeaseClock().Now();
   }
-  void LeaseLapsed() override {
+  void OnLeaseExpired() override {
     const std::lock_guard<std::mutex> lock(history_->mutex_);
     lapses_.push_back(LeaseClock().Now());
   }
   int GangSize(const TaskId& task) override { return history_->GangSize(task); }
-  bool Fails(const pool::RunId& run) override { return history_->Fails(run); }
-  bool Saves(const TaskId& task) override { return history_->Saves(task); }
-  void Saved(const TaskId& task, const std::string& checkpoint) override {
-    history_->Saved(task, checkpoint);
+  bool ShouldFail(const pool::RunId& run) override { return history_->ShouldFail(run); }
+  bool SavesCheckpoints(const TaskId& task) override { return history_->SavesCheckpoints(task); }
+  void OnCheckpointSaved(const TaskId& task, const std::string& checkpoint) override {
+    history_->OnCheckpointSaved(task, checkpoint);
   }
 
   const std::string& node() const { return node_; }
@@ -73,7 +73,7 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   JobRecord& job = jobs_.at(id);
   if (outcome == platform::CallOutcome::kDone && !job.accepted) job.accepted = now;
-  if (outcome == platform::CallOutcome::kUnclear) job.unclear = true;
+  if (outcome == platform::CallOutcome::kOutcomeUnknown) job.unclear = true;
   if (outcome == platform::CallOutcome::kRefused) ++refused_;
 }
 
@@ -130,12 +130,12 @@
   }
 }
 
-std::unique_ptr<pool::WorkerWatch> SoakHistory::Watch(const std::string& node,
+std::unique_ptr<pool::WorkerHooks> SoakHistory::Watch(const std::string& node,
                                                       const std::string& zone) {
   return std::make_unique<LifeWatch>(this, node, zone);
 }
 
-void SoakHistory::LifeOver(pool::WorkerWatch* watch) {
+void SoakHistory::LifeOver(pool::WorkerHooks* watch) {
   const std::lock_guard<std::mutex> lock(mutex_);
   for (auto& [task, record] : tasks_) {
     std::erase_if(record.live, [&](const auto& row) { return row.second == watch; });
@@ -157,7 +157,7 @@
   disturbed_until_ = std::max(disturbed_until_, until);
 }
 
-void SoakHistory::Begun(LifeWatch* life, const pool::StartCall& call) {
+void SoakHistory::OnStarted(LifeWatch* life, const pool::StartCall& call) {
   const std::lock_guard<std::mutex> lock(mutex_);
   const Time now = LeaseClock().Now();
   const TaskId& task = call.run.task;
@@ -205,7 +205,7 @@
   }
 }
 
-void SoakHistory::Ended(LifeWatch* life, const pool::EndedTask& end) {
+void SoakHistory::OnEnded(LifeWatch* life, const pool::EndedTask& end) {
   const std::lock_guard<std::mutex> lock(mutex_);
   TaskRecord& record = tasks_[end.run.task];
   record.live.erase(end.run.number);
@@ -214,7 +214,7 @@
   if (end.kind == EndKind::kDone) record.done.push_back(listed);
 }
 
-bool SoakHistory::Fails(const pool::RunId& run) {
+bool SoakHistory::ShouldFail(const pool::RunId& run) {
   const std::lock_guard<std::mutex> lock(mutex_);
   const auto job = jobs_.find(run.task.job);
   if (job == jobs_.end() || run.task.step != 0 || run.task.index != 0) return false;
@@ -234,13 +234,13 @@
                                                     : nullptr;
 }
 
-bool SoakHistory::Saves(const TaskId& task) const {
+bool SoakHistory::SavesCheckpoints(const TaskId& task) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   const pool::StepSpec* step = FindStep(task);
   return step != nullptr && step->checkpoints;
 }
 
-void SoakHistory::Saved(const TaskId& task, const std::string& checkpoint) {
+void SoakHistory::OnCheckpointSaved(const TaskId& task, const std::string& checkpoint) {
   const std::lock_guard<std::mutex> lock(mutex_);
   const auto job = jobs_.find(task.job);
   if (job != jobs_.end()) checkpoints_[KeptAs(job->second.job.spec, task)].insert(checkpoint);
--- a/tests/soak/soak_history.h
+++ b/tests/soak/soak_history.h
@@ -37,8 +37,8 @@
   void ShownUnknown(const std::string& id, Time sent);
 
   // What workers see: one watch for each life.
-  std::unique_ptr<pool::WorkerWatch> Watch(const std::string& node, const std::string& zone);
-  void LifeOver(pool::WorkerWatch* watch);
+  std::unique_ptr<pool::WorkerHooks> Watch(const std::string& node, const std::string& zone);
+  void LifeOver(pool::WorkerHooks* watch);
 
   // What operators did.
   void ZoneOut(const std::string& zone, Time now);
@@ -80,14 +80,14 @@
     std::vector<Time> begun;
   };
 
-  void Begun(LifeWatch* life, const pool::StartCall& call);
-  void Ended(LifeWatch* life, const pool::EndedTask& end);
-  bool Fails(const pool::RunId& run);
+  void OnStarted(LifeWatch* life, const pool::StartCall& call);
+  void OnEnded(LifeWatch* life, const pool::EndedTask& end);
+  bool ShouldFail(const pool::RunId& run);
   // Null for a task of no job that was made. Wants the lock.
   const pool::StepSpec* FindStep(const pool::TaskId& task) const;
   int GangSize(const pool::TaskId& task) const;
-  bool Saves(const pool::TaskId& task) const;
-  void Saved(const pool::TaskId& task, const std::string& checkpoint);
+  bool SavesCheckpoints(const pool::TaskId& task) const;
+  void OnCheckpointSaved(const pool::TaskId& task, const std::string& checkpoint);
   // Members of a gang share their checkpoints: the first stands for all.
   static pool::TaskId KeptAs(const pool::JobSpec& spec, const pool::TaskId& task);
   void CheckBegin(const LifeWatch& life, const pool::StartCall& call, const JobRecord& job,
--- a/tests/soak/soak_system.cc
+++ b/tests/soak/soak_system.cc
@@ -24,7 +24,7 @@
 }  // namespace
 
 SoakSystem::SoakSystem(const SoakSystemOptions& options, SoakHistory* history)
-    : options_(options), history_(history), store_front_(&log_) {
+    : options_(options), history_(history), store_server_(&log_) {
   PublishDocument();
   for (int number = 0; number < options_.entries; ++number) AddEntry(number);
   for (int number = 0; number < options_.workers; ++number) AddSide(number);
@@ -59,7 +59,7 @@
   entry->name = "entry-" + std::to_string(number);
   entry->callers = std::make_unique<TcpRelay>(0, options_.ip);
   entry->sessions = std::make_unique<TcpRelay>(0, options_.ip);
-  entry->store = std::make_unique<TcpRelay>(store_front_.port());
+  entry->store = std::make_unique<TcpRelay>(store_server_.port());
   const std::string settings =
       "[process]\nname = " + entry->name +
       "\navailability_zone = " + zones()[static_cast<size_t>(number) % zones().size()] +
@@ -82,7 +82,7 @@
   SoakSide* side = sides_.back().get();
   side->name = "agent-" + std::to_string(number);
   side->zone = zones()[static_cast<size_t>(number) % zones().size()];
-  platform::WorkerFrontOptions worker;
+  platform::FakeWorkerServerOptions worker;
   worker.service = "plans";
   worker.agent_ip = options_.ip;
   worker.zone = side->zone;
@@ -90,9 +90,9 @@
   worker.machine = "vm-" + std::to_string(number);
   worker.capacity = kCapacity;
   worker.clock_rate = number % 3 == 0 ? kSlowClock : 1.0;
-  side->worker = std::make_unique<platform::WorkerFront>(worker, &board_);
+  side->worker = std::make_unique<platform::FakeWorkerServer>(worker, &board_);
   side->worker_way = std::make_unique<TcpRelay>(side->worker->port());
-  side->store = std::make_unique<TcpRelay>(store_front_.port());
+  side->store = std::make_unique<TcpRelay>(store_server_.port());
   BearWorker(side, false);
   const std::string settings = "[process]\nname = " + side->name +
                                "\navailability_zone = " + side->zone +
@@ -120,7 +120,8 @@
   if (side->life) return;
   if (!same_id) ++side->lives;
   side->life = history_->Watch(side->name, side->zone);
-  side->worker->Bear(side->name + "-worker-" + std::to_string(side->lives), side->life.get());
+  side->worker->StartWorker(side->name + "-worker-" + std::to_string(side->lives),
+                            side->life.get());
   side->worker_way->SetFault(RelayFault::kNone);
 }
 
@@ -146,7 +147,7 @@
 }
 
 void SoakSystem::Heal() {
-  store_front_.SetFaults({});
+  store_server_.SetFaults({});
   for (const std::string& zone : zones()) SetZone(zone, false);
   for (const auto& entry : entries_) {
     entry->process->Signal(SIGCONT);
--- a/tests/soak/soak_system.h
+++ b/tests/soak/soak_system.h
@@ -7,8 +7,8 @@
 #include <vector>
 
 #include "modules/stand_ins/memory_keyed_log.h"
-#include "platform/soak/store_front.h"
-#include "platform/soak/worker_front.h"
+#include "platform/soak/fake_store_server.h"
+#include "platform/soak/fake_worker_server.h"
 #include "tests/soak/soak_history.h"
 #include "tests/soak/soak_process.h"
 #include "tests/stand_ins/tcp_relay.h"
@@ -41,10 +41,10 @@
 struct SoakSide {
   std::string name;
   std::string zone;
-  std::unique_ptr<platform::WorkerFront> worker;
+  std::unique_ptr<platform::FakeWorkerServer> worker;
   std::unique_ptr<TcpRelay> worker_way;
   std::unique_ptr<TcpRelay> store;
-  std::unique_ptr<pool::WorkerWatch> life;
+  std::unique_ptr<pool::WorkerHooks> life;
   int lives = 0;
   std::unique_ptr<SoakProcess> process;
 };
@@ -59,7 +59,7 @@
 
   const std::vector<std::unique_ptr<SoakEntry>>& entries() const { return entries_; }
   const std::vector<std::unique_ptr<SoakSide>>& sides() const { return sides_; }
-  platform::StoreFront& store() { return store_front_; }
+  platform::FakeStoreServer& store() { return store_server_; }
   static const std::vector<std::string>& zones();
 
   // The worker dies with all that it runs; it is away until BearWorker.
@@ -84,11 +84,11 @@
   const SoakSystemOptions options_;
   SoakHistory* const history_;
   MemoryKeyedLog log_;
-  pool::GangBoard board_;
-  platform::StoreFront store_front_;
+  pool::GangTracker board_;
+  platform::FakeStoreServer store_server_;
   int64_t version_ = 0;
   // Lives that are over; their workers may still be in a call.
-  std::vector<std::unique_ptr<pool::WorkerWatch>> past_lives_;
+  std::vector<std::unique_ptr<pool::WorkerHooks>> past_lives_;
   std::vector<std::unique_ptr<SoakSide>> sides_;
   std::vector<std::unique_ptr<SoakEntry>> entries_;
 };
