--- a/servers/pool/planner_lag.h
+++ b/servers/pool/planner_lag.h
@@ -1,9 +1,10 @@
-// How far the planner is behind its agents, and how much it may take on.
+// Measures the planner's lag behind its agents and limits the starts in flight accordingly.
 //
-// Load pattern: a planner that is held up, or that has more to do than its VM can. Agents poll
-// again as soon as they are answered, so that the time which most of them have been waited for is
-// time that their reports lie unread here. Taken for silence of theirs, starts are taken back and
-// leases run out that are well, and placing all of it anew makes the planner later still.
+// Load pattern: a planner that is stalled or has more to do than its VM can handle. Agents poll
+// again as soon as they are answered, so that the time since the last contact with most of them is
+// the time that their reports have been unread here. Mistaken for silence of the agents, this lag
+// would cause starts to be revoked and valid leases to expire, and placing all that work again
+// would increase the lag further.
 #pragma once
 
 #include <map>
@@ -13,48 +14,49 @@
 
 namespace turmericshift::pool {
 
-class PlannerLateness {
+class PlannerLag {
  public:
   // The agent's poll has been answered.
-  void Answered(const std::string& node, Time now) { waiting_since_[node] = now; }
+  void NotePollAnswered(const std::string& node, Time now) { waiting_since_[node] = now; }
   // A report of the agent has been read.
-  void Returned(const std::string& node, Time now);
-  // A report of the agent has come that will be answered by `answer_by`.
-  void Heard(const std::string& node, Time answer_by) { waiting_since_[node] = answer_by; }
-  // Looks at the agents anew; call at least each tenth of a second.
+  void NoteReportRead(const std::string& node, Time now);
+  // A report of the agent has arrived whose poll will be answered by `answer_by`.
+  void NotePollHeld(const std::string& node, Time answer_by) { waiting_since_[node] = answer_by; }
+  // Recomputes the lag; call at least every 100 ms.
   void Update(Time now);
 
-  // What most agents have been waited for, and those who came back of late as well: if they were
-  // read at once, the others are silent by themselves. It falls by no more than a second each
-  // second, so that reports which are still being read are not yet taken for missing.
-  Duration lag() const { return late_; }
-  // Too late to begin what can be left for a moment.
-  bool sheds() const;
-  // Whether more may be started beside `under_way` starts that have not been answered.
-  bool MayStartMore(int under_way) const { return under_way < most_under_way_; }
+  // The median time since the last contact with the agents, or the median wait for the agents that
+  // reported recently, if that is shorter: when recent reports were read immediately, the other
+  // agents are silent themselves. Falls by no more than one second per second, so that reports
+  // which are still being read do not count as missing.
+  Duration lag() const { return lag_; }
+  // Whether the lag is so large that work which can wait is shed.
+  bool overloaded() const;
+  // Whether more may be started beside `starts_in_flight` unanswered starts.
+  bool MayStartMore(int starts_in_flight) const { return starts_in_flight < max_starts_in_flight_; }
 
  private:
-  // A step of hundreds of tasks begins at once while the planner is in time.
-  static constexpr int kMostUnderWay = 400;
+  // Lets a step of hundreds of tasks begin in one round while the planner has no lag.
+  static constexpr int kMaxStartsInFlight = 400;
 
-  struct Return {
+  struct ReportRead {
     Time at{};
-    // How long the agent had been waited for.
+    // Time from the agent's last answer, or the end of its poll, to this report.
     Duration waited{};
   };
 
-  // What most of `agents` have been waited for that came back of late; the longest duration if too
-  // few of them did.
-  Duration WaitOfReturns(size_t agents, Time now) const;
-  void Pace(Time now);
+  // The median wait for those agents that reported recently; the longest duration if they are too
+  // few of `agents`.
+  Duration MedianRecentWait(size_t agents, Time now) const;
+  void AdjustStartLimit(Time now);
 
-  // When each agent was last left to act; in the future while its poll waits here.
+  // When each agent's last poll was answered; in the future while its poll is held.
   std::map<std::string, Time> waiting_since_;
-  std::map<std::string, Return> returns_;
-  Duration late_{};
+  std::map<std::string, ReportRead> recent_reads_;
+  Duration lag_{};
   Time updated_{};
-  Time paced_{};
-  int most_under_way_ = kMostUnderWay;
+  Time limit_adjusted_{};
+  int max_starts_in_flight_ = kMaxStartsInFlight;
 };
 
 }  // namespace turmericshift::pool
