--- a/main/benches/bench_control.cc
+++ b/main/benches/bench_control.cc
@@ -11,7 +11,7 @@
 #include "core/digest.h"
 #include "core/error.h"
 #include "core/secret.h"
-#include "main/benches/bench_spread.h"
+#include "main/benches/config_propagation.h"
 #include "main/dev_cluster.h"
 #include "rpc/traffic.h"
 #include "servers/state/replicated_jobs.h"
--- a/main/benches/bench_spread.cc
+++ b/main/benches/config_propagation.cc
@@ -1,5 +1,3 @@
-#include "main/benches/bench_spread.h"
-
 #include <algorithm>
 #include <atomic>
 #include <memory>
@@ -12,6 +10,7 @@
 #include "core/digest.h"
 #include "core/error.h"
 #include "core/thread.h"
+#include "main/benches/config_propagation.h"
 #include "modules/stand_ins/direct_connector.h"
 #include "modules/stand_ins/memory_log.h"
 #include "servers/agent/start_guard.h"
