--- a/modules/placement/placement_property_test.cc
+++ b/modules/placement/placement_property_test.cc
@@ -1,5 +1,6 @@
-// Whatever the cluster, the document and the order of events: guarantees stay within reach, gangs
-// start whole, room is given once, nothing starts while the zone is out, every wait has a reason.
+// Invariants for any cluster, document and order of events: guarantees can be met, gangs start
+// whole, no room is given twice, nothing starts while the zone is out, and every waiting job has a
+// reason.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -15,9 +16,9 @@
 constexpr int kSettleRounds = 4;
 constexpr Duration kStep = std::chrono::seconds(30);
 
-enum class Fault { kNone, kHalfGang, kSameRoomTwice, kIgnoresZone, kNeverBorrows };
+enum class Fault { kNone, kPartialGang, kSameRoomTwice, kIgnoresZone, kNeverBorrows };
 
-// Starts what comes first, with one fault that the checks must see.
+// A first-fit policy with one fault that the checks must detect.
 class FaultyPolicy : public PlacementPolicy {
  public:
   explicit FaultyPolicy(Fault fault) : fault_(fault) {}
@@ -27,7 +28,7 @@
     if (fault_ == Fault::kIgnoresZone) seen.in = true;
     Plan plan = FirstFit().Decide(seen, now);
     for (StartDecision& start : plan.starts) {
-      if (fault_ == Fault::kHalfGang && start.tasks.size() > 1) start.tasks.pop_back();
+      if (fault_ == Fault::kPartialGang && start.tasks.size() > 1) start.tasks.pop_back();
     }
     if (fault_ == Fault::kSameRoomTwice && plan.starts.size() > 1) {
       plan.starts[1].tasks = plan.starts[0].tasks;
@@ -39,7 +40,7 @@
   const Fault fault_;
 };
 
-// Drives a planner by generated events.
+// Drives a planner with generated events.
 class Harness {
  public:
   Harness(const Environment& environment, std::unique_ptr<PlacementPolicy> policy)
@@ -63,7 +64,7 @@
     }
   }
 
-  // Decides, checks what was decided, and lets what was stopped end.
+  // Makes a decision, checks its invariants, and ends the attempts that it stops.
   void DecideAndStop() {
     const ZoneView before = planner_->view();
     const Plan plan = planner_->Decide(now_);
@@ -76,8 +77,8 @@
     }
   }
 
-  // Each workspace asks for all that it is still owed; all of it must run once what was stopped has
-  // ended, with nothing else ending.
+  // Submits jobs for all unbound cells of every workspace. All of them must start once the stopped
+  // attempts have ended, although no other job ends.
   void ClaimAll() {
     for (int round = 0; round < kSettleRounds; ++round) DecideAndStop();
     ZoneRoom room(planner_->view());
@@ -133,7 +134,7 @@
   return *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 324 * 64));
 }
 
-TEST(PlacementPropertyTest, PlansKeepWhatMustHold) {
+TEST(PlacementPropertyTest, PlansKeepInvariants) {
   EXPECT_TRUE(rc::check([] {
     Harness run(AnyEnvironment(), AnyPolicy());
     for (const int event : AnyEvents()) {
@@ -144,8 +145,8 @@
   }));
 }
 
-// Others use a workspace's guaranteed room when the workspace comes to claim it; it must not find
-// that the room can't be had back.
+// Jobs of other workspaces run on a workspace's guaranteed room when the workspace claims it.
+// Guards against guaranteed room that can't be reclaimed.
 TEST(PlacementPropertyTest, EveryGuaranteeCanBeClaimed) {
   EXPECT_TRUE(rc::check([] {
     Harness run(AnyEnvironment(), std::make_unique<CellPolicy>());
@@ -157,15 +158,15 @@
   }));
 }
 
-// Work without accelerators holds a cell all the same. When its block was worked out anew at each
-// decision it slid under work that was started later, and a workspace waited for its guarantee for
-// good. Then lent work took the room that had been had back for a claim, again and again.
+// Jobs without accelerators hold a cell as well. When their block was recomputed at each decision,
+// it moved under jobs that had started later, and a workspace waited for its guarantee forever. In
+// another fault, lent work repeatedly took the room that had been reclaimed for a claim.
 TEST(PlacementPropertyTest, WorkWithoutAcceleratorsKeepsItsBlock) {
   EXPECT_TRUE(rc::check([] {
-    constexpr int kLightLentJob = 7050;
-    constexpr int kLightGuaranteedJob = 0;
+    constexpr int kLentJobWithoutAccelerators = 7050;
+    constexpr int kGuaranteedJobWithoutAccelerators = 0;
     Harness run(SmallEnvironment(1, 4, {0, 0, 0, 0}), std::make_unique<CellPolicy>());
-    for (const int event : {kLightLentJob, kLightGuaranteedJob}) {
+    for (const int event : {kLentJobWithoutAccelerators, kGuaranteedJobWithoutAccelerators}) {
       run.Step(event);
       run.DecideAndStop();
     }
@@ -173,10 +174,10 @@
   }));
 }
 
-// The planner's own check must hold against any policy, also a broken one.
-TEST(PlacementPropertyTest, PlannerStopsFaultyPolicies) {
+// The planner's own check of plans must reject invalid plans of any policy, even a broken one.
+TEST(PlacementPropertyTest, PlannerRejectsFaultyPlans) {
   EXPECT_TRUE(rc::check([] {
-    const Fault fault = *rc::gen::element(Fault::kHalfGang, Fault::kSameRoomTwice,
+    const Fault fault = *rc::gen::element(Fault::kPartialGang, Fault::kSameRoomTwice,
                                           Fault::kIgnoresZone, Fault::kNeverBorrows);
     Environment environment = AnyEnvironment();
     environment.zones[kTestZone].in = *rc::gen::arbitrary<bool>();
@@ -188,26 +189,27 @@
   }));
 }
 
-// Each fault must be seen by the checks above when the planner does not stand between.
-class PlantedFaultTest : public testing::TestWithParam<std::pair<Fault, std::string>> {};
+// The checks above must detect each fault when the planner does not filter the plan.
+class InjectedFaultTest : public testing::TestWithParam<std::pair<Fault, std::string>> {};
 
-TEST_P(PlantedFaultTest, IsSeen) {
+TEST_P(InjectedFaultTest, IsDetected) {
   const auto& [fault, problem] = GetParam();
   Environment environment = SmallEnvironment(2, 8, {3});
   environment.zones[kTestZone].in = fault != Fault::kIgnoresZone;
   Harness run(environment, std::make_unique<FirstFit>());
-  // ws1 holds no guarantee, so what it runs without the mark of lent work takes ws0's worker.
+  // ws1 has no guarantee, so a job of ws1 that is not marked as borrowed takes the worker that is
+  // guaranteed to ws0.
   for (int job = 0; job < 2; ++job) run.Submit(TestSpec("ws1", 4, 2, 1));
   const ZoneView& view = run.planner().view();
   EXPECT_EQ(PlanProblem(view, FaultyPolicy(fault).Decide(view, Time{})), problem);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    All, PlantedFaultTest,
-    testing::Values(std::pair(Fault::kHalfGang, "a gang in part"),
-                    std::pair(Fault::kSameRoomTwice, "room given twice"),
-                    std::pair(Fault::kIgnoresZone, "a start while the zone is out"),
-                    std::pair(Fault::kNeverBorrows, "a guarantee is out of reach")));
+    All, InjectedFaultTest,
+    testing::Values(std::pair(Fault::kPartialGang, "starts part of a gang"),
+                    std::pair(Fault::kSameRoomTwice, "gives room twice"),
+                    std::pair(Fault::kIgnoresZone, "starts a job while the zone is out"),
+                    std::pair(Fault::kNeverBorrows, "makes a guarantee impossible to meet")));
 
 }  // namespace
 }  // namespace turmericshift
--- a/servers/pool/mechanism.cc
+++ b/servers/pool/mechanism.cc
@@ -34,7 +34,8 @@
     if (name == known) return mechanism;
     names += (names.empty() ? "" : ", ") + std::string(known);
   }
-  throw Error(ErrorKind::kInvalidInput, "no mechanism '" + name + "'; there are: " + names);
+  throw Error(ErrorKind::kInvalidInput,
+              "unknown mechanism '" + name + "'; known mechanisms: " + names);
 }
 
 DisabledMechanisms MechanismsFromNames(const std::vector<std::string>& names) {
--- a/servers/replay/replay_test.cc
+++ b/servers/replay/replay_test.cc
@@ -18,12 +18,12 @@
     "\n";
 
 std::string Submit(const std::string& at, const std::string& key, int tasks,
-                   const std::string& runs) {
-  return R"({"event":"submit","at":")" + at + R"(","runs":")" + runs + R"(","job":{"key":")" + key +
-         R"(","workspace":"w","accelerators":4,"tasks":)" + std::to_string(tasks) + "}}\n";
+                   const std::string& run_time) {
+  return R"({"event":"submit","at":")" + at + R"(","runs":")" + run_time + R"(","job":{"key":")" +
+         key + R"(","workspace":"w","accelerators":4,"tasks":)" + std::to_string(tasks) + "}}\n";
 }
 
-// Starts each waiting job as the test says.
+// Starts each waiting job on the workers that the test's script returns.
 class ScriptedPolicy : public PlacementPolicy {
  public:
   using Script = std::function<std::vector<TaskOnWorker>(const WaitingJob&, const ZoneView&)>;
@@ -48,7 +48,7 @@
   return name;
 }
 
-// The first waiting job, a task on each worker that is quite free.
+// Starts the first waiting job, with one task on each worker whose accelerators are all free.
 std::string FirstFreeWorker() {
   return Register("test_first_free", [](const WaitingJob& job, const ZoneView& view) {
     std::vector<TaskOnWorker> tasks;
@@ -64,7 +64,7 @@
   });
 }
 
-// The same among the workers that are not held out.
+// As FirstFreeWorker(), but only on usable workers.
 std::string FirstUsableWorker() {
   return Register("test_first_usable", [](const WaitingJob& job, const ZoneView& view) {
     std::vector<TaskOnWorker> tasks;
@@ -98,7 +98,7 @@
   }
 }
 
-TEST(TraceTest, BadLinesAreNamed) {
+TEST(TraceTest, ErrorsNameTheLine) {
   const std::string header = kHeader;
   EXPECT_EQ(ErrorOf(header), "");
   EXPECT_NE(ErrorOf("").find("test:1: the header"), std::string::npos);
@@ -112,21 +112,21 @@
             std::string::npos);
 }
 
-TEST(TraceTest, TimesAreSumsOfTheirParts) {
+TEST(TraceTest, TimesAreSumsOfDurations) {
   const Trace trace =
       ParseTrace("test", std::string(kHeader) + R"({"event":"log_down","at":"1h30min5s"})");
   EXPECT_EQ(trace.events.front().at, std::chrono::seconds(5405));
 }
 
-// The figures come from a second implementation. A day is generated from a seed. If the machine's
-// library chose the numbers, a trace that passes here would fail elsewhere.
+// The expected values come from a second implementation. If the platform's library chose the
+// numbers, a trace that passes here would fail elsewhere.
 TEST(TraceTest, GeneratedNumbersAreTheSameEverywhere) {
   TraceRandom random(1);
-  EXPECT_DOUBLE_EQ(random.Share(), 0.5665615751722809);
-  EXPECT_DOUBLE_EQ(random.Share(), 0.7457817572627011);
+  EXPECT_DOUBLE_EQ(random.UniformReal(), 0.5665615751722809);
+  EXPECT_DOUBLE_EQ(random.UniformReal(), 0.7457817572627011);
 }
 
-TEST(ReplayTest, JobsRunForTheirTrueTimeInTheRoomThereIs) {
+TEST(ReplayTest, JobsRunForTheirTrueTimeWithinCapacity) {
   const ReplayResult result = ReplayOf(
       kHeader + Submit("1s", "a", 2, "10min") + Submit("2s", "b", 1, "5min"), FirstFreeWorker());
   const ReplayJob& first = result.jobs.at("w/a");
@@ -137,7 +137,7 @@
   EXPECT_EQ(second.state, JobState::kDone);
 }
 
-TEST(ReplayTest, EventsThatDoNotFitTheDocumentAreNamed) {
+TEST(ReplayTest, ErrorsNameEventsThatDoNotFitTheDocument) {
   try {
     ReplayOf(std::string(kHeader) + R"({"event":"worker_down","at":"1s","worker":"z-9"})",
              FirstFreeWorker());
@@ -147,16 +147,16 @@
   }
 }
 
-TEST(ReplayTest, TwoRunsGiveTheSameLines) {
+TEST(ReplayTest, ReplayIsDeterministic) {
   const std::string text =
       std::string(kHeader) +
       R"({"event":"generate","at":"0s","until":"40min","count":30,"prefix":"g","runs":["1min","9min"],"off_by":4,"job":{"workspace":"w","accelerators":4}})";
   EXPECT_EQ(ReplayOf(text, FirstFreeWorker()).lines, ReplayOf(text, FirstFreeWorker()).lines);
 }
 
-// The log is away for ten minutes. Whoever submits meanwhile is told "not run" and comes back; what
-// ends meanwhile is recorded later, and nothing is lost.
-TEST(ReplayTest, WorkGoesOnThroughALogOutage) {
+// The log is down for ten minutes. Submissions during that time are refused as "not run" and
+// retried, ends are recorded later, and no job is lost.
+TEST(ReplayTest, JobsSurviveALogOutage) {
   const ReplayResult result =
       ReplayOf(kHeader + Submit("1s", "a", 2, "5min") + Submit("6min", "b", 1, "1min") +
                    R"({"event":"log_down","at":"1min"}
@@ -168,9 +168,9 @@
   EXPECT_GE(*result.jobs.at("w/b").started, std::chrono::minutes(11));
 }
 
-// An entry dies and another takes its zone over. The job that runs must be found, not started
+// An entry dies and another one takes over its zone. The running job must be found, not started
 // again.
-TEST(ReplayTest, ASuccessorFindsWhatRuns) {
+TEST(ReplayTest, ANewPlannerFindsRunningJobs) {
   const ReplayResult result = ReplayOf(
       kHeader + Submit("1s", "a", 1, "5min") + R"({"event":"entry_lost","at":"1min","zone":"z"})",
       FirstFreeWorker());
@@ -178,9 +178,9 @@
   EXPECT_EQ(result.jobs.at("w/a").state, JobState::kDone);
 }
 
-// One of two workers fails all that it starts. The job must be tried on the other, and only a job
-// that fails wherever it runs has failed.
-TEST(ReplayTest, AWorkerThatFailsEverythingDoesNotFailItsJobs) {
+// One of two workers fails all tasks that it starts. A job must be retried on the other worker, and
+// only a job that fails on every worker has failed.
+TEST(ReplayTest, AFailingWorkerDoesNotFailItsJobs) {
   const ReplayResult result = ReplayOf(
       std::string(kHeader) + R"({"event":"worker_fails_all","at":"0s","worker":"z-0"})" + "\n" +
           Submit("1s", "a", 1, "5min") +
@@ -191,9 +191,9 @@
   EXPECT_EQ(result.jobs.at("w/b").state, JobState::kFailed);
 }
 
-// A gang loses one of its two workers. The other member runs until its lease is over, so a second
+// A gang loses one of its two workers. The other member runs until its lease expires, so a second
 // attempt before that would do the work twice.
-TEST(ReplayTest, AGangThatLostAWorkerWaitsForItsLease) {
+TEST(ReplayTest, AGangThatLostAWorkerRestartsAfterTheLease) {
   const std::string text = kHeader + Submit("1s", "a", 2, "20min") +
                            R"({"event":"worker_down","at":"5min","worker":"z-0"}
 {"event":"worker_up","at":"5min1s","worker":"z-0"}
@@ -204,7 +204,7 @@
   EXPECT_TRUE(Holds(text + R"({"expect":"no_two_attempts_at_once"})", FirstUsableWorker()));
 }
 
-TEST(ReplayTest, CancelledJobsEndWaitingOrRunning) {
+TEST(ReplayTest, WaitingAndRunningJobsAreCancelled) {
   const ReplayResult result =
       ReplayOf(kHeader + Submit("1s", "a", 2, "5min") + Submit("2s", "b", 1, "5min") +
                    R"({"event":"cancel_wave","at":"1min","prefix":"w/"})",
@@ -213,9 +213,9 @@
   EXPECT_EQ(result.jobs.at("w/b").state, JobState::kCancelled);
 }
 
-// A policy starts one member of two. The job would compute nothing and hold its room for ever, so
-// the planner drops the start, and the trace shows that the job never ran.
-TEST(ReplayTest, APolicyThatStartsPartOfAGangGetsNothingThrough) {
+// A policy starts one member of two. The job would compute nothing and use its room forever, so the
+// planner must drop the start, and the trace must show that the job never ran.
+TEST(ReplayTest, PlannerDropsAPartialGang) {
   const std::string part = Register("test_part", [](const WaitingJob&, const ZoneView&) {
     return std::vector<TaskOnWorker>{{0, "z-0", 15}};
   });
@@ -227,15 +227,14 @@
   EXPECT_FALSE(Holds(text + started, part));
 }
 
-// The same fault behind the planner's back, as a broken planner would make it: the replay's own
-// lines must show it.
-TEST(ReplayTest, AGangInPartIsSeenInTheRecordedLines) {
+// A broken planner releases a partial gang. The lines that the replay records must show it.
+TEST(ReplayTest, RecordedLinesShowAPartialGang) {
   const Trace trace = ParseTrace("test", kHeader);
   ReplayPlatform platform(ParseEnvironment("test", trace.document), trace);
   TracedJob job;
   job.spec.tasks = 2;
   job.spec.shape.accelerators = 4;
-  job.runs = std::chrono::minutes(50);
+  job.run_time = std::chrono::minutes(50);
   const Time start(std::chrono::hours(1));
   platform.Start("z", {"w/a", 1, false, {{0, "z-0", 15}}}, job, start);
   ReplayRecorder recorder(start);
@@ -249,8 +248,8 @@
   EXPECT_EQ(result.verdict, CheckVerdict::kViolated);
 }
 
-// A policy that never comes to some job looks good on every mean.
-TEST(ReplayTest, APolicyThatForgetsAJobIsCaught) {
+// A policy that never starts some job looks good on every mean.
+TEST(ReplayTest, AForgottenJobViolatesExpectations) {
   const std::string idle = Register(
       "test_idle", [](const WaitingJob&, const ZoneView&) { return std::vector<TaskOnWorker>(); });
   const std::string job = kHeader + Submit("1s", "a", 1, "5min");
@@ -262,24 +261,24 @@
   EXPECT_FALSE(Holds(job + open, idle));
 }
 
-// A planner that has just taken over gives accelerators away that are in use. The workers refuse.
-TEST(ReplayTest, RoomGivenTwiceIsRefused) {
+// A planner that has just taken over assigns accelerators that are in use. The workers must refuse.
+TEST(ReplayTest, StartsOnOccupiedRoomAreRefused) {
   const Trace trace = ParseTrace("test", kHeader);
   ReplayPlatform platform(ParseEnvironment("test", trace.document), trace);
   TracedJob job;
   job.spec.shape.accelerators = 4;
-  job.runs = std::chrono::minutes(5);
+  job.run_time = std::chrono::minutes(5);
   const StartDecision first = {"w/a", 1, false, {{0, "z-0", 15}}};
-  EXPECT_EQ(platform.RefusalOf(first, job.spec), "");
+  EXPECT_EQ(platform.StartRefusal(first, job.spec), "");
   platform.Start("z", first, job, Time(std::chrono::hours(1)));
-  EXPECT_NE(platform.RefusalOf({"w/b", 1, false, {{0, "z-0", 1}}}, job.spec), "");
-  EXPECT_NE(platform.RefusalOf({"w/a", 2, false, {{0, "z-0", 15}}}, job.spec), "");
-  EXPECT_NE(platform.RefusalOf({"w/c", 1, false, {{0, "z-1", 3}, {1, "z-1", 6}}}, job.spec), "");
-  EXPECT_NE(platform.RefusalOf({"w/d", 1, false, {{0, "z-1", 31}}}, job.spec), "");
-  EXPECT_EQ(platform.RefusalOf({"w/e", 1, false, {{0, "z-1", 15}}}, job.spec), "");
+  EXPECT_NE(platform.StartRefusal({"w/b", 1, false, {{0, "z-0", 1}}}, job.spec), "");
+  EXPECT_NE(platform.StartRefusal({"w/a", 2, false, {{0, "z-0", 15}}}, job.spec), "");
+  EXPECT_NE(platform.StartRefusal({"w/c", 1, false, {{0, "z-1", 3}, {1, "z-1", 6}}}, job.spec), "");
+  EXPECT_NE(platform.StartRefusal({"w/d", 1, false, {{0, "z-1", 31}}}, job.spec), "");
+  EXPECT_EQ(platform.StartRefusal({"w/e", 1, false, {{0, "z-1", 15}}}, job.spec), "");
 }
 
-TEST(GuaranteeOracleTest, CoversJobsInOrderWhileTheCellsLast) {
+TEST(GuaranteeOracleTest, CoversJobsInOrderUntilTheCellsAreUsed) {
   const Trace trace = ParseTrace("test", kHeader);
   ZoneView view;
   view.zone = "z";
@@ -298,7 +297,7 @@
   running.spec = job.spec;
   view.running.push_back(running);
   EXPECT_EQ(CoveredJobs(view, "w", cells), (std::set<std::string>{"a"}));
-  // More than the guarantee runs: nothing is left to claim.
+  // More than the guarantee is running, so nothing is left to claim.
   view.running.push_back(running);
   view.running.push_back(running);
   EXPECT_TRUE(CoveredJobs(view, "w", cells).empty());
