--- a/rpc/agent_service.cc
+++ b/rpc/agent_service.cc
@@ -38,11 +38,12 @@
   }
 
   kj::Promise<void> resolve(ResolveContext context) override {
-    const SeenQuestion question = Read(context.getParams().getQuestion());
+    const RequestStatusQuery question = Read(context.getParams().getQuestion());
     AgentPort* agent = agent_;
-    return Offload<SeenAnswer>(&pools_->control,
-                               [agent, question] { return agent->Resolve(question, kStepTimeout); })
-        .then([context](Attempt<SeenAnswer> attempt) mutable {
+    return Offload<RequestStatusReply>(
+               &pools_->control,
+               [agent, question] { return agent->Resolve(question, kStepTimeout); })
+        .then([context](Attempt<RequestStatusReply> attempt) mutable {
           auto results = context.getResults();
           if (attempt.error) return Write(*attempt.error, results.initFailure());
           Write(*attempt.value, results.initAnswer());
--- a/rpc/convert.cc
+++ b/rpc/convert.cc
@@ -138,7 +138,7 @@
   return answer;
 }
 
-void Write(const SeenQuestion& from, wire::SeenQuestion::Builder to) {
+void Write(const RequestStatusQuery& from, wire::SeenQuestion::Builder to) {
   to.setWorkspace(from.workspace);
   to.setIdempotencyKey(from.idempotency_key);
   to.setAttempt(from.attempt);
@@ -148,23 +148,23 @@
   to.setAgeNanos(from.age.count());
 }
 
-SeenQuestion Read(wire::SeenQuestion::Reader from) {
+RequestStatusQuery Read(wire::SeenQuestion::Reader from) {
   return {Text(from.getWorkspace()),   Text(from.getIdempotencyKey()),
           from.getAttempt(),           from.getFence(),
           Text(from.getRequestId()),   Text(from.getIncarnation()),
           Duration(from.getAgeNanos())};
 }
 
-void Write(const SeenAnswer& from, wire::SeenAnswer::Builder to) {
+void Write(const RequestStatusReply& from, wire::SeenAnswer::Builder to) {
   to.setState(static_cast<uint16_t>(from.state));
   Write(from.answer, to.initAnswer());
 }
 
-SeenAnswer Read(wire::SeenAnswer::Reader from) {
-  SeenAnswer answer;
+RequestStatusReply Read(wire::SeenAnswer::Reader from) {
+  RequestStatusReply answer;
   // A state that this version does not know must not read as "never will run".
-  if (from.getState() <= static_cast<uint16_t>(SeenState::kUnknown)) {
-    answer.state = static_cast<SeenState>(from.getState());
+  if (from.getState() <= static_cast<uint16_t>(RequestRunState::kUnknown)) {
+    answer.state = static_cast<RequestRunState>(from.getState());
   }
   answer.answer = Read(from.getAnswer());
   return answer;
@@ -181,7 +181,7 @@
     tasks[index].setTask(from.tasks[index].task);
     tasks[index].setAccelerators(from.tasks[index].accelerators);
   }
-  to.setHoldNanos(from.hold.count());
+  to.setHoldNanos(from.hold_timeout.count());
   to.setCheckpoints(from.checkpoints);
   to.setGuaranteed(from.guaranteed);
 }
@@ -196,7 +196,7 @@
   for (const auto task : from.getTasks()) {
     reserve.tasks.push_back({task.getTask(), task.getAccelerators()});
   }
-  reserve.hold = Duration(from.getHoldNanos());
+  reserve.hold_timeout = Duration(from.getHoldNanos());
   reserve.checkpoints = from.getCheckpoints();
   reserve.guaranteed = from.getGuaranteed();
   return reserve;
@@ -221,7 +221,7 @@
   to.setAttempt(from.attempt);
   to.setLeaseNanos(from.lease.count());
   to.setCheckpoint(from.checkpoint);
-  to.setBeatSentAt(from.beat_sent_at);
+  to.setBeatSentAt(from.heartbeat_sent_at);
 }
 
 GangAction Read(wire::GangAction::Reader from) {
@@ -240,17 +240,17 @@
   return {Text(from.getProcess()), Text(from.getZone()), Text(from.getAddress())};
 }
 
-void Write(const HeardEntry& from, wire::HeardEntry::Builder to) {
+void Write(const ObservedEntry& from, wire::HeardEntry::Builder to) {
   Write(from.entry, to.initEntry());
   to.setConfigVersion(from.config_version);
   to.setAgeNanos(from.age.count());
 }
 
-HeardEntry Read(wire::HeardEntry::Reader from) {
+ObservedEntry Read(wire::HeardEntry::Reader from) {
   return {Read(from.getEntry()), from.getConfigVersion(), Duration(from.getAgeNanos())};
 }
 
-void Write(const AgentBeat& from, wire::AgentBeat::Builder to) {
+void Write(const AgentHeartbeat& from, wire::AgentBeat::Builder to) {
   Write(from.load, to.initLoad());
   to.setConfigVersion(from.config_version);
   to.setLeaving(from.leaving);
@@ -260,27 +260,27 @@
   to.setReportAgeNanos(from.report_age.count());
   auto tasks = to.initTasks(static_cast<unsigned>(from.tasks.size()));
   for (unsigned index = 0; index < tasks.size(); ++index) Write(from.tasks[index], tasks[index]);
-  auto heard = to.initHeard(static_cast<unsigned>(from.heard.size()));
-  for (unsigned index = 0; index < heard.size(); ++index) Write(from.heard[index], heard[index]);
+  auto seen = to.initHeard(static_cast<unsigned>(from.observed.size()));
+  for (unsigned index = 0; index < seen.size(); ++index) Write(from.observed[index], seen[index]);
   to.setMembersDigest(from.members_digest);
 }
 
-AgentBeat Read(wire::AgentBeat::Reader from) {
-  AgentBeat beat;
-  beat.load = Read(from.getLoad());
-  beat.config_version = from.getConfigVersion();
-  beat.leaving = from.getLeaving();
-  beat.planner_epoch = from.getPlannerEpoch();
-  beat.planner_silence = Duration(from.getPlannerSilenceNanos());
-  beat.sent_at = from.getSentAt();
-  beat.report_age = Duration(from.getReportAgeNanos());
-  for (const auto task : from.getTasks()) beat.tasks.push_back(Read(task));
-  for (const auto heard : from.getHeard()) beat.heard.push_back(Read(heard));
-  beat.members_digest = from.getMembersDigest();
-  return beat;
+AgentHeartbeat Read(wire::AgentBeat::Reader from) {
+  AgentHeartbeat heartbeat;
+  heartbeat.load = Read(from.getLoad());
+  heartbeat.config_version = from.getConfigVersion();
+  heartbeat.leaving = from.getLeaving();
+  heartbeat.planner_epoch = from.getPlannerEpoch();
+  heartbeat.planner_silence = Duration(from.getPlannerSilenceNanos());
+  heartbeat.sent_at = from.getSentAt();
+  heartbeat.report_age = Duration(from.getReportAgeNanos());
+  for (const auto task : from.getTasks()) heartbeat.tasks.push_back(Read(task));
+  for (const auto entry : from.getHeard()) heartbeat.observed.push_back(Read(entry));
+  heartbeat.members_digest = from.getMembersDigest();
+  return heartbeat;
 }
 
-void Write(const EntryBeat& from, wire::EntryBeat::Builder to) {
+void Write(const HeartbeatReply& from, wire::EntryBeat::Builder to) {
   to.setConfigVersion(from.config_version);
   to.setConfigText(from.config_text);
   to.setFreshnessAgeNanos(from.freshness.age.count());
@@ -301,23 +301,23 @@
   to.setJobsFailing(from.jobs_freshness.failing);
 }
 
-EntryBeat Read(wire::EntryBeat::Reader from) {
-  EntryBeat beat;
-  beat.config_version = from.getConfigVersion();
-  beat.config_text = Text(from.getConfigText());
-  beat.freshness.age = Duration(from.getFreshnessAgeNanos());
-  beat.freshness.failing = from.getLogFailing();
-  for (const auto entry : from.getEntries()) beat.entries.push_back(Text(entry));
-  beat.planner_address = Text(from.getPlannerAddress());
-  beat.self = Read(from.getSelf());
-  beat.environment = Text(from.getEnvironment());
-  beat.config_digest = Text(from.getConfigDigest());
-  for (const auto member : from.getMembers()) beat.members.push_back(Read(member));
-  beat.planner_epoch = from.getPlannerEpoch();
-  beat.planner_active = from.getPlannerActive();
-  beat.jobs_freshness.age = Duration(from.getJobsAgeNanos());
-  beat.jobs_freshness.failing = from.getJobsFailing();
-  return beat;
+HeartbeatReply Read(wire::EntryBeat::Reader from) {
+  HeartbeatReply reply;
+  reply.config_version = from.getConfigVersion();
+  reply.config_text = Text(from.getConfigText());
+  reply.freshness.age = Duration(from.getFreshnessAgeNanos());
+  reply.freshness.failing = from.getLogFailing();
+  for (const auto entry : from.getEntries()) reply.entries.push_back(Text(entry));
+  reply.planner_address = Text(from.getPlannerAddress());
+  reply.self = Read(from.getSelf());
+  reply.environment = Text(from.getEnvironment());
+  reply.config_digest = Text(from.getConfigDigest());
+  for (const auto member : from.getMembers()) reply.members.push_back(Read(member));
+  reply.planner_epoch = from.getPlannerEpoch();
+  reply.planner_active = from.getPlannerActive();
+  reply.jobs_freshness.age = Duration(from.getJobsAgeNanos());
+  reply.jobs_freshness.failing = from.getJobsFailing();
+  return reply;
 }
 
 void Write(const Error& from, wire::Failure::Builder to) {
--- a/rpc/convert.h
+++ b/rpc/convert.h
@@ -18,11 +18,11 @@
 void Write(const ServiceAnswer& from, wire::ServiceAnswer::Builder to);
 ServiceAnswer Read(wire::ServiceAnswer::Reader from);
 
-void Write(const SeenQuestion& from, wire::SeenQuestion::Builder to);
-SeenQuestion Read(wire::SeenQuestion::Reader from);
+void Write(const RequestStatusQuery& from, wire::SeenQuestion::Builder to);
+RequestStatusQuery Read(wire::SeenQuestion::Reader from);
 
-void Write(const SeenAnswer& from, wire::SeenAnswer::Builder to);
-SeenAnswer Read(wire::SeenAnswer::Reader from);
+void Write(const RequestStatusReply& from, wire::SeenAnswer::Builder to);
+RequestStatusReply Read(wire::SeenAnswer::Reader from);
 
 void Write(const GangReserve& from, wire::GangReserve::Builder to);
 GangReserve Read(wire::GangReserve::Reader from);
@@ -36,14 +36,14 @@
 void Write(const EntryMember& from, wire::EntryMember::Builder to);
 EntryMember Read(wire::EntryMember::Reader from);
 
-void Write(const HeardEntry& from, wire::HeardEntry::Builder to);
-HeardEntry Read(wire::HeardEntry::Reader from);
+void Write(const ObservedEntry& from, wire::HeardEntry::Builder to);
+ObservedEntry Read(wire::HeardEntry::Reader from);
 
-void Write(const AgentBeat& from, wire::AgentBeat::Builder to);
-AgentBeat Read(wire::AgentBeat::Reader from);
+void Write(const AgentHeartbeat& from, wire::AgentBeat::Builder to);
+AgentHeartbeat Read(wire::AgentBeat::Reader from);
 
-void Write(const EntryBeat& from, wire::EntryBeat::Builder to);
-EntryBeat Read(wire::EntryBeat::Reader from);
+void Write(const HeartbeatReply& from, wire::EntryBeat::Builder to);
+HeartbeatReply Read(wire::EntryBeat::Reader from);
 
 void Write(const Error& from, wire::Failure::Builder to);
 // Throws the Error that `from` carries, if it carries one.
--- a/rpc/gate_listener.cc
+++ b/rpc/gate_listener.cc
@@ -31,11 +31,11 @@
       : port_(std::move(port)), pool_(pool) {}
 
   kj::Promise<void> heartbeat(HeartbeatContext context) override {
-    auto beat = std::make_shared<AgentBeat>(Read(context.getParams().getBeat()));
+    auto beat = std::make_shared<AgentHeartbeat>(Read(context.getParams().getBeat()));
     std::shared_ptr<EntryPort> port = port_;
-    return Offload<EntryBeat>(pool_,
-                              [port, beat] { return port->Heartbeat(*beat, kHeartbeatTimeout); })
-        .then([context](Attempt<EntryBeat> attempt) mutable {
+    return Offload<HeartbeatReply>(
+               pool_, [port, beat] { return port->Heartbeat(*beat, kHeartbeatTimeout); })
+        .then([context](Attempt<HeartbeatReply> attempt) mutable {
           auto results = context.getResults();
           if (attempt.error) return Write(*attempt.error, results.initFailure());
           Write(*attempt.value, results.initBeat());
--- a/rpc/gate_listener_test.cc
+++ b/rpc/gate_listener_test.cc
@@ -18,8 +18,8 @@
 
 class EchoPort : public EntryPort {
  public:
-  EntryBeat Heartbeat(const AgentBeat& beat, Duration /*timeout*/) override {
-    EntryBeat answer;
+  HeartbeatReply Heartbeat(const AgentHeartbeat& beat, Duration /*timeout*/) override {
+    HeartbeatReply answer;
     answer.config_version = beat.config_version;
     return answer;
   }
@@ -48,7 +48,7 @@
     RpcEntryConnector connector({keys}, 1);
     const std::string address = "127.0.0.1:" + std::to_string(listener_->port());
     try {
-      AgentBeat beat;
+      AgentHeartbeat beat;
       beat.config_version = 7;
       const auto port = connector.Connect(address, {"worker", "i", "a", "r", "", {}}, nullptr);
       return port->Heartbeat(beat, std::chrono::seconds(5)).config_version == 7;
--- a/rpc/rpc_agent_port.cc
+++ b/rpc/rpc_agent_port.cc
@@ -61,13 +61,14 @@
       kCancelTimeout);
 }
 
-SeenAnswer RpcAgentPort::Resolve(const SeenQuestion& question, Duration timeout) {
+RequestStatusReply RpcAgentPort::Resolve(const RequestStatusQuery& question, Duration timeout) {
   return session_
       ->Call(
           [&] {
             auto call = client_->resolveRequest();
             Write(question, call.initQuestion());
-            return Send<SeenAnswer>(call, [](auto&& answer) { return Read(answer.getAnswer()); });
+            return Send<RequestStatusReply>(call,
+                                            [](auto&& answer) { return Read(answer.getAnswer()); });
           },
           timeout)
       .Take();
--- a/rpc/rpc_agent_port.h
+++ b/rpc/rpc_agent_port.h
@@ -18,7 +18,7 @@
 
   ServiceAnswer Serve(const ServiceRequest& request) override;
   void Cancel(const std::string& request_id) override;
-  SeenAnswer Resolve(const SeenQuestion& question, Duration timeout) override;
+  RequestStatusReply Resolve(const RequestStatusQuery& question, Duration timeout) override;
   void Drop() override { session_->Close(); }
   void Reserve(const GangReserve& reserve, Duration timeout) override;
   void Start(const GangStart& start, Duration timeout) override;
--- a/rpc/rpc_entry_connector.cc
+++ b/rpc/rpc_entry_connector.cc
@@ -30,14 +30,14 @@
     session_->WaitClosed();
   }
 
-  EntryBeat Heartbeat(const AgentBeat& beat, Duration timeout) override {
+  HeartbeatReply Heartbeat(const AgentHeartbeat& beat, Duration timeout) override {
     return session_
         ->Call(
             [&] {
               auto call = client_->heartbeatRequest();
               Write(beat, call.initBeat());
               return call.send().then([](auto&& response) {
-                return AttemptOf<EntryBeat>([&] {
+                return AttemptOf<HeartbeatReply>([&] {
                   ThrowIfFailed(response.getFailure());
                   return Read(response.getBeat());
                 });
--- a/servers/entry/agent_directory.h
+++ b/servers/entry/agent_directory.h
@@ -16,7 +16,7 @@
 struct AgentState {
   AgentHello hello;
   std::shared_ptr<AgentPort> port;
-  AgentBeat beat;
+  AgentHeartbeat beat;
   // When the last heartbeat arrived, or the session was opened.
   Time heard{};
   // Requests that this entry has sent and that are not yet answered.
@@ -32,7 +32,7 @@
   // fail immediately: an agent opens a second connection when it takes the first one for dead.
   void Open(const AgentHello& hello, std::shared_ptr<AgentPort> port, Time now);
   // Stores a heartbeat. Ignored unless it comes from the agent's registered incarnation.
-  void RecordHeartbeat(const AgentHello& hello, const AgentBeat& beat, Time now);
+  void RecordHeartbeat(const AgentHello& hello, const AgentHeartbeat& beat, Time now);
   // Stores the load that an answer of the agent reported.
   void RecordLoad(const std::string& agent, const TargetLoad& load);
   void AddOutstanding(const std::string& agent, int change);
--- a/servers/entry/peer_view.h
+++ b/servers/entry/peer_view.h
@@ -23,7 +23,7 @@
 class PeerView {
  public:
   // Stores the reports about entries in an agent's heartbeat that arrived at `now`.
-  void RecordHeartbeat(const AgentBeat& beat, Time now);
+  void RecordHeartbeat(const AgentHeartbeat& beat, Time now);
 
   // Entries that some agent heard from within the last `max_age`, sorted by process name.
   std::vector<PeerState> RecentlySeen(Time now, Duration max_age) const;
