--- a/rpc/admission_stream.h
+++ b/rpc/admission_stream.h
@@ -1,6 +1,6 @@
-// A connection whose peer has not yet proved that it belongs here: cut once it has sent more than a
-// proof needs. Without that bound any host that reaches the port could make this process read, and
-// keep, messages of tens of megabytes for each connection; memory would grow with no session open.
+// A stream that limits how much a peer may send before it has authenticated. Without the limit, any
+// host that reaches the port could make this process buffer messages of tens of megabytes for each
+// connection, and exhaust its memory without a single open session.
 #pragma once
 
 #include <kj/async-io.h>
@@ -11,19 +11,22 @@
 
 namespace turmericshift {
 
-// Two calls with a nonce, a proof and who the agent is; anything longer is none of ours.
+// Enough for the two calls of the handshake, which carry a nonce, a proof and the AgentHello. A
+// peer that sends more is not an agent.
 inline constexpr size_t kMaxUnadmittedBytes = size_t{16} * 1024;
 
 class AdmissionStream final : public kj::AsyncIoStream {
  public:
-  // `inner` must outlive this. Bounded until `*admitted`.
+  // Reads are limited until `*admitted` is true. `inner` and `admitted` must outlive the stream.
   AdmissionStream(kj::AsyncIoStream* inner, const std::atomic<bool>* admitted)
       : inner_(inner), admitted_(admitted) {}
 
   kj::Promise<size_t> tryRead(void* buffer, size_t min_bytes, size_t max_bytes) override {
-    // By what is asked for: the library asks for a whole message as soon as it knows its size.
+    // Counts the requested bytes, because the library requests a whole message as soon as it knows
+    // its size.
     if (!admitted_->load() && read_ + min_bytes > kMaxUnadmittedBytes) {
-      return KJ_EXCEPTION(DISCONNECTED, "too much was sent before the proof");
+      return KJ_EXCEPTION(DISCONNECTED,
+                          "peer sent more than the handshake needs before it had authenticated");
     }
     return inner_->tryRead(buffer, min_bytes, max_bytes).then([this](size_t bytes) {
       read_ += bytes;
--- a/rpc/agent_service.cc
+++ b/rpc/agent_service.cc
@@ -6,7 +6,7 @@
 namespace turmericshift {
 namespace {
 
-// How long the control steps may take inside the agent.
+// Time limit of a control call inside the agent.
 constexpr Duration kStepTimeout = std::chrono::seconds(5);
 
 class AgentService final : public wire::Agent::Server {
@@ -72,7 +72,7 @@
   }
 
  private:
-  // A step on the control pool, answered with a failure or nothing.
+  // Runs `step` on the control pool. The response holds only a failure, if there was one.
   template <typename Context>
   kj::Promise<void> Step(Context context, std::function<void()> step) {
     return Offload<bool>(&pools_->control,
--- a/rpc/agent_service.h
+++ b/rpc/agent_service.h
@@ -1,4 +1,4 @@
-// An AgentPort offered to the peer of a session.
+// Serves an AgentPort to the peer of a session.
 #pragma once
 
 #include <peer.capnp.h>
@@ -8,14 +8,14 @@
 
 namespace turmericshift {
 
-// Calls run on pools, since they block: requests apart from gang steps, so that a target full of
-// slow requests can't keep a gang from being stopped.
+// Thread pools for the calls, which block. Requests have a pool of their own, so that slow requests
+// can't delay control calls such as stopping a gang.
 struct AgentPools {
   ThreadPool requests;
   ThreadPool control;
 };
 
-// `agent` and `pools` must outlive the service's session.
+// Returns a service that passes calls to `agent`. `agent` and `pools` must outlive its session.
 wire::Agent::Client MakeAgentService(AgentPort* agent, AgentPools* pools);
 
 }  // namespace turmericshift
--- a/rpc/convert.cc
+++ b/rpc/convert.cc
@@ -55,7 +55,7 @@
   TaskReport report;
   report.id = {Text(from.getJob()), from.getAttempt(), from.getTask()};
   if (from.getPhase() > static_cast<uint16_t>(TaskPhase::kStopped)) {
-    throw Error(ErrorKind::kInvalidInput, "unknown task phase");
+    throw Error(ErrorKind::kInvalidInput, "unknown number of a task phase");
   }
   report.phase = static_cast<TaskPhase>(from.getPhase());
   report.accelerators = from.getAccelerators();
@@ -162,7 +162,7 @@
 
 RequestStatusReply Read(wire::SeenAnswer::Reader from) {
   RequestStatusReply answer;
-  // A state that this version does not know must not read as "never will run".
+  // A state that this version does not know stays kUnknown; it must not become kNeverWillRun.
   if (from.getState() <= static_cast<uint16_t>(RequestRunState::kUnknown)) {
     answer.state = static_cast<RequestRunState>(from.getState());
   }
--- a/rpc/convert.h
+++ b/rpc/convert.h
@@ -1,5 +1,5 @@
-// Between the plain messages of servers/ports and their Cap'n Proto forms. Reading checks what a
-// faulty or hostile peer could get wrong and throws Error(kInvalidInput).
+// Converts between the plain messages of servers/ports and their Cap'n Proto types. Read throws
+// Error(kInvalidInput) for values that only a faulty or hostile peer sends.
 #pragma once
 
 #include <peer.capnp.h>
@@ -46,7 +46,7 @@
 HeartbeatReply Read(wire::EntryBeat::Reader from);
 
 void Write(const Error& from, wire::Failure::Builder to);
-// Throws the Error that `from` carries, if it carries one.
+// Throws the Error described by `from`. Does nothing if `from` describes none.
 void ThrowIfFailed(wire::Failure::Reader from);
 
 }  // namespace turmericshift
--- a/rpc/gate_listener.cc
+++ b/rpc/gate_listener.cc
@@ -24,17 +24,17 @@
 constexpr int kPoolThreads = 16;
 constexpr Duration kHeartbeatTimeout = std::chrono::seconds(3);
 
-// What an agent calls once it is let in.
+// Serves an agent's calls after its admission.
 class EntrySessionService final : public wire::EntrySession::Server {
  public:
   EntrySessionService(std::shared_ptr<EntryPort> port, ThreadPool* pool)
       : port_(std::move(port)), pool_(pool) {}
 
   kj::Promise<void> heartbeat(HeartbeatContext context) override {
-    auto beat = std::make_shared<AgentHeartbeat>(Read(context.getParams().getBeat()));
+    auto heartbeat = std::make_shared<AgentHeartbeat>(Read(context.getParams().getBeat()));
     std::shared_ptr<EntryPort> port = port_;
     return Offload<HeartbeatReply>(
-               pool_, [port, beat] { return port->Heartbeat(*beat, kHeartbeatTimeout); })
+               pool_, [port, heartbeat] { return port->Heartbeat(*heartbeat, kHeartbeatTimeout); })
         .then([context](Attempt<HeartbeatReply> attempt) mutable {
           auto results = context.getResults();
           if (attempt.error) return Write(*attempt.error, results.initFailure());
@@ -56,7 +56,8 @@
     nonce_ = RandomHex(kNonceBytes);
     auto results = context.getResults();
     results.setNonce(nonce_);
-    // The peer's nonce is bound to the role, so that a proof can't be played back at its maker.
+    // The proof covers the role as well as the peer's nonce, so that it can't be reflected to the
+    // process that made it.
     const std::string peer_nonce = context.getParams().getNonce().cStr();
     results.setProof(Prove(keys_.keys.front(), "entry:" + peer_nonce));
     return kj::READY_NOW;
@@ -65,9 +66,9 @@
   kj::Promise<void> openAgent(OpenAgentContext context) override {
     auto params = context.getParams();
     auto results = context.getResults();
-    if (!Proved(params.getProof().cStr())) {
+    if (!VerifyProof(params.getProof().cStr())) {
       LogEvent(LogLevel::kWarning, "session_refused", {{"reason", "wrong key"}});
-      Write(Error(ErrorKind::kUnauthenticated, "the proof does not fit any shared key"),
+      Write(Error(ErrorKind::kUnauthenticated, "the proof matches none of the shared keys"),
             results.initFailure());
       return kj::READY_NOW;
     }
@@ -83,8 +84,8 @@
   }
 
  private:
-  // Each nonce serves one attempt.
-  bool Proved(const std::string& proof) {
+  // Checks the peer's proof for the current nonce. A nonce is valid for one check only.
+  bool VerifyProof(const std::string& proof) {
     const std::string nonce = std::exchange(nonce_, "");
     if (nonce.empty()) return false;
     return std::any_of(keys_.keys.begin(), keys_.keys.end(), [&](const std::string& key) {
@@ -103,7 +104,8 @@
 
 GateListener::GateListener(const GateOptions& options, EntryGate* gate)
     : options_(options), gate_(gate), pool_("gate", kPoolThreads) {
-  if (options.keys.keys.empty()) throw Error(ErrorKind::kInvalidInput, "no shared key is set");
+  if (options.keys.keys.empty())
+    throw Error(ErrorKind::kInvalidInput, "the list of shared keys is empty");
   listener_ = ListenSocket(options.address, options.port);
   port_ = BoundPort(listener_);
   thread_ = Thread("gate-accept", [this] { Accept(); });
@@ -131,25 +133,25 @@
     pollfd waiting{listener_, POLLIN, 0};
     const bool connected = poll(&waiting, 1, kPollMillis) > 0;
     const Time now = DefaultClock().Now();
-    Sweep(now);
+    CloseOverdue(now);
     if (!connected) continue;
     const int fd = accept4(listener_, nullptr, nullptr, SOCK_CLOEXEC);
     if (fd >= 0) Admit(fd, now);
   }
 }
 
-void GateListener::Sweep(Time now) {
-  std::vector<std::shared_ptr<Session>> late;
+void GateListener::CloseOverdue(Time now) {
+  std::vector<std::shared_ptr<Session>> overdue;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     std::erase_if(sessions_, [](const Accepted& each) { return each.session.expired(); });
     for (const Accepted& each : sessions_) {
-      if (now - each.since <= options_.admission_limit) continue;
+      if (now - each.accepted_at <= options_.admission_limit) continue;
       auto session = each.session.lock();
-      if (session && !session->admitted() && !session->closed()) late.push_back(session);
+      if (session && !session->admitted() && !session->closed()) overdue.push_back(session);
     }
   }
-  for (const auto& session : late) {
+  for (const auto& session : overdue) {
     LogEvent(LogLevel::kWarning, "session_refused", {{"reason", "no proof in time"}});
     session->Close();
   }
--- a/rpc/gate_listener.h
+++ b/rpc/gate_listener.h
@@ -1,5 +1,5 @@
-// The entry's listening side: accepts connections, has each peer prove that it knows the shared
-// key, and hands its port to the EntryGate.
+// Accepts agents' connections to an entry, authenticates each peer by the shared key, and passes
+// its port to the EntryGate.
 #pragma once
 
 #include <atomic>
@@ -15,27 +15,29 @@
 
 namespace turmericshift {
 
-// Keys that open a session; the first is the one to prove with, more while a key is rolled.
+// Keys that authenticate a session. Proofs are made with the first key and accepted for any of
+// them; there is more than one key only during a key rotation.
 struct SharedKeys {
   std::vector<std::string> keys;
 };
 
 struct GateOptions {
   std::string address = "127.0.0.1";
-  // 0 lets the system choose; see GateListener::port().
+  // 0 lets the system choose a port; see GateListener::port().
   int port = 0;
   SharedKeys keys;
   int max_sessions = 800;
-  // A connection that has not proved itself for so long is cut.
+  // A connection that has not authenticated within this time is closed.
   Duration admission_limit = std::chrono::seconds(5);
-  // More connections than this without a proof are not accepted; the fleet's own come in within
-  // milliseconds each.
+  // Maximum number of connections that have not authenticated yet; further connections are refused.
+  // Agents authenticate within milliseconds, so they rarely reach this limit.
   int max_unadmitted = 64;
 };
 
 class GateListener {
  public:
-  // Listens at once. `gate` must outlive the listener. Throws Error(kUnavailable).
+  // Starts to listen. `gate` must outlive the listener. Throws Error(kUnavailable) if the
+  // address can't be bound, Error(kInvalidInput) if there is no key.
   GateListener(const GateOptions& options, EntryGate* gate);
   // Closes every session and waits for their threads.
   ~GateListener();
@@ -47,13 +49,13 @@
  private:
   struct Accepted {
     std::weak_ptr<Session> session;
-    Time since{};
+    Time accepted_at{};
   };
 
   void Accept();
   void Admit(int fd, Time now);
-  // Cuts those that have not proved themselves in time, forgets those that have ended.
-  void Sweep(Time now);
+  // Closes connections that have not authenticated in time, and removes those that have ended.
+  void CloseOverdue(Time now);
 
   const GateOptions options_;
   EntryGate* const gate_;
--- a/rpc/gate_listener_test.cc
+++ b/rpc/gate_listener_test.cc
@@ -18,9 +18,9 @@
 
 class EchoPort : public EntryPort {
  public:
-  HeartbeatReply Heartbeat(const AgentHeartbeat& beat, Duration /*timeout*/) override {
+  HeartbeatReply Heartbeat(const AgentHeartbeat& heartbeat, Duration /*timeout*/) override {
     HeartbeatReply answer;
-    answer.config_version = beat.config_version;
+    answer.config_version = heartbeat.config_version;
     return answer;
   }
 };
@@ -43,15 +43,15 @@
     listener_ = std::make_unique<GateListener>(options, &gate_);
   }
 
-  // Whether an agent with these keys is let in and heard.
-  bool LetsIn(const std::vector<std::string>& keys) {
+  // Whether an agent with these keys is admitted and gets a reply to its heartbeat.
+  bool Admits(const std::vector<std::string>& keys) {
     RpcEntryConnector connector({keys}, 1);
     const std::string address = "127.0.0.1:" + std::to_string(listener_->port());
     try {
-      AgentHeartbeat beat;
-      beat.config_version = 7;
+      AgentHeartbeat heartbeat;
+      heartbeat.config_version = 7;
       const auto port = connector.Connect(address, {"worker", "i", "a", "r", "", {}}, nullptr);
-      return port->Heartbeat(beat, std::chrono::seconds(5)).config_version == 7;
+      return port->Heartbeat(heartbeat, std::chrono::seconds(5)).config_version == 7;
     } catch (const Error& error) {
       EXPECT_EQ(error.kind(), ErrorKind::kUnauthenticated);
       return false;
@@ -68,8 +68,8 @@
     return fd;
   }
 
-  // Waits until the other side has ended the connection.
-  static bool IsCut(int fd) {
+  // Returns true when the other side has closed the connection, false if it stays open for 10 s.
+  static bool IsClosed(int fd) {
     constexpr int kLimitMillis = 10000;
     pollfd waiting{fd, POLLIN, 0};
     std::array<char, 4096> bytes{};
@@ -83,53 +83,52 @@
   std::unique_ptr<GateListener> listener_;
 };
 
-// The shared key is rolled: every process first knows both, then proves with the new one. Nothing
-// stops in between, whichever side is ahead.
-TEST_F(GateListenerTest, AKeyIsRolledWithoutAStop) {
+// During a rotation of the shared key, every process first knows both keys, then makes its proofs
+// with the new one. Sessions must open at every stage, whichever side is further on.
+TEST_F(GateListenerTest, AdmitsAgentsThroughoutAKeyRotation) {
   Listen({kOldKey, kNewKey});
-  EXPECT_TRUE(LetsIn({kOldKey}));
-  EXPECT_TRUE(LetsIn({kOldKey, kNewKey}));
-  EXPECT_TRUE(LetsIn({kNewKey, kOldKey}));
+  EXPECT_TRUE(Admits({kOldKey}));
+  EXPECT_TRUE(Admits({kOldKey, kNewKey}));
+  EXPECT_TRUE(Admits({kNewKey, kOldKey}));
   Listen({kNewKey, kOldKey});
-  EXPECT_TRUE(LetsIn({kOldKey, kNewKey}));
-  EXPECT_TRUE(LetsIn({kNewKey}));
+  EXPECT_TRUE(Admits({kOldKey, kNewKey}));
+  EXPECT_TRUE(Admits({kNewKey}));
 }
 
-// A process with another deployment's key, or with none of ours: refused, and no key or proof is
-// in the logs that people read afterwards.
-TEST_F(GateListenerTest, AWrongKeyIsRefusedAndNoKeyIsLogged) {
+// A process with the key of another deployment must be refused, without any key in the logs.
+TEST_F(GateListenerTest, RefusesAWrongKeyAndLogsNoKey) {
   testing::internal::CaptureStderr();
   Listen({kNewKey});
-  const bool let_in = LetsIn({kOldKey});
+  const bool admitted = Admits({kOldKey});
   listener_.reset();
   const std::string logged = testing::internal::GetCapturedStderr();
-  EXPECT_FALSE(let_in);
+  EXPECT_FALSE(admitted);
   EXPECT_EQ(logged.find(kOldKey), std::string::npos);
   EXPECT_EQ(logged.find(kNewKey), std::string::npos);
 }
 
-// A host opens connections and says nothing. Each would hold a thread for ever; the fleet could not
-// connect any more once all places are taken.
-TEST_F(GateListenerTest, ASilentConnectionIsCut) {
+// A host opens connections and sends nothing. If they stayed open, each would occupy a thread, and
+// agents could no longer connect once max_sessions was reached.
+TEST_F(GateListenerTest, ClosesASilentConnection) {
   Listen({kNewKey}, std::chrono::milliseconds(200));
   const int fd = RawConnection();
-  EXPECT_TRUE(IsCut(fd));
+  EXPECT_TRUE(IsClosed(fd));
   close(fd);
-  EXPECT_TRUE(LetsIn({kNewKey}));
+  EXPECT_TRUE(Admits({kNewKey}));
 }
 
-// A host sends far more than a proof before it has proved anything, to fill this process's memory.
-TEST_F(GateListenerTest, ALargeMessageBeforeTheProofIsCut) {
+// A host that has not authenticated sends a large message to exhaust this process's memory.
+TEST_F(GateListenerTest, ClosesAConnectionThatSendsALargeMessageBeforeItsProof) {
   Listen({kNewKey});
   const int fd = RawConnection();
-  // Announces one segment of 4 MiB and begins to send it.
+  // Announces one segment of 4 MiB (512 Ki words of 8 bytes) and begins to send it.
   const std::array<uint32_t, 2> header = {0, 512 * 1024};
   EXPECT_GT(send(fd, header.data(), sizeof(header), MSG_NOSIGNAL), 0);
   const std::string chunk(64 * 1024, 'x');
   for (int index = 0; index < 16; ++index) {
     if (send(fd, chunk.data(), chunk.size(), MSG_NOSIGNAL) <= 0) break;
   }
-  EXPECT_TRUE(IsCut(fd));
+  EXPECT_TRUE(IsClosed(fd));
   close(fd);
 }
 
--- a/rpc/offload.h
+++ b/rpc/offload.h
@@ -1,4 +1,4 @@
-// Runs a blocking call on a pool thread and fulfils the caller's RPC when it returns.
+// Runs blocking calls outside the event loop.
 #pragma once
 
 #include <kj/async.h>
@@ -12,11 +12,12 @@
 
 namespace turmericshift {
 
-// `work` must own what it uses: the peer may have gone before it runs.
+// Runs `work` on a pool thread and returns a promise of its result. `work` must own everything that
+// it uses, because the peer may disconnect before `work` runs.
 template <typename Value>
 kj::Promise<Attempt<Value>> Offload(ThreadPool* pool, std::function<Value()> work) {
   auto pair = kj::newPromiseAndCrossThreadFulfiller<Attempt<Value>>();
-  // std::function wants something that can be copied, which kj::Own can't.
+  // std::function must be copyable, and kj::Own is not.
   auto fulfiller = std::make_shared<kj::Own<kj::CrossThreadPromiseFulfiller<Attempt<Value>>>>(
       kj::mv(pair.fulfiller));
   pool->Submit(
--- a/rpc/peer.capnp
+++ b/rpc/peer.capnp
@@ -1,4 +1,4 @@
-# Sessions between entries and agents. After a change run misc/generate_rpc.sh and commit the result.
+# Sessions between entries and agents. After a change, run misc/generate_rpc.sh and commit the result.
 @0x9e9ada8045f49967;
 
 using Cxx = import "/capnp/c++.capnp";
@@ -19,7 +19,7 @@
   worker @5 :Shape;
 }
 
-# How a call failed; kind is empty when it did not.
+# How a call failed. `kind` is empty if the call succeeded.
 struct Failure {
   kind @0 :Text;
   outcome @1 :Text;
@@ -67,7 +67,7 @@
 }
 
 struct SeenAnswer {
-  # In the order of SeenState.
+  # A RequestRunState, by its position in the enum.
   state @0 :UInt16;
   answer @1 :ServiceAnswer;
 }
@@ -110,7 +110,7 @@
   job @0 :Text;
   attempt @1 :Int64;
   task @2 :Int32;
-  # In the order of TaskPhase.
+  # A TaskPhase, by its position in the enum.
   phase @3 :UInt16;
   accelerators @4 :UInt32;
   shape @5 :Shape;
@@ -165,7 +165,7 @@
   members @13 :List(EntryMember);
 }
 
-# What an entry calls on an agent.
+# The calls of an entry to an agent.
 interface Agent {
   serve @0 (request :ServiceRequest) -> (answer :ServiceAnswer, failure :Failure);
   cancel @1 (requestId :Text) -> ();
@@ -178,12 +178,12 @@
   forget @8 (action :GangAction) -> (failure :Failure);
 }
 
-# What an agent calls on an entry, once let in.
+# The calls of an agent to an entry, after its admission.
 interface EntrySession {
   heartbeat @0 (beat :AgentBeat) -> (beat :EntryBeat, failure :Failure);
 }
 
-# What any connection meets first. Both sides prove that they know the shared key.
+# The handshake at the start of every connection. Both sides prove that they know the shared key.
 interface Gate {
   challenge @0 (nonce :Text) -> (nonce :Text, proof :Text);
   openAgent @1 (proof :Text, hello :AgentHello, agent :Agent)
--- a/rpc/planner_relay.cc
+++ b/rpc/planner_relay.cc
@@ -23,11 +23,11 @@
   const PeerAddress peer = ParsePeerAddress(address);
   const sockaddr_in to = SocketAddress(peer.ip, peer.port);
   kj::AutoCloseFd socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
-  LimitSilence(socket.get());
+  EnableDeadPeerDetection(socket.get());
   return provider_
       ->wrapConnectingSocketFd(kj::mv(socket), reinterpret_cast<const sockaddr*>(&to), sizeof(to))
       .then([this, address](kj::Own<kj::AsyncIoStream>&& stream) {
-        // Of callers that came at once another may have been linked first, and uses that link.
+        // A concurrent call may have connected first; its connection is used then.
         if (!LinkedTo(address)) Link(address, kj::mv(stream));
         return LinkedGate();
       });
@@ -38,7 +38,7 @@
   link->stream = kj::mv(stream);
   link->client = kj::heap<capnp::TwoPartyClient>(*link->stream);
   PlannerLink* raw = link.get();
-  link->watch =
+  link->disconnect_watch =
       link->client->onDisconnect().then([raw] { raw->lost = true; }).eagerlyEvaluate(nullptr);
   address_ = address;
   link_ = kj::mv(link);
--- a/rpc/planner_relay.h
+++ b/rpc/planner_relay.h
@@ -1,5 +1,6 @@
-// The way through an entry for those who can't reach the planner themselves: the entry opens one
-// connection to the planner, and calls made on the gate that it hands out pass over that.
+// Relays calls to the planner for callers that can't connect to it themselves. The entry that
+// relays opens one connection to the planner and returns a gate whose calls go over that
+// connection.
 #pragma once
 
 #include <capnp/rpc-twoparty.h>
@@ -11,20 +12,21 @@
 
 namespace turmericshift {
 
-// Used on one event loop only, whose provider outlives it.
+// Must be used on a single event loop, whose provider must outlive it.
 class PlannerRelay {
  public:
   explicit PlannerRelay(kj::LowLevelAsyncIoProvider* provider) : provider_(provider) {}
 
-  // The gate of the planner at `address`, "ip:port". Fails with DISCONNECTED where it can't be
-  // reached.
+  // Returns the gate of the planner at `address`, "IP:port". Fails with DISCONNECTED if the planner
+  // can't be reached.
   kj::Promise<wire::PoolGate::Client> GateAt(const std::string& address);
 
  private:
   struct PlannerLink {
     kj::Own<kj::AsyncIoStream> stream;
     kj::Own<capnp::TwoPartyClient> client;
-    kj::Promise<void> watch = kj::READY_NOW;
+    // Sets `lost` when the connection ends.
+    kj::Promise<void> disconnect_watch = kj::READY_NOW;
     bool lost = false;
   };
 
@@ -33,7 +35,7 @@
   void Link(const std::string& address, kj::Own<kj::AsyncIoStream> stream);
 
   kj::LowLevelAsyncIoProvider* const provider_;
-  // The newest planner that somebody has asked for.
+  // Address of the planner that was requested last.
   std::string address_;
   kj::Own<PlannerLink> link_;
 };
--- a/rpc/pool.capnp
+++ b/rpc/pool.capnp
@@ -1,5 +1,5 @@
-# Sessions of a pool: agents and entries call the entry that plans it. After a change run
-# misc/generate_rpc.sh and commit the result.
+# Sessions of a pool: the calls of agents and entries to the entry with the pool's planner. After a
+# change, run misc/generate_rpc.sh and commit the result.
 @0xd1c2a7c0f3b94e65;
 
 using Cxx = import "/capnp/c++.capnp";
@@ -87,11 +87,12 @@
 
 interface PoolGate {
   exchange @0 (report :PoolReport) -> (failure :Peer.Failure, orders :PoolOrders);
-  # `spec` is the job as the store keeps it.
+  # `spec` is the job in the encoding of the store's records.
   submit @1 (id :Text, spec :Text) -> (failure :Peer.Failure);
   cancel @2 (id :Text) -> (failure :Peer.Failure);
   yield @3 (epoch :Int64, node :Text, address :Text) -> (failure :Peer.Failure);
   offer @4 () -> (failure :Peer.Failure);
-  # The gate of the planner of this epoch or a newer one, for callers that can't reach it themselves.
+  # Returns the gate of the planner of this epoch or a newer one, for callers that can't connect to the
+  # planner themselves.
   planner @5 (epoch :Int64) -> (failure :Peer.Failure, gate :PoolGate);
 }
--- a/rpc/pool_convert.cc
+++ b/rpc/pool_convert.cc
@@ -51,7 +51,7 @@
   return facts;
 }
 
-pool::StartOutcome OutcomeOf(int number) {
+pool::StartOutcome StartOutcomeFromNumber(int number) {
   switch (number) {
     case static_cast<int>(pool::StartOutcome::kStarted):
       return pool::StartOutcome::kStarted;
@@ -62,7 +62,7 @@
     case static_cast<int>(pool::StartOutcome::kTicketRefused):
       return pool::StartOutcome::kTicketRefused;
     default:
-      throw Error(ErrorKind::kInvalidInput, "an outcome of a start that is none of ours");
+      throw Error(ErrorKind::kInvalidInput, "unknown number of a start outcome");
   }
 }
 
@@ -124,8 +124,8 @@
                             Text(ended.getCheckpoint())});
   }
   for (const auto result : from.getResults()) {
-    report.results.push_back(
-        {Read(result.getRun()), OutcomeOf(result.getOutcome()), Text(result.getReason())});
+    report.results.push_back({Read(result.getRun()), StartOutcomeFromNumber(result.getOutcome()),
+                              Text(result.getReason())});
   }
   report.wait = Duration(from.getWaitNanos());
   return report;
--- a/rpc/pool_convert.h
+++ b/rpc/pool_convert.h
@@ -1,4 +1,5 @@
-// The pool's messages on the wire and back.
+// Converts between the pool's messages and their Cap'n Proto types. Read throws
+// Error(kInvalidInput) for values that only a faulty or hostile peer sends.
 #pragma once
 
 #include <pool.capnp.h>
--- a/rpc/pool_session.cc
+++ b/rpc/pool_session.cc
@@ -20,10 +20,11 @@
 namespace {
 
 constexpr size_t kLoopStackBytes = size_t{512} * 1024;
-// After a connection that could not be taken.
-constexpr kj::Duration kAcceptPause = 100 * kj::MILLISECONDS;
+// Time between a failed accept and the next.
+constexpr kj::Duration kAcceptRetryDelay = 100 * kj::MILLISECONDS;
 
-// A promise that any thread may keep, once; shared, since std::function wants to be copied.
+// Fulfils a promise from any thread; may be called once. The fulfiller is shared, because
+// std::function must be copyable.
 template <typename Value>
 class Answer {
  public:
@@ -44,7 +45,8 @@
   kj::Promise<void> planner(PlannerContext context) override {
     const pool::PlannerRecord known = gate_->KnownPlanner();
     if (known.epoch < context.getParams().getEpoch() || known.address.empty()) {
-      const Error error(ErrorKind::kUnavailable, Outcome::kNotRun, "no such planner is known here");
+      const Error error(ErrorKind::kUnavailable, Outcome::kNotRun,
+                        "this entry does not know a planner of the requested epoch or a newer one");
       Write(error, context.getResults().initFailure());
       return kj::READY_NOW;
     }
@@ -115,22 +117,23 @@
   PlannerRelay* const relay_;
 };
 
-class RpcPlannerPort final : public pool::PlannerClient {
+class RpcPlannerClient final : public pool::PlannerClient {
  public:
-  // `relayed_epoch`: the session leads to an entry that passes calls on to the planner of this
-  // epoch; none: to the planner itself.
-  RpcPlannerPort(std::shared_ptr<Session> session, std::optional<int64_t> relayed_epoch)
+  // If `relayed_epoch` is set, the session leads to an entry that relays calls to the planner of
+  // this epoch or a newer one; otherwise it leads to the planner itself.
+  RpcPlannerClient(std::shared_ptr<Session> session, std::optional<int64_t> relayed_epoch)
       : session_(std::move(session)), relayed_epoch_(relayed_epoch) {}
-  ~RpcPlannerPort() override { session_->Close(); }
+  ~RpcPlannerClient() override { session_->Close(); }
 
   bool relayed() const override { return relayed_epoch_.has_value(); }
 
-  // Throws Error unless the entry reaches the planner.
+  // Throws Error if the relaying entry can't reach the planner.
   void CheckRelay(Duration timeout) {
     session_
         ->Call(
             [&] {
-              return AskForGate().send().then([](auto&& response) { return DoneOf(response); });
+              return MakePlannerRequest().send().then(
+                  [](auto&& response) { return DoneOf(response); });
             },
             timeout)
         .Take();
@@ -205,15 +208,17 @@
   }
 
  private:
-  capnp::Request<wire::PoolGate::PlannerParams, wire::PoolGate::PlannerResults> AskForGate() {
+  capnp::Request<wire::PoolGate::PlannerParams, wire::PoolGate::PlannerResults>
+  MakePlannerRequest() {
     auto request = session_->Bootstrap().castAs<wire::PoolGate>().plannerRequest();
     request.setEpoch(*relayed_epoch_);
     return request;
   }
 
-  // A relayed gate is used before it has come: the two calls leave together.
+  // The relayed gate is used before the response with it has arrived (promise pipelining), so that
+  // a relayed call costs no extra round trip.
   wire::PoolGate::Client Gate() {
-    if (relayed_epoch_) return AskForGate().send().getGate();
+    if (relayed_epoch_) return MakePlannerRequest().send().getGate();
     return session_->Bootstrap().castAs<wire::PoolGate>();
   }
 
@@ -231,8 +236,8 @@
 
 }  // namespace
 
-// Takes connections for as long as the listener lives. A connection that can't be taken must not
-// end that: agents would reach a planner no more that still holds the duty.
+// Accepts connections as long as the listener exists. It continues after a failed accept; otherwise
+// agents could no longer reach this planner although it is still the active one.
 class PoolListener::Acceptor {
  public:
   Acceptor(kj::ConnectionReceiver* receiver, capnp::TwoPartyServer* server, kj::Timer* timer,
@@ -247,7 +252,7 @@
         },
         [this](kj::Exception&& exception) {
           NoteFailure(exception);
-          return timer_->afterDelay(kAcceptPause).then([this] { return Run(); });
+          return timer_->afterDelay(kAcceptRetryDelay).then([this] { return Run(); });
         });
   }
 
@@ -256,13 +261,13 @@
     failing_ = false;
     int fd = -1;
     KJ_IF_MAYBE (descriptor, stream->getFd()) fd = *descriptor;
-    if (fd >= 0) LimitSilence(fd);
+    if (fd >= 0) EnableDeadPeerDetection(fd);
     server_->accept(kj::mv(stream));
   }
 
   void NoteFailure(const kj::Exception& exception) {
     failures_->fetch_add(1);
-    // One line for each time that they begin.
+    // Logs only the first of consecutive failures.
     if (!failing_) {
       LogEvent(LogLevel::kWarning, "accept_failed", {{"error", exception.getDescription().cStr()}});
     }
@@ -282,8 +287,9 @@
   thread_ = Thread(
       "pool-sessions", [this, listener, gate] { Serve(listener, gate); }, kLoopStackBytes);
   std::unique_lock<std::mutex> lock(mutex_);
-  changed_.wait(lock, [this] { return begun_; });
-  if (!stop_) throw Error(ErrorKind::kUnavailable, "sessions can't be served");
+  changed_.wait(lock, [this] { return started_; });
+  if (!stop_)
+    throw Error(ErrorKind::kUnavailable, "the event loop of the pool sessions did not start");
 }
 
 PoolListener::~PoolListener() {
@@ -298,26 +304,26 @@
     auto stop = kj::newPromiseAndCrossThreadFulfiller<void>();
     auto receiver = io.lowLevelProvider->wrapListenSocketFd(
         kj::mv(socket), kj::LowLevelAsyncIoProvider::NetworkFilter::getAllAllowed());
-    // Only VMs of the system reach these ports; the platform keeps them closed to all others.
+    // No filter: the platform allows only VMs of the system to connect to these ports.
     PlannerRelay relay(io.lowLevelProvider.get());
     capnp::TwoPartyServer server(kj::heap<PoolGateService>(gate, &relay));
     Acceptor acceptor(receiver.get(), &server, &io.provider->getTimer(), &accept_failures_);
     auto served = acceptor.Run().eagerlyEvaluate([](kj::Exception&& exception) {
       LogEvent(LogLevel::kError, "sessions_ended", {{"error", exception.getDescription().cStr()}});
     });
-    Begun(kj::mv(stop.fulfiller));
+    SignalStarted(kj::mv(stop.fulfiller));
     stop.promise.wait(io.waitScope);
   } catch (const kj::Exception& exception) {
     LogEvent(LogLevel::kError, "sessions_ended", {{"error", exception.getDescription().cStr()}});
-    Begun({});
+    SignalStarted({});
   }
 }
 
-void PoolListener::Begun(kj::Own<kj::CrossThreadPromiseFulfiller<void>> stop) {
+void PoolListener::SignalStarted(kj::Own<kj::CrossThreadPromiseFulfiller<void>> stop) {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     if (stop.get() != nullptr) stop_ = kj::mv(stop);
-    begun_ = true;
+    started_ = true;
   }
   changed_.notify_all();
 }
@@ -328,7 +334,7 @@
   const PeerAddress peer = ParsePeerAddress(address);
   const auto limit_ms = duration_cast<std::chrono::milliseconds>(limit).count();
   const int fd = ConnectSocket(peer.ip, peer.port, static_cast<int>(limit_ms));
-  LimitSilence(fd);
+  EnableDeadPeerDetection(fd);
   return Session::Open(fd, Session::Side::kConnecting, "planner-session", nullptr);
 }
 
@@ -336,13 +342,13 @@
 
 std::shared_ptr<pool::PlannerClient> RpcPlannerConnector::Connect(const std::string& address,
                                                                   Duration limit) {
-  return std::make_shared<RpcPlannerPort>(OpenSession(address, limit), std::nullopt);
+  return std::make_shared<RpcPlannerClient>(OpenSession(address, limit), std::nullopt);
 }
 
 std::shared_ptr<pool::PlannerClient> RpcPlannerConnector::ConnectThrough(const std::string& relay,
                                                                          int64_t epoch,
                                                                          Duration limit) {
-  auto port = std::make_shared<RpcPlannerPort>(OpenSession(relay, limit), epoch);
+  auto port = std::make_shared<RpcPlannerClient>(OpenSession(relay, limit), epoch);
   port->CheckRelay(limit);
   return port;
 }
--- a/rpc/pool_session.h
+++ b/rpc/pool_session.h
@@ -1,4 +1,4 @@
-// Sessions of a pool: the listening side at every entry, the calling side at agents and entries.
+// Sessions of a pool: the listener of every entry, and the client of agents and entries.
 #pragma once
 
 #include <kj/async.h>
@@ -19,16 +19,16 @@
 
 struct PoolListenerOptions {
   std::string address = "127.0.0.1";
-  // 0 lets the system choose; see PoolListener::port().
+  // 0 lets the system choose a port; see PoolListener::port().
   int port = 0;
 };
 
-// One thread serves all connections. A thread for each, as sessions elsewhere have, takes three
-// descriptors of its event loop each, and an entry VM may hold 200 that are not sockets: 67 agents
-// would not fit. Handlers must not block.
+// Serves all connections on one thread, so handlers must not block. A thread for each connection,
+// as class Session has, would need three descriptors for its event loop; an entry VM may have 200
+// descriptors that are not sockets, which is too few for 67 agents.
 class PoolListener {
  public:
-  // Listens at once. `gate` must outlive the listener. Throws Error(kUnavailable).
+  // Starts to listen. `gate` must outlive the listener. Throws Error(kUnavailable).
   PoolListener(const PoolListenerOptions& options, pool::PlannerGate* gate);
   // Closes every connection.
   ~PoolListener();
@@ -36,23 +36,24 @@
   PoolListener& operator=(const PoolListener&) = delete;
 
   int port() const { return port_; }
-  // Connections that could not be taken, for want of descriptors as a rule.
+  // Number of connections that could not be accepted, usually for lack of descriptors.
   int64_t accept_failures() const { return accept_failures_.load(); }
 
  private:
   class Acceptor;
 
   void Serve(int listener, pool::PlannerGate* gate);
-  // Lets the constructor go on; `stop` is null when nothing is served.
-  void Begun(kj::Own<kj::CrossThreadPromiseFulfiller<void>> stop);
+  // Lets the constructor return. `stop` ends the thread's loop; it is null if the loop did not
+  // start.
+  void SignalStarted(kj::Own<kj::CrossThreadPromiseFulfiller<void>> stop);
 
   int port_ = 0;
   std::mutex mutex_;
   std::condition_variable changed_;
-  // The thread serves, or has failed to.
-  bool begun_ = false;
+  // The thread's loop runs or has failed to start.
+  bool started_ = false;
   std::atomic<int64_t> accept_failures_{0};
-  // Ends the thread's loop; set while it runs.
+  // Ends the thread's loop. Empty if the loop did not start.
   std::optional<kj::Own<kj::CrossThreadPromiseFulfiller<void>>> stop_;
   Thread thread_;
 };
--- a/rpc/pool_session_test.cc
+++ b/rpc/pool_session_test.cc
@@ -16,10 +16,10 @@
 namespace turmericshift {
 namespace {
 
-constexpr Duration kAnswerLimit = std::chrono::seconds(30);
+constexpr Duration kCallTimeout = std::chrono::seconds(30);
 constexpr int kConnectMillis = 5000;
 
-// Answers what its sessions ask, with nothing.
+// Answers every call with an empty result.
 class EmptyGate : public pool::PlannerGate {
  public:
   void Exchange(const pool::AgentReport& /*report*/,
@@ -42,7 +42,7 @@
   }
 };
 
-// Takes all descriptors that the process may still have, but for one, while it lives.
+// Uses up all descriptors of the process except one during its lifetime.
 class DescriptorShortage {
  public:
   DescriptorShortage() {
@@ -53,7 +53,7 @@
     for (int fd = open("/dev/null", O_RDONLY); fd >= 0; fd = open("/dev/null", O_RDONLY)) {
       taken_.push_back(fd);
     }
-    LeaveOne();
+    FreeOne();
   }
   ~DescriptorShortage() {
     for (const int fd : taken_) close(fd);
@@ -65,7 +65,7 @@
  private:
   static constexpr rlim_t kLimit = 256;
 
-  void LeaveOne() {
+  void FreeOne() {
     close(taken_.back());
     taken_.pop_back();
   }
@@ -74,9 +74,9 @@
   std::vector<int> taken_;
 };
 
-// A moment without descriptors must not end the listening for good: agents would reach a planner no
-// more that still holds the duty.
-TEST(PoolListener, TakesSessionsAgainOnceThereAreDescriptors) {
+// If a brief lack of descriptors ended the accept loop for good, agents could no longer reach a
+// planner that is still active.
+TEST(PoolListener, AcceptsSessionsAgainAfterALackOfDescriptors) {
   EmptyGate gate;
   const PoolListener listener({}, &gate);
   {
@@ -86,14 +86,14 @@
     close(connection);
   }
   const std::string address = "127.0.0.1:" + std::to_string(listener.port());
-  const auto port = RpcPlannerConnector().Connect(address, kAnswerLimit);
-  EXPECT_NO_THROW(port->Cancel("j", kAnswerLimit));
+  const auto port = RpcPlannerConnector().Connect(address, kCallTimeout);
+  EXPECT_NO_THROW(port->Cancel("j", kCallTimeout));
 }
 
-// Knows the planner that is reached at `address`.
-class GateBesideAPlanner : public EmptyGate {
+// The gate of an entry that knows the planner at `address` and is not the planner itself.
+class RelayingGate : public EmptyGate {
  public:
-  explicit GateBesideAPlanner(const std::string& address) : planner_{kEpoch, "planner", address} {}
+  explicit RelayingGate(const std::string& address) : planner_{kEpoch, "planner", address} {}
   pool::PlannerRecord KnownPlanner() const override { return planner_; }
 
   static constexpr int64_t kEpoch = 5;
@@ -115,52 +115,52 @@
   return "127.0.0.1:" + std::to_string(listener.port());
 }
 
-// An agent is cut off from the planner's zone while an entry of a third zone reaches both.
-TEST(PlannerRelay, PassesCallsOnToThePlanner) {
+// An agent has no connection to the planner's zone, but an entry of a third zone reaches both.
+TEST(PlannerRelay, RelaysCallsToThePlanner) {
   CountingGate planner_gate;
   const PoolListener planner({}, &planner_gate);
-  GateBesideAPlanner gate(AddressOf(planner));
+  RelayingGate gate(AddressOf(planner));
   const PoolListener relay({}, &gate);
-  const auto port = RpcPlannerConnector().ConnectThrough(AddressOf(relay),
-                                                         GateBesideAPlanner::kEpoch, kAnswerLimit);
+  const auto port =
+      RpcPlannerConnector().ConnectThrough(AddressOf(relay), RelayingGate::kEpoch, kCallTimeout);
   EXPECT_TRUE(port->relayed());
-  for (int call = 0; call < 3; ++call) port->Cancel("j", kAnswerLimit);
+  for (int call = 0; call < 3; ++call) port->Cancel("j", kCallTimeout);
   EXPECT_EQ(planner_gate.cancels.load(), 3);
   pool::AgentReport report;
   report.wait = std::chrono::milliseconds(1);
-  EXPECT_NO_THROW(port->Exchange(report, kAnswerLimit));
+  EXPECT_NO_THROW(port->Exchange(report, kCallTimeout));
 }
 
-// An entry that has not heard of the newest planner would lead to the one before.
-TEST(PlannerRelay, LeadsToNoOlderPlanner) {
+// An entry that does not know the newest planner yet must not relay to the previous one.
+TEST(PlannerRelay, DoesNotRelayToAnOlderPlanner) {
   CountingGate planner_gate;
   const PoolListener planner({}, &planner_gate);
-  GateBesideAPlanner gate(AddressOf(planner));
+  RelayingGate gate(AddressOf(planner));
   const PoolListener relay({}, &gate);
-  EXPECT_THROW(RpcPlannerConnector().ConnectThrough(AddressOf(relay),
-                                                    GateBesideAPlanner::kEpoch + 1, kAnswerLimit),
+  EXPECT_THROW(RpcPlannerConnector().ConnectThrough(AddressOf(relay), RelayingGate::kEpoch + 1,
+                                                    kCallTimeout),
                Error);
 }
 
-// The planner's process ends and another listens at its address: the relay's old connection must
-// not stay in its way.
-TEST(PlannerRelay, ReachesThePlannerAgainAfterItsConnectionWasLost) {
+// The planner's process ends and another process listens at its address. The relay must replace its
+// lost connection by a new one.
+TEST(PlannerRelay, ReconnectsAfterTheConnectionToThePlannerWasLost) {
   CountingGate planner_gate;
   auto planner = std::make_unique<PoolListener>(PoolListenerOptions(), &planner_gate);
   const int planner_port = planner->port();
-  GateBesideAPlanner gate(AddressOf(*planner));
+  RelayingGate gate(AddressOf(*planner));
   const PoolListener relay({}, &gate);
   RpcPlannerConnector connector;
   const auto through = [&] {
-    return connector.ConnectThrough(AddressOf(relay), GateBesideAPlanner::kEpoch, kAnswerLimit);
+    return connector.ConnectThrough(AddressOf(relay), RelayingGate::kEpoch, kCallTimeout);
   };
-  through()->Cancel("j", kAnswerLimit);
+  through()->Cancel("j", kCallTimeout);
   planner.reset();
-  EXPECT_THROW(through()->Cancel("j", kAnswerLimit), Error);
+  EXPECT_THROW(through()->Cancel("j", kCallTimeout), Error);
   PoolListenerOptions again;
   again.port = planner_port;
   planner = std::make_unique<PoolListener>(again, &planner_gate);
-  through()->Cancel("j", kAnswerLimit);
+  through()->Cancel("j", kCallTimeout);
   EXPECT_EQ(planner_gate.cancels.load(), 2);
 }
 
--- a/rpc/rpc_agent_port.cc
+++ b/rpc/rpc_agent_port.cc
@@ -9,11 +9,11 @@
 namespace {
 
 constexpr Duration kCancelTimeout = std::chrono::seconds(1);
-// How long after the caller's deadline the agent's own report of it may still arrive.
-constexpr Duration kServeGrace = std::chrono::milliseconds(500);
+// Time after the caller's deadline in which the agent's own deadline error may still arrive.
+constexpr Duration kServeGracePeriod = std::chrono::milliseconds(500);
 
-// Sends and reads what comes back by `read`. The library would turn an Error thrown inside a
-// promise into an exception of its own, so it crosses as an Attempt.
+// Sends `request` and converts the response with `read`. Errors are returned as an Attempt, because
+// the library would turn an Error thrown inside a promise into a kj::Exception.
 template <typename Value, typename Request, typename ReadAnswer>
 kj::Promise<Attempt<Value>> Send(Request&& request, ReadAnswer read) {
   return request.send().then([read](auto&& response) {
@@ -24,7 +24,7 @@
   });
 }
 
-// For calls whose answer is only whether they failed.
+// Like Send, for calls whose response only says whether they failed.
 template <typename Request>
 kj::Promise<Attempt<bool>> SendForVerdict(Request&& request) {
   return Send<bool>(request, [](auto&&) { return true; });
@@ -47,7 +47,7 @@
             return Send<ServiceAnswer>(call,
                                        [](auto&& answer) { return Read(answer.getAnswer()); });
           },
-          request.time_left + kServeGrace)
+          request.time_left + kServeGracePeriod)
       .Take();
 }
 
--- a/rpc/rpc_agent_port.h
+++ b/rpc/rpc_agent_port.h
@@ -1,4 +1,4 @@
-// An agent behind a session, as the entry calls it.
+// An entry's client of an agent, over a session.
 #pragma once
 
 #include <peer.capnp.h>
@@ -12,7 +12,7 @@
 
 class RpcAgentPort : public AgentPort {
  public:
-  // Made on the session's thread.
+  // Must be called on the session's thread.
   RpcAgentPort(std::shared_ptr<Session> session, wire::Agent::Client client);
   ~RpcAgentPort() override;
 
--- a/rpc/rpc_entry_connector.cc
+++ b/rpc/rpc_entry_connector.cc
@@ -30,12 +30,12 @@
     session_->WaitClosed();
   }
 
-  HeartbeatReply Heartbeat(const AgentHeartbeat& beat, Duration timeout) override {
+  HeartbeatReply Heartbeat(const AgentHeartbeat& heartbeat, Duration timeout) override {
     return session_
         ->Call(
             [&] {
               auto call = client_->heartbeatRequest();
-              Write(beat, call.initBeat());
+              Write(heartbeat, call.initBeat());
               return call.send().then([](auto&& response) {
                 return AttemptOf<HeartbeatReply>([&] {
                   ThrowIfFailed(response.getFailure());
@@ -53,7 +53,7 @@
 };
 
 using SessionClient = wire::EntrySession::Client;
-// On the heap, since a capability is made, used and dropped on its own loop's thread.
+// On the heap, because a capability must be created, used and destroyed on its own loop's thread.
 using OpenResult = Attempt<std::unique_ptr<SessionClient>>;
 
 OpenResult ReadOpened(wire::Gate::OpenAgentResults::Reader opened) {
@@ -63,13 +63,14 @@
   });
 }
 
-bool KnowsKey(const SharedKeys& keys, const std::string& nonce, const std::string& proof) {
+// Returns whether the entry's proof for `nonce` was made with one of `keys`.
+bool VerifyEntryProof(const SharedKeys& keys, const std::string& nonce, const std::string& proof) {
   return std::any_of(keys.keys.begin(), keys.keys.end(), [&](const std::string& key) {
     return ProofHolds(key, "entry:" + nonce, proof);
   });
 }
 
-// Both proofs in one go; runs on the session's loop.
+// Authenticates both sides and opens the agent's session. Runs on the session's loop.
 kj::Promise<OpenResult> OpenSession(Session* session, const SharedKeys& keys,
                                     const AgentHello& hello, wire::Agent::Client agent) {
   auto gate = session->Bootstrap().castAs<wire::Gate>();
@@ -78,7 +79,7 @@
   challenge.setNonce(nonce);
   return challenge.send().then([gate, nonce, keys, hello,
                                 agent](auto&& answer) mutable -> kj::Promise<OpenResult> {
-    if (!KnowsKey(keys, nonce, answer.getProof().cStr())) {
+    if (!VerifyEntryProof(keys, nonce, answer.getProof().cStr())) {
       OpenResult refused;
       refused.error.emplace(ErrorKind::kUnauthenticated, "the entry does not know the shared key");
       return kj::mv(refused);
@@ -93,18 +94,18 @@
 
 }  // namespace
 
-PeerAddress ParsePeerAddress(const std::string& text, int least_port) {
+PeerAddress ParsePeerAddress(const std::string& text, int min_port) {
   const size_t colon = text.rfind(':');
   if (colon == std::string::npos) {
-    throw Error(ErrorKind::kInvalidInput, "'" + text + "' is not IP:port");
+    throw Error(ErrorKind::kInvalidInput, "'" + text + "' is not of the form IP:port");
   }
   return {text.substr(0, colon),
-          static_cast<int>(ParseInteger(text.substr(colon + 1), least_port, 65535))};
+          static_cast<int>(ParseInteger(text.substr(colon + 1), min_port, 65535))};
 }
 
 RpcEntryConnector::RpcEntryConnector(const SharedKeys& keys, int max_requests)
     : keys_(keys), pools_{{"request", max_requests}, {"control", kControlThreads}} {
-  if (keys.keys.empty()) throw Error(ErrorKind::kInvalidInput, "no shared key is set");
+  if (keys.keys.empty()) throw Error(ErrorKind::kInvalidInput, "the list of shared keys is empty");
 }
 
 std::shared_ptr<EntryPort> RpcEntryConnector::Connect(const std::string& address,
--- a/rpc/rpc_entry_connector.h
+++ b/rpc/rpc_entry_connector.h
@@ -1,4 +1,4 @@
-// Connects an agent to entries by TCP.
+// Connects an agent to entries over TCP.
 #pragma once
 
 #include <memory>
@@ -12,7 +12,7 @@
 
 class RpcEntryConnector : public EntryConnector {
  public:
-  // `max_requests` bounds the requests that run or wait in this agent at once.
+  // `max_requests` limits how many requests are running or waiting in this agent at a time.
   RpcEntryConnector(const SharedKeys& keys, int max_requests);
 
   std::shared_ptr<EntryPort> Connect(const std::string& address, const AgentHello& hello,
@@ -23,12 +23,12 @@
   AgentPools pools_;
 };
 
-// "IP:port" split. Throws Error(kInvalidInput).
 struct PeerAddress {
   std::string ip;
   int port = 0;
 };
-// `least_port`: 0 where the system may choose one.
-PeerAddress ParsePeerAddress(const std::string& text, int least_port = 1);
+// Parses "IP:port". `min_port` is 0 where the system may choose the port. Throws
+// Error(kInvalidInput).
+PeerAddress ParsePeerAddress(const std::string& text, int min_port = 1);
 
 }  // namespace turmericshift
--- a/rpc/session.cc
+++ b/rpc/session.cc
@@ -14,8 +14,9 @@
 namespace {
 
 constexpr size_t kSessionStackBytes = size_t{256} * 1024;
-// Calls that end with the connection do so within a few turns of the loop.
-constexpr kj::Duration kBetweenLooks = 1 * kj::MILLISECONDS;
+// How often FinishCalls checks for calls in flight. They fail within a few turns of the loop once
+// the connection has ended.
+constexpr kj::Duration kFinishCallsInterval = 1 * kj::MILLISECONDS;
 
 void LogFailure(const kj::Exception& exception) {
   LogEvent(LogLevel::kWarning, "session_failed", {{"error", exception.getDescription().cStr()}});
@@ -57,7 +58,7 @@
   try {
     kj::AsyncIoContext io = kj::setupAsyncIo();
     auto socket = io.lowLevelProvider->wrapSocketFd(kj::AutoCloseFd(fd));
-    // The connecting side chose whom to talk to.
+    // The connecting side chose its peer, so it does not limit what the peer sends.
     if (side == Side::kConnecting) Admit();
     auto stream = kj::heap<AdmissionStream>(socket.get(), &admitted_);
     auto stop = kj::newPromiseAndFulfiller<void>();
@@ -85,8 +86,8 @@
         .catch_([](kj::Exception&& exception) { LogFailure(exception); })
         .wait(io.waitScope);
     closed_.store(true);
-    // Calls that other threads have queued run after the connection has gone, and must not find it
-    // any more: the process would crash.
+    // Calls that other threads have queued still run after the connection has ended. If they used
+    // the destroyed connection, the process would crash.
     client_ = nullptr;
     client = nullptr;
     FinishCalls(&io);
@@ -124,10 +125,10 @@
       ending_ = true;
       if (calls_ == 0) break;
     }
-    io->provider->getTimer().afterDelay(kBetweenLooks).wait(io->waitScope);
+    io->provider->getTimer().afterDelay(kFinishCallsInterval).wait(io->waitScope);
   }
-  // Dropping the connection queues events for those who still wait on it. The loop refuses to be
-  // destroyed with events in its queue, which leaks them and is logged as a failed session.
+  // Destroying the connection queues events for promises that still wait for it. If the loop were
+  // destroyed with events in its queue, they would leak, and a session failure would be logged.
   io->waitScope.poll();
 }
 
@@ -141,10 +142,10 @@
 void Session::Close() {
   if (closed_.exchange(true)) return;
   try {
-    const InCall in_call(this);
+    const CallGuard call_guard(this);
     executor_->executeSync([this] { stop_->fulfill(); });
   } catch (const Error&) {
-    // The connection has ended by itself meanwhile.
+    // The connection has already ended by itself.
   }
 }
 
--- a/rpc/session_test.cc
+++ b/rpc/session_test.cc
@@ -18,13 +18,13 @@
 
 constexpr Duration kTimeout = std::chrono::seconds(60);
 
-auto Ask(Session* session) {
+auto SendCancel(Session* session) {
   return session->Bootstrap().castAs<wire::PoolGate>().cancelRequest().send();
 }
 
-// The peer is gone, and while the session takes leave of it, calls of other threads are queued for
-// its loop. They were run once more after the connection had been dropped, and the process crashed;
-// an agent's worker was then without its agent until it had been started again.
+// The peer has disconnected, and other threads queue calls while the session ends. If these calls
+// ran after the connection had been destroyed, the process would crash, and a worker would be
+// without its agent until the agent had restarted.
 TEST(Session, FailsCallsThatComeWhileItEnds) {
   std::array<int, 2> ends{};
   ASSERT_EQ(socketpair(AF_UNIX, SOCK_STREAM, 0, ends.data()), 0);
@@ -38,21 +38,23 @@
     for (int i = 0; i < kCalls; ++i) {
       entered.fetch_add(1);
       try {
-        session->Call([&] { return Ask(session.get()).ignoreResult(); }, kTimeout);
+        session->Call([&] { return SendCancel(session.get()).ignoreResult(); }, kTimeout);
       } catch (const Error& error) {
         EXPECT_EQ(error.kind(), ErrorKind::kConnectionLost) << error.what();
         failed.fetch_add(1);
       }
     }
   };
-  // Runs on the session's loop once the connection has been dropped.
-  const auto on_dropped = [&](kj::Exception&& exception) -> kj::Promise<void> {
+  // Runs on the session's loop when the connection is destroyed.
+  const auto on_disconnected = [&](kj::Exception&& exception) -> kj::Promise<void> {
     constexpr int kCallers = 4;
     for (int i = 0; i < kCallers; ++i) callers.emplace_back("caller", call_again);
     while (entered.load() < kCallers) std::this_thread::yield();
     return kj::mv(exception);
   };
-  const auto first = [&] { return Ask(session.get()).ignoreResult().catch_(on_dropped); };
+  const auto first = [&] {
+    return SendCancel(session.get()).ignoreResult().catch_(on_disconnected);
+  };
   Thread waiter("waiter", [&] {
     try {
       session->Call(first, kTimeout);
@@ -81,7 +83,7 @@
   std::atomic<int>* const calls_;
 };
 
-// Calls the gate until the session ends, and drops what the peer gave, as an agent does.
+// Calls the gate until the session ends, then releases the peer's capability, as an agent does.
 void CallUntilLost(Session* session) {
   using Client = wire::Gate::Client;
   std::unique_ptr<Client> client;
@@ -104,11 +106,11 @@
   session->WaitClosed();
 }
 
-// An entry closes its session while the agent's heartbeat is under way: the agent's thread waited
-// for good for the loop that ended under it, and the agent did not end on SIGTERM.
-TEST(Session, DropsWhatThePeerGaveWhileItEnds) {
+// An entry closes its session while the agent's heartbeat is in flight. If the agent's thread
+// waited forever for the loop that had ended, the agent would not terminate on SIGTERM.
+TEST(Session, ReleasesCapabilitiesWhileItEnds) {
   constexpr int kRounds = 500;
-  constexpr int kMostCalls = 20;
+  constexpr int kMaxCalls = 20;
   for (int round = 0; round < kRounds; ++round) {
     std::array<int, 2> ends{};
     ASSERT_EQ(socketpair(AF_UNIX, SOCK_STREAM, 0, ends.data()), 0);
@@ -120,7 +122,7 @@
     const auto entry = Session::Open(ends[0], Session::Side::kAccepting, "entry", make_gate);
     const auto agent = Session::Open(ends[1], Session::Side::kConnecting, "agent", nullptr);
     Thread caller("caller", [&agent] { CallUntilLost(agent.get()); });
-    while (calls.load() <= round % kMostCalls) std::this_thread::yield();
+    while (calls.load() <= round % kMaxCalls) std::this_thread::yield();
     entry->Close();
     entry->WaitClosed();
     caller.Join();
--- a/rpc/sockets.h
+++ b/rpc/sockets.h
@@ -1,16 +1,17 @@
-// TCP sockets of sessions.
+// TCP sockets for sessions.
 #pragma once
 
 #include <string>
 
 namespace turmericshift {
 
-// Connects to `ip`:`port` within `limit_ms`; the socket does not block. Throws Error: kInvalidInput
-// for no IPv4 address, kUnavailable where nobody listens, kDeadlineExceeded where nothing answers.
-int ConnectSocket(const std::string& ip, int port, int limit_ms);
+// Connects to `ip`:`port` within `timeout_ms` and returns a non-blocking socket. Throws
+// Error(kInvalidInput) if `ip` is not an IPv4 address, Error(kDeadlineExceeded) if the peer does
+// not respond in time, and Error(kUnavailable) if the connection fails for another reason.
+int ConnectSocket(const std::string& ip, int port, int timeout_ms);
 
-// Has the kernel give a connection up whose peer answers nothing: a VM without power sends no
-// reset, and what waits for it would wait for minutes.
-void LimitSilence(int fd);
+// Makes the kernel end the connection within a few seconds if its peer stops responding. A VM that
+// loses power sends no reset, so calls to it would otherwise wait for minutes.
+void EnableDeadPeerDetection(int fd);
 
 }  // namespace turmericshift
--- a/rpc/traffic.h
+++ b/rpc/traffic.h
@@ -1,4 +1,4 @@
-// Bytes that this process's sessions have moved, for benchmarks and metrics.
+// Counts the bytes that this process's sessions have transferred, for benchmarks and metrics.
 #pragma once
 
 #include <atomic>
@@ -11,7 +11,7 @@
   std::atomic<int64_t> written{0};
 };
 
-// Of all sessions of the process since its start.
+// Returns the traffic of all sessions since the start of the process.
 inline SessionTraffic& ProcessTraffic() {
   static SessionTraffic traffic;
   return traffic;
--- a/servers/ports/agent_port.h
+++ b/servers/ports/agent_port.h
@@ -1,35 +1,40 @@
-// An agent as entries call it. rpc/ implements it over a session; tests wrap it to inject faults.
+// The calls that an entry makes to an agent. rpc/ implements them over a session; tests wrap them
+// to inject faults.
 #pragma once
 
 #include "servers/ports/messages.h"
 
 namespace turmericshift {
 
-// Every call may throw Error. A lost connection or a timeout leaves the outcome unknown.
+// Every call may throw Error. After a lost connection or a timeout, the outcome is unknown.
 class AgentPort {
  public:
   virtual ~AgentPort() = default;
 
-  // Throws Error with outcome not_run only if the target was not called and never will be for
-  // this request.
+  // Passes the request to the target. Throws Error with outcome not_run only if the target was not
+  // called and never will be for this request.
   virtual ServiceAnswer Serve(const ServiceRequest& request) = 0;
-  // Best effort: the caller of that request has gone.
+  // Cancels a request whose caller has disconnected. Best effort.
   virtual void Cancel(const std::string& request_id) = 0;
+  // Returns whether a request that was sent earlier ran, is running or never will run.
   virtual RequestStatusReply Resolve(const RequestStatusQuery& question, Duration timeout) = 0;
-  // The session is given up: calls in flight fail with outcome unknown instead of waiting for an
-  // answer that a silent connection will never carry.
+  // Closes the session. Calls in flight fail with outcome unknown immediately, because on a silent
+  // connection their answers would never arrive.
   virtual void Drop() {}
 
-  // Gang steps. Throw Error(kFenced) below the highest epoch seen, Error(kConflict) when the room
-  // is taken, Error(kStale) when the agent may not start work at present.
+  // Gang calls. They throw Error(kFenced) if the request's epoch is below the highest that the
+  // agent has seen, Error(kConflict) if the room is taken, and Error(kStale) if the agent may not
+  // start work at present.
   virtual void Reserve(const GangReserve& reserve, Duration timeout) = 0;
   virtual void Start(const GangStart& start, Duration timeout) = 0;
   virtual void Release(const GangAction& action, Duration timeout) = 0;
   virtual void Renew(const GangAction& action, Duration timeout) = 0;
-  // Returns only when no task of the attempt is live here and none can become so; throws
-  // Error(kConflict) while they are still stopping. Call it again until it returns.
+  // Returns only when no task of the attempt is running on this agent and none can start any more.
+  // Throws Error(kConflict) while tasks are still stopping; the caller must repeat the call until
+  // it returns.
   virtual void Stop(const GangAction& action, Duration timeout) = 0;
-  // The end of this job's attempt is recorded; its reports may be dropped.
+  // Tells the agent that the end of this attempt is recorded, so that its task reports may be
+  // discarded.
   virtual void Forget(const GangAction& action, Duration timeout) = 0;
 };
 
--- a/servers/ports/entry_port.h
+++ b/servers/ports/entry_port.h
@@ -1,4 +1,4 @@
-// An entry as agents call it, and the ways in which the two come to know each other.
+// The calls that an agent makes to an entry, and the interfaces by which the two open sessions.
 #pragma once
 
 #include <functional>
@@ -14,25 +14,27 @@
 class EntryPort {
  public:
   virtual ~EntryPort() = default;
-  // Throws Error(kConnectionLost) or Error(kDeadlineExceeded) when the session has gone silent.
-  virtual HeartbeatReply Heartbeat(const AgentHeartbeat& beat, Duration timeout) = 0;
+  // Throws Error(kConnectionLost) if the session is lost, or Error(kDeadlineExceeded) if the entry
+  // does not reply within `timeout`.
+  virtual HeartbeatReply Heartbeat(const AgentHeartbeat& heartbeat, Duration timeout) = 0;
 };
 
-// The entry's side of opening sessions: gives the port that the agent will call.
+// The entry's side of opening a session.
 class EntryGate {
  public:
   virtual ~EntryGate() = default;
-  // `agent` stays usable until it is dropped; calls on it fail once the session is lost.
+  // Returns the port for the calls of this agent. Calls on `agent` fail once the session is lost;
+  // the object itself stays valid as long as it is referenced.
   virtual std::shared_ptr<EntryPort> OpenAgent(const AgentHello& hello,
                                                std::shared_ptr<AgentPort> agent) = 0;
 };
 
-// The agent's side: connects to an entry.
+// The agent's side of opening a session.
 class EntryConnector {
  public:
   virtual ~EntryConnector() = default;
-  // `agent` serves the entry's calls and must outlive the port.
-  // Throws Error(kUnavailable), Error(kUnauthenticated).
+  // Connects to the entry at `address`, "IP:port". `agent` handles the entry's calls and must
+  // outlive the returned port. Throws Error(kUnavailable) or Error(kUnauthenticated).
   virtual std::shared_ptr<EntryPort> Connect(const std::string& address, const AgentHello& hello,
                                              AgentPort* agent) = 0;
 };
--- a/servers/ports/messages.cc
+++ b/servers/ports/messages.cc
@@ -6,12 +6,12 @@
 
 namespace turmericshift {
 
-std::string AttemptRequestId(const std::string& request_id, int sending) {
-  return request_id + "." + std::to_string(sending);
+std::string AttemptRequestId(const std::string& request_id, int attempt) {
+  return request_id + "." + std::to_string(attempt);
 }
 
-std::string CallerRequestId(const std::string& sending_id) {
-  return sending_id.substr(0, sending_id.find('.'));
+std::string CallerRequestId(const std::string& attempt_request_id) {
+  return attempt_request_id.substr(0, attempt_request_id.find('.'));
 }
 
 const char* RequestRunStateName(RequestRunState state) {
--- a/servers/ports/messages.h
+++ b/servers/ports/messages.h
@@ -1,4 +1,5 @@
-// What the project's own processes say to each other, as plain types. rpc/ carries them.
+// Messages between the project's own processes, as plain types. rpc/ converts them to the wire
+// format.
 #pragma once
 
 #include <cstdint>
@@ -12,47 +13,49 @@
 
 namespace turmericshift {
 
-// Who an agent is and what stands beside it.
+// Identifies an agent and describes the worker and the target that run beside it.
 struct AgentHello {
-  // Stable name of the worker or target, from the settings.
+  // Name of the worker or target from the settings. Survives restarts.
   std::string process;
-  // New at each start of the process; a claim names it, so a restarted agent is told apart.
+  // A new id at each start of the process. Claims name it, so that a restarted agent can be told
+  // from its previous incarnation.
   std::string incarnation;
   std::string zone;
   std::string rack;
-  // The service that the target beside it offers; empty if none.
+  // The service that the target beside the agent offers. Empty if there is no target.
   std::string service;
-  // What the worker beside it has; no processors if there is no worker.
+  // Capacity of the worker beside the agent. Zero processors if there is no worker.
   TaskShape worker;
 };
 
 struct ServiceRequest {
-  // Chosen by the entry; the answer carries it back.
+  // Chosen by the entry; the answer carries the same id.
   std::string request_id;
   std::string workspace;
   std::string service;
   std::string path;
   std::string content_type;
   std::string body;
-  // Digest(body) as computed when the caller's body was read.
+  // Digest(body), computed when the caller's body was read.
   std::string body_digest;
-  // Time left until the caller's deadline, at the moment of sending.
+  // Time left until the caller's deadline when the request was sent.
   Duration time_left{};
-  // Set for a request that may not be repeated: key, attempt and fence of its claim.
+  // Key, attempt and fencing token of the request's claim. Set only for a request that must not run
+  // more than once.
   std::string idempotency_key;
   int attempt = 0;
   Sequence fence = kNoSequence;
-  // The agent's incarnation that it is meant for; any other refuses it.
+  // Incarnation of the agent that the request is sent to; any other incarnation refuses it.
   std::string incarnation;
 };
 
-// The id of one sending of the caller's request: agents refuse for good an id that they refused
-// once, so each sending of a request without a key has its own.
-std::string AttemptRequestId(const std::string& request_id, int sending);
-// The id that the caller was told, from a sending's.
-std::string CallerRequestId(const std::string& sending_id);
+// Returns the id under which an attempt of a request without an idempotency key is sent. Each
+// attempt needs its own id, because an agent that has refused an id refuses it from then on.
+std::string AttemptRequestId(const std::string& request_id, int attempt);
+// Returns the caller's request id from the id of one of its attempts.
+std::string CallerRequestId(const std::string& attempt_request_id);
 
-// How busy a target is.
+// Number of requests that a target runs and queues, and how many it can run at a time.
 struct TargetLoad {
   int running = 0;
   int queued = 0;
@@ -68,42 +71,44 @@
   TargetLoad load;
 };
 
-// Asks an agent what became of one attempt: by its key where it has one, else by its request id.
+// Asks an agent what became of an attempt of a request. The attempt is identified by its
+// idempotency key if it has one, otherwise by its request id.
 struct RequestStatusQuery {
   std::string workspace;
   std::string idempotency_key;
   int attempt = 0;
   Sequence fence = kNoSequence;
   std::string request_id;
-  // The agent's incarnation that the request was sent to.
+  // Incarnation of the agent that the request was sent to.
   std::string incarnation;
-  // Time since the request was sent, for an agent that has forgotten its oldest requests.
+  // Time since the request was sent. An agent that has discarded its oldest requests needs it to
+  // tell whether this request may be one of them.
   Duration age{};
 };
 
 enum class RequestRunState {
-  // The agent has not seen it and from now on never runs this attempt.
+  // The agent has not run this attempt and never will.
   kNeverWillRun,
   kRunning,
   kRan,
-  // It may have run; nobody can tell.
+  // The attempt may have run; the agent can't tell.
   kUnknown,
 };
 const char* RequestRunStateName(RequestRunState state);
 
 struct RequestStatusReply {
   RequestRunState state = RequestRunState::kUnknown;
-  // Set for kRan; status 0 when the answer is no longer kept.
+  // Set only for kRan. Its status is 0 if the agent no longer stores the answer.
   ServiceAnswer answer;
 };
 
-// One task of a gang on one worker.
+// One task of a gang that is placed on a worker.
 struct TaskPlacement {
   int task = 0;
   uint32_t accelerators = 0;
 };
 
-// The part of a gang that one agent is to hold, under a planner's epoch.
+// Asks an agent to reserve room for its part of a gang, under a planner's epoch.
 struct GangReserve {
   Sequence epoch = kNoSequence;
   std::string job;
@@ -111,10 +116,10 @@
   int64_t attempt = 0;
   TaskShape shape;
   std::vector<TaskPlacement> tasks;
-  // The reservation lapses by itself unless started within this time.
+  // The reservation expires unless the gang is started within this time.
   Duration hold_timeout = std::chrono::seconds(3);
   bool checkpoints = false;
-  // The workspace's guarantee covers it, so it can't be reclaimed for another.
+  // The workspace's guarantee covers the room, so it can't be reclaimed for another workspace.
   bool guaranteed = false;
 };
 
@@ -126,22 +131,22 @@
   std::string checkpoint;
 };
 
-// Names one attempt, for release, renewal and stop.
+// Identifies an attempt of a gang, for Release, Renew, Stop and Forget.
 struct GangAction {
   Sequence epoch = kNoSequence;
   std::string job;
   int64_t attempt = 0;
-  // For release and renewal: all members stop when this passes without another renewal.
+  // For Release and Renew: the gang's tasks stop if the lease is not renewed within this time.
   Duration lease = std::chrono::seconds(10);
-  // For stop: save the work first.
+  // For Stop: write a checkpoint first.
   bool checkpoint = false;
-  // AgentHeartbeat::sent_at of the agent's beat that moved the planner to this. A renewal counts
-  // its lease from there, so that one which arrives late can't outlive the planner's own reckoning.
-  // Negative: counted from the arrival.
+  // AgentHeartbeat::sent_at of the heartbeat that caused this action. A renewed lease runs from
+  // that time, so that a delayed renewal can't outlast the expiry that the planner computed. If
+  // negative, the lease runs from the arrival of the action.
   int64_t heartbeat_sent_at = -1;
 };
 
-// An entry as others reach it.
+// Name and address of an entry.
 struct EntryMember {
   std::string process;
   std::string zone;
@@ -149,12 +154,12 @@
   std::string address;
 };
 
-// What an agent last heard from one of its entries; carries word of entries from one to another
-// while the log is down.
+// The last state that an agent received from one of its entries. Agents pass it on, so that entries
+// learn of each other while the log is down.
 struct ObservedEntry {
   EntryMember entry;
   int64_t config_version = 0;
-  // Since the heartbeat that the entry answered was sent.
+  // Time since the agent sent the heartbeat that the entry last replied to.
   Duration age{};
 };
 
@@ -163,55 +168,58 @@
   int64_t config_version = 0;
   bool leaving = false;
   std::vector<TaskReport> tasks;
-  // Highest planner epoch this agent has heard of. `tasks` were read after it, so they hold all
-  // that was ever started here under a lower one.
+  // Highest planner epoch that this agent has received. `tasks` were read after that, so they
+  // include every task that was started here under a lower epoch.
   Sequence planner_epoch = kNoSequence;
-  // Sent with some of the heartbeats only, to spare bytes.
+  // The agent's entries. Set only in some heartbeats, to save traffic.
   std::vector<ObservedEntry> observed;
-  // DigestMembers of the entries this agent knows, so that an unchanged list is not sent again.
+  // DigestMembers of the entries that this agent knows, so that entries don't send an unchanged
+  // list again.
   int64_t members_digest = 0;
-  // How long ago the zone's planner was last heard; negative: never.
+  // Time since the agent last heard from the zone's active planner. Negative if it never did.
   Duration planner_silence{-1};
-  // This agent's own clock, for GangAction::heartbeat_sent_at. Means nothing to any other process.
+  // Send time on this agent's own clock, for GangAction::heartbeat_sent_at. Other processes can't
+  // interpret it.
   int64_t sent_at = -1;
-  // How old `tasks` is; rises while the worker does not answer.
+  // Age of `tasks`. Grows while the worker does not answer.
   Duration report_age{};
 };
 
-// What an entry knows about the log, passed on to agents.
+// How current an entry's view of a log stream is.
 struct LogFreshness {
-  // Age of the newest read to the head of the config stream; negative: never.
+  // Time since the entry last read the stream up to its head. Negative if it never did.
   Duration age{-1};
-  // The entry itself can't read the log at present.
+  // The entry can't read the log at present.
   bool failing = false;
 };
 
 struct HeartbeatReply {
   int64_t config_version = 0;
-  // The document, only when newer than the agent's.
+  // The document. Empty unless its version is newer than the agent's.
   std::string config_text;
+  // How current the entry's view of the config stream is.
   LogFreshness freshness;
-  // Addresses of the entries known; the agent fills it from `members`, so that it is not sent.
+  // Addresses of the known entries. Not sent: the agent derives them from `members`.
   std::vector<std::string> entries;
-  // The entry that holds the planner duty of the agent's zone, "" if unknown.
+  // Address of the entry with the active planner of the agent's zone. Empty if unknown.
   std::string planner_address;
-  // Who answers.
+  // The entry that replies.
   EntryMember self;
-  // Environment of the config stream, such as "trial"; "" before the first document.
+  // Environment of the config stream, such as "trial". Empty before the first document.
   std::string environment;
   // Digest of the document of `config_version`.
   std::string config_digest;
-  // All entries known here; empty when the agent knows the same ones.
+  // All entries that this entry knows. Empty if the agent knows the same ones.
   std::vector<EntryMember> members;
-  // Highest planner epoch of the agent's zone in this entry's fold of the jobs stream.
+  // Highest planner epoch of the agent's zone in this entry's replicated jobs.
   Sequence planner_epoch = kNoSequence;
-  // This entry holds that epoch and its planner is at work.
+  // `planner_epoch` belongs to this entry, and its planner is active.
   bool planner_active = false;
-  // How current that fold is.
+  // How current this entry's view of the jobs stream is.
   LogFreshness jobs_freshness;
 };
 
-// Equal for equal lists of members, in any order.
+// Returns a digest of the members that does not depend on their order.
 int64_t DigestMembers(const std::vector<EntryMember>& members);
 
 }  // namespace turmericshift
