--- a/rpc/gate_listener.cc
+++ b/rpc/gate_listener.cc
@@ -104,8 +104,7 @@
 
 GateListener::GateListener(const GateOptions& options, EntryGate* gate)
     : options_(options), gate_(gate), pool_("gate", kPoolThreads) {
-  if (options.keys.keys.empty())
-    throw Error(ErrorKind::kInvalidInput, "the list of shared keys is empty");
+  if (options.keys.keys.empty()) throw Error(ErrorKind::kInvalidInput, "no shared key is set");
   listener_ = ListenSocket(options.address, options.port);
   port_ = BoundPort(listener_);
   thread_ = Thread("gate-accept", [this] { Accept(); });
--- a/rpc/gate_listener.h
+++ b/rpc/gate_listener.h
@@ -37,7 +37,7 @@
 class GateListener {
  public:
   // Starts to listen. `gate` must outlive the listener. Throws Error(kUnavailable) if the
-  // address can't be bound, Error(kInvalidInput) if there is no key.
+  // address can't be bound, or Error(kInvalidInput) if there is no key.
   GateListener(const GateOptions& options, EntryGate* gate);
   // Closes every session and waits for their threads.
   ~GateListener();
--- a/rpc/pool_session.cc
+++ b/rpc/pool_session.cc
@@ -288,8 +288,7 @@
       "pool-sessions", [this, listener, gate] { Serve(listener, gate); }, kLoopStackBytes);
   std::unique_lock<std::mutex> lock(mutex_);
   changed_.wait(lock, [this] { return started_; });
-  if (!stop_)
-    throw Error(ErrorKind::kUnavailable, "the event loop of the pool sessions did not start");
+  if (!stop_) throw Error(ErrorKind::kUnavailable, "session event loop did not start");
 }
 
 PoolListener::~PoolListener() {
--- a/rpc/rpc_entry_connector.cc
+++ b/rpc/rpc_entry_connector.cc
@@ -105,7 +105,7 @@
 
 RpcEntryConnector::RpcEntryConnector(const SharedKeys& keys, int max_requests)
     : keys_(keys), pools_{{"request", max_requests}, {"control", kControlThreads}} {
-  if (keys.keys.empty()) throw Error(ErrorKind::kInvalidInput, "the list of shared keys is empty");
+  if (keys.keys.empty()) throw Error(ErrorKind::kInvalidInput, "no shared key is set");
 }
 
 std::shared_ptr<EntryPort> RpcEntryConnector::Connect(const std::string& address,
--- a/rpc/sockets.cc
+++ b/rpc/sockets.cc
@@ -27,20 +27,19 @@
 int ConnectSocket(const std::string& ip, int port, int timeout_ms) {
   const sockaddr_in address = SocketAddress(ip, port);
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
-  const int connected = connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof(address));
-  if (connected != 0) {
+  const int connect_result =
+      connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof(address));
+  if (connect_result != 0) {
     pollfd waiting{fd, POLLOUT, 0};
     int failure = errno;
     socklen_t size = sizeof(failure);
     const bool in_progress = failure == EINPROGRESS;
-    const bool timed_out = in_progress && poll(&waiting, 1, timeout_ms) != 1;
-    if (in_progress && !timed_out) getsockopt(fd, SOL_SOCKET, SO_ERROR, &failure, &size);
-    if (timed_out || failure != 0) {
+    const bool expired = in_progress && poll(&waiting, 1, timeout_ms) != 1;
+    if (in_progress && !expired) getsockopt(fd, SOL_SOCKET, SO_ERROR, &failure, &size);
+    if (expired || failure != 0) {
       close(fd);
       const std::string peer = ip + ":" + std::to_string(port);
-      if (timed_out)
-        throw Error(ErrorKind::kDeadlineExceeded, Outcome::kNotRun,
-                    peer + " did not accept a connection in time");
+      if (expired) throw Error(ErrorKind::kDeadlineExceeded, Outcome::kNotRun, peer + " timed out");
       throw Error(ErrorKind::kUnavailable, Outcome::kNotRun, "can't connect to " + peer);
     }
   }
--- a/servers/ports/messages.h
+++ b/servers/ports/messages.h
@@ -71,7 +71,7 @@
   TargetLoad load;
 };
 
-// Asks an agent what became of an attempt of a request. The attempt is identified by its
+// Asks an agent whether an attempt of a request has run. The attempt is identified by its
 // idempotency key if it has one, otherwise by its request id.
 struct RequestStatusQuery {
   std::string workspace;
@@ -102,9 +102,10 @@
   ServiceAnswer answer;
 };
 
-// One task of a gang that is placed on a worker.
+// A task of a gang and the accelerators that it gets on the agent's worker.
 struct TaskPlacement {
   int task = 0;
+  // Bit mask of the worker's accelerators.
   uint32_t accelerators = 0;
 };
 
