--- a/rpc/peer.capnp
+++ b/rpc/peer.capnp
@@ -1,4 +1,5 @@
-# Sessions between entries and agents. After a change, run misc/generate_rpc.sh and commit the result.
+# Sessions between entries and agents. After a change, run misc/generate_rpc.sh and commit the
+# result.
 @0x9e9ada8045f49967;
 
 using Cxx = import "/capnp/c++.capnp";
@@ -56,6 +57,7 @@
   load @5 :TargetLoad;
 }
 
+# RequestStatusQuery in servers/ports/messages.h.
 struct SeenQuestion {
   workspace @0 :Text;
   idempotencyKey @1 :Text;
@@ -66,6 +68,7 @@
   ageNanos @6 :Int64;
 }
 
+# RequestStatusReply in servers/ports/messages.h.
 struct SeenAnswer {
   # A RequestRunState, by its position in the enum.
   state @0 :UInt16;
@@ -84,6 +87,7 @@
   attempt @3 :Int64;
   shape @4 :Shape;
   tasks @5 :List(TaskPlacement);
+  # The reservation expires unless the gang is started within this time.
   holdNanos @6 :Int64;
   checkpoints @7 :Bool;
   guaranteed @8 :Bool;
@@ -103,6 +107,7 @@
   attempt @2 :Int64;
   leaseNanos @3 :Int64;
   checkpoint @4 :Bool;
+  # AgentHeartbeat::sent_at of the heartbeat that caused this action; negative if none.
   beatSentAt @5 :Int64 = -1;
 }
 
@@ -129,12 +134,14 @@
   address @2 :Text;
 }
 
+# ObservedEntry in servers/ports/messages.h.
 struct HeardEntry {
   entry @0 :EntryMember;
   configVersion @1 :Int64;
   ageNanos @2 :Int64;
 }
 
+# AgentHeartbeat in servers/ports/messages.h.
 struct AgentBeat {
   load @0 :TargetLoad;
   configVersion @1 :Int64;
@@ -148,6 +155,7 @@
   membersDigest @9 :Int64;
 }
 
+# HeartbeatReply in servers/ports/messages.h.
 struct EntryBeat {
   configVersion @0 :Int64;
   configText @1 :Text;
--- a/rpc/pool.capnp
+++ b/rpc/pool.capnp
@@ -36,6 +36,7 @@
 
 struct PoolWorker {
   id @0 :Text;
+  # Start time of this incarnation of the worker, in milliseconds since 1970.
   bornMs @1 :Int64;
   service @2 :Text;
   machine @3 :Text;
@@ -76,12 +77,15 @@
   version @1 :Int64;
   leaseNanos @2 :Int64;
   startWindowNanos @3 :Int64;
+  # Ends up to this number are durable in the store and need not be reported again.
   endsKept @4 :Int64;
+  # Start time of the worker incarnation that `endsKept` refers to.
   workerBornMs @5 :Int64;
   starts @6 :List(PoolStart);
   stops @7 :List(PoolRun);
   plannerEpoch @8 :Int64;
   plannerAddress @9 :Text;
+  # Planner lag: its next answers take this much longer.
   lateNanos @10 :Int64;
 }
 
@@ -92,7 +96,7 @@
   cancel @2 (id :Text) -> (failure :Peer.Failure);
   yield @3 (epoch :Int64, node :Text, address :Text) -> (failure :Peer.Failure);
   offer @4 () -> (failure :Peer.Failure);
-  # Returns the gate of the planner of this epoch or a newer one, for callers that can't connect to the
-  # planner themselves.
+  # Returns the gate of the planner of this epoch or a newer one, for callers that can't connect to
+  # the planner themselves.
   planner @5 (epoch :Int64) -> (failure :Peer.Failure, gate :PoolGate);
 }
