--- a/rpc/rpc_agent_port.cc
+++ b/rpc/rpc_agent_port.cc
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "core/attempt.h"
+#include "core/result.h"
 #include "rpc/convert.h"
 
 namespace turmericshift {
@@ -12,12 +12,12 @@
 // Time after the caller's deadline in which the agent's own deadline error may still arrive.
 constexpr Duration kServeGracePeriod = std::chrono::milliseconds(500);
 
-// Sends `request` and converts the response with `read`. Errors are returned as an Attempt, because
+// Sends `request` and converts the response with `read`. Errors are returned as an Result, because
 // the library would turn an Error thrown inside a promise into a kj::Exception.
 template <typename Value, typename Request, typename ReadAnswer>
-kj::Promise<Attempt<Value>> Send(Request&& request, ReadAnswer read) {
+kj::Promise<Result<Value>> Send(Request&& request, ReadAnswer read) {
   return request.send().then([read](auto&& response) {
-    return AttemptOf<Value>([&] {
+    return ResultOf<Value>([&] {
       ThrowIfFailed(response.getFailure());
       return read(response);
     });
@@ -26,7 +26,7 @@
 
 // Like Send, for calls whose response only says whether they failed.
 template <typename Request>
-kj::Promise<Attempt<bool>> SendForVerdict(Request&& request) {
+kj::Promise<Result<bool>> SendForVerdict(Request&& request) {
   return Send<bool>(request, [](auto&&) { return true; });
 }
 
