--- a/modules/placement/cell_policy.cc
+++ b/modules/placement/cell_policy.cc
@@ -51,8 +51,8 @@
 };
 
 // The stages in which guarantees are served. kFree: only free cells. kReclaim: jobs that can't run
-// on lent room, or are urgent, may preempt lent work. kAnywhere: the other jobs start on lent room
-// or preempt lent work.
+// on lent room, or are urgent, may preempt jobs on lent room. kAnywhere: the other jobs start on
+// lent room or preempt jobs there.
 enum class GuaranteeStage { kFree, kReclaim, kAnywhere };
 
 // One scheduling pass over the waiting jobs.
@@ -123,19 +123,19 @@
     for (const Candidate& candidate : candidates) {
       const bool waited = Seconds(now_ - candidate.job->accepted) > kReserveCapAfterSeconds;
       if (!waited || AcceleratorsOf(candidate.job->spec) < kLargeGang) continue;
-      if (!OverCap(candidate)) continue;
+      if (!IsOverCap(candidate)) continue;
       double& reserved = cap_reservations_[candidate.workspace];
       reserved = std::max(reserved, candidate.priority);
     }
   }
 
-  bool MustYieldCap(const Candidate& candidate) const {
+  bool IsCapReservedForOther(const Candidate& candidate) const {
     const auto reserved = cap_reservations_.find(candidate.workspace);
     return reserved != cap_reservations_.end() && !candidate.job->spec.urgent &&
            candidate.priority < reserved->second;
   }
 
-  bool OverCap(const Candidate& candidate) const {
+  bool IsOverCap(const Candidate& candidate) const {
     return room_.AcceleratorsUsed(candidate.workspace) + AcceleratorsOf(candidate.job->spec) >
            room_.AcceleratorCap(candidate.workspace);
   }
@@ -145,7 +145,7 @@
     const WaitingJob& job = *candidate.job;
     const int guaranteed = room_.GuaranteedAccelerators(candidate.workspace);
     if (guaranteed == 0 || AcceleratorsOf(job.spec) > guaranteed) return false;
-    if (MustYieldCap(candidate)) return false;
+    if (IsCapReservedForOther(candidate)) return false;
     const PlacementKey key = PlacementKeyOf(job.spec, candidate.workspace);
     if (failed_keys_.count(key) != 0) return false;
     if (TryStartInCells(candidate, stage)) return true;
@@ -153,8 +153,8 @@
     return false;
   }
 
-  // Stops the cheapest lent work of a workspace that is at its cap, so that this work does not keep
-  // the workspace from its own guarantee.
+  // Stops the jobs of a workspace at its cap that run on lent room and are cheapest to stop.
+  // Otherwise these jobs would keep the workspace from using its own guarantee.
   void StopOwnLentWorkOverCap(const Candidate& candidate) {
     int excess = room_.AcceleratorsUsed(candidate.workspace) + AcceleratorsOf(candidate.job->spec) -
                  room_.AcceleratorCap(candidate.workspace);
@@ -180,14 +180,14 @@
   // Starts the job on lent room, or records why it waits.
   void StartLentOrWait(const Candidate& candidate) {
     const WaitingJob& job = *candidate.job;
-    if (MustYieldCap(candidate)) {
+    if (IsCapReservedForOther(candidate)) {
       return Wait(job,
                   "its workspace's accelerator cap is reserved for a gang that has waited longer");
     }
     const PlacementKey key = PlacementKeyOf(job.spec, candidate.workspace);
     const auto failed = failed_keys_.find(key);
     if (failed != failed_keys_.end()) return Wait(job, failed->second);
-    if (OverCap(candidate)) return WaitFailed(job, key, AdmitRefusalText(AdmitRefusal::kOverCap));
+    if (IsOverCap(candidate)) return WaitFailed(job, key, AdmitRefusalText(AdmitRefusal::kOverCap));
     if (!CanBeStopped(job.spec)) {
       return WaitFailed(job, key, AdmitRefusalText(AdmitRefusal::kNotStoppable));
     }
@@ -201,12 +201,12 @@
 
   bool TryStartInCells(const Candidate& candidate, GuaranteeStage stage) {
     const WaitingJob& job = *candidate.job;
-    const bool over_cap = OverCap(candidate);
+    const bool over_cap = IsOverCap(candidate);
     if (stage == GuaranteeStage::kFree) {
       return !over_cap && TryStartBound(job, PlaceInCells(&room_, view_, job.spec, cost_, false));
     }
-    // A workspace's running jobs are worth as much as its waiting jobs, so only a job that is
-    // urgent or can't be stopped may preempt jobs of its own workspace.
+    // Running and waiting jobs of a workspace have the same value, so only a job that is urgent or
+    // can't be stopped may preempt jobs of its own workspace.
     const bool deferrable = CanBeStopped(job.spec) && !job.spec.urgent;
     if (deferrable != (stage == GuaranteeStage::kAnywhere)) return false;
     // Free room elsewhere is preferred to preempting other jobs.
@@ -218,7 +218,8 @@
     if (!placement) return false;
     if (over_cap) StopOwnLentWorkOverCap(candidate);
     for (const int victim : placement->victims) {
-      // The cells are bound in this pass, so the room stays reserved until some of that work ends.
+      // The cells are bound in this pass, so their room stays reserved until some jobs of the
+      // spared workspace end.
       if (!IsSpared(victim)) continue;
       Wait(job, "other jobs of its workspace use the guaranteed room");
       return true;
@@ -233,7 +234,7 @@
   bool TryStartBound(const WaitingJob& job, const std::optional<CellPlacement>& placement) {
     if (!placement || !placement->victims.empty()) return false;
     if (!room_.HasFreeRoom(job.spec, placement->tasks)) return false;
-    room_.Take(job.spec, placement->tasks);
+    room_.Allocate(job.spec, placement->tasks);
     plan_.starts.push_back({job.id, job.last_attempt + 1, false, placement->tasks});
     return true;
   }
@@ -350,8 +351,8 @@
     }
   }
 
-  // Returns enough workers for the job, those that are free earliest; all in one rack if the job
-  // requires it.
+  // Returns the workers that are free earliest, as many as the job needs; all in one rack if the
+  // job requires it.
   std::vector<int> EarliestFreeWorkers(const JobSpec& spec) const {
     std::vector<int> best;
     double least_seconds = kNever;
@@ -387,8 +388,9 @@
     return {group->begin(), group->begin() + static_cast<std::ptrdiff_t>(needed)};
   }
 
-  // Stops checkpointable lent work on the gang's workers if that costs less than the wait it saves.
-  // The stopped jobs restart elsewhere, on workers that are already partly used.
+  // Stops checkpointable jobs on lent room on the gang's workers if stopping them costs less than
+  // the wait that it saves the gang. The stopped jobs restart on other workers that are already
+  // partly used.
   void Defragment(const Candidate& candidate, const std::vector<int>& workers, double ready) {
     double cost = 0;
     int moved = 0;
@@ -411,8 +413,8 @@
       if (worker.usable) free += std::popcount(worker.free_accelerators);
     }
     const int needed = AcceleratorsOf(candidate.job->spec);
-    // The moved jobs must find room besides the gang's; otherwise the gang would only displace
-    // them.
+    // The zone must have room for both the gang and the moved jobs; otherwise the gang would only
+    // displace these jobs.
     if (free < needed || moved > needed) return;
     const double saved = ready * needed;
     if (cost > saved * kMaxDefragmentCostShare) return;
@@ -435,8 +437,8 @@
   Plan plan_;
   StopCost cost_;
   std::map<PlacementKey, std::string> failed_keys_;
-  // By workspace index, the priority of the gang for which the workspace's accelerator cap is
-  // reserved.
+  // The priority of the gang for which a workspace's accelerator cap is reserved, by workspace
+  // index.
   std::map<int, double> cap_reservations_;
   std::vector<bool> stopped_;
   // While set, running jobs of this workspace must not be stopped for the current candidate.
@@ -467,7 +469,8 @@
   // empty.
   if (now - *out_since_ < view.environment->bounds.zone_drain) return plan;
   for (const RunningJob& job : view.running) {
-    // Jobs that can't be checkpointed would lose all their work, so they may finish here.
+    // Jobs that can't be checkpointed would lose all their work if stopped, so they may finish in
+    // this zone.
     if (job.stopping || !job.spec.checkpoints) continue;
     plan.stops.push_back({job.id, job.attempt, true, StopReason::kZoneOut});
   }
--- a/modules/placement/cell_policy.h
+++ b/modules/placement/cell_policy.h
@@ -1,8 +1,8 @@
 // The placement policy based on guaranteed cells. Jobs within the guarantee of their workspace are
-// placed first and may reclaim lent room. Other jobs run on lent room: shortest expected run time
-// first, with aging and with fairness between workspaces. A large gang that has waited long enough
-// gets workers reserved; until they are free, smaller jobs backfill them if they are expected to
-// end in time.
+// placed first and may preempt jobs on lent room, that is, room outside the cells that guarantees
+// use at present. Other jobs run on lent room: shortest expected run time first, with aging and
+// with fairness between workspaces. A large gang that has waited long enough gets workers reserved;
+// until these workers are free, smaller jobs backfill them if the jobs are expected to end in time.
 #pragma once
 
 #include <map>
--- a/modules/placement/placement_property_test.cc
+++ b/modules/placement/placement_property_test.cc
@@ -158,9 +158,10 @@
   }));
 }
 
-// Jobs without accelerators hold a cell as well. When their block was recomputed at each decision,
-// it moved under jobs that had started later, and a workspace waited for its guarantee forever. In
-// another fault, lent work repeatedly took the room that had been reclaimed for a claim.
+// Jobs without accelerators use a cell as well. When the block of such a cell was recomputed at
+// each decision, the block moved to accelerators of jobs that had started later, and a workspace
+// waited for its guarantee forever. In another fault, jobs on lent room repeatedly started on the
+// room that had just been reclaimed for a guarantee.
 TEST(PlacementPropertyTest, WorkWithoutAcceleratorsKeepsItsBlock) {
   EXPECT_TRUE(rc::check([] {
     constexpr int kLentJobWithoutAccelerators = 7050;
--- a/modules/placement/placement_suite.cc
+++ b/modules/placement/placement_suite.cc
@@ -20,8 +20,8 @@
 constexpr int kSeeds = 2;
 constexpr int kLargeGang = 8;
 constexpr double kPercentile = 0.95;
-constexpr Duration kZoneLeaves = hours(12);
-constexpr Duration kZoneReturns = hours(16);
+constexpr Duration kZoneOutAt = hours(12);
+constexpr Duration kZoneInAt = hours(16);
 constexpr double kDeclaredTimeErrorFactor = 4;
 constexpr int64_t kGibibyte = int64_t{1} << 30;
 
@@ -116,7 +116,7 @@
   if (zone_leaves) {
     for (const bool out : {true, false}) {
       TraceEvent event;
-      event.at = out ? kZoneLeaves : kZoneReturns;
+      event.at = out ? kZoneOutAt : kZoneInAt;
       event.kind = out ? TraceEventKind::kZoneOut : TraceEventKind::kZoneIn;
       event.subject = deployment.leaving_zone;
       trace.events.push_back(event);
--- a/modules/placement/run_time_estimator.h
+++ b/modules/placement/run_time_estimator.h
@@ -1,4 +1,4 @@
-// Estimates run times from the observed ones, because declared run times are often far off.
+// Estimates run times from observed run times, because declared run times are often far off.
 // Estimates only guide scheduling; no guarantee depends on them.
 #pragma once
 
--- a/modules/placement/task_placer.cc
+++ b/modules/placement/task_placer.cc
@@ -9,7 +9,8 @@
 namespace {
 
 constexpr int kMaxAccelerators = 32;
-// Lower than the cost of any stop, so that it only matters in the choice between free sites.
+// The cost of using a soft-reserved worker. It is lower than the cost of stopping any job, so that
+// it only matters in the choice between free sites.
 constexpr double kSoftReservedCost = 1;
 
 uint32_t LowestBits(uint32_t mask, int count) {
@@ -129,10 +130,11 @@
   // The accelerators of the block that the job may use.
   uint32_t mask = 0;
   TaskShape room;
-  // The block is already bound to the workspace.
+  // True if the block already belongs to a bound cell of the workspace.
   bool bound = false;
   double cost = 0;
-  // The size of the largest unheld block that is broken up if this block is bound.
+  // The size, in accelerators, of the largest aligned block that overlaps this site and has no
+  // accelerators in RoomWorker::held. Binding the site makes that block unavailable as a whole.
   int broken_block_size = 0;
 };
 
@@ -189,7 +191,7 @@
 
   void AddSite(Site site) {
     const RoomWorker& worker = room_->workers()[site.worker];
-    // A unit that fits in the block's free accelerators preempts no lent work.
+    // A unit that fits in the block's free accelerators preempts no jobs on lent room.
     if (std::popcount(worker.free_accelerators & site.mask) < unit_.accelerators) {
       for (const LentTask& lent : worker.lent) {
         if ((lent.mask & site.mask) != 0) site.cost += Cost(lent.job);
@@ -273,7 +275,8 @@
     }
   }
 
-  // Chooses free accelerators first, then those of the lent work that is cheapest to stop.
+  // Chooses free accelerators first, then the accelerators of the jobs on lent room that are
+  // cheapest to stop.
   uint32_t CheapestBits(int index, uint32_t mask) const {
     const RoomWorker& worker = room_->workers()[index];
     const int count = spec_.shape.accelerators;
@@ -306,8 +309,8 @@
     return {victims.begin(), victims.end()};
   }
 
-  // Adds further victims if the processors or memory do not suffice: lent work may use more of them
-  // than the part that belongs to its accelerators.
+  // Adds further victims if the processors or memory do not suffice: jobs on lent room may use more
+  // processors or memory than the share that belongs to their accelerators.
   void AddVictimsForShape(int index, const TaskShape& shape, std::set<int>* victims) const {
     const RoomWorker& worker = room_->workers()[index];
     int processors = worker.free_processors;
--- a/modules/placement/task_placer.h
+++ b/modules/placement/task_placer.h
@@ -29,8 +29,8 @@
   std::vector<int> victims;
 };
 
-// Places the job within the cells of its workspace and binds them in `room`. Returns none if the
-// cells can't hold the job, or if that needs other jobs to be stopped and `may_stop` is false.
+// Places the job within the cells of its workspace and binds these cells in `room`. Returns none if
+// the cells can't hold the job, or if other jobs would have to be stopped and `may_stop` is false.
 std::optional<CellPlacement> PlaceInCells(ZoneRoom* room, const ZoneView& view, const JobSpec& spec,
                                           const StopCost& cost, bool may_stop);
 
--- a/modules/routing/two_choices.h
+++ b/modules/routing/two_choices.h
@@ -1,5 +1,5 @@
-// Power of two choices (Mitzenmacher): of two targets picked at random, takes the one with the
-// lower expected response time. The pick from the entry's own zone is used unless the pick from
+// Power of two choices (Mitzenmacher): picks two targets at random and uses the target with the
+// lower expected response time. A target in the entry's own zone is used unless the target in
 // another zone is faster by more than the round trip between zones.
 #pragma once
 
--- a/servers/agent/gang_host.cc
+++ b/servers/agent/gang_host.cc
@@ -56,7 +56,8 @@
   guard_->RequireStartAllowed(now);
   Part& part = RequirePart(start.job, start.attempt);
   if (part.phase != Phase::kReserved) return;
-  // Set before the calls, so that the stop reaches tasks that the worker started before a failure.
+  // The phase is set before the calls to the worker, so that a stop after a failed call also
+  // reaches the tasks that the worker has already started.
   part.phase = Phase::kHeld;
   part.expires_at = now + part.reserve.hold;
   for (const TaskPlacement& task : part.reserve.tasks) {
@@ -93,8 +94,8 @@
   part.expires_at = now + action.lease;
   for (const TaskPlacement& task : part.reserve.tasks) {
     const TaskId id{action.job, action.attempt, task.task};
-    // Renews the lease before the release, so that a released task never runs longer than the gang
-    // allows.
+    // Renews the worker's lease before the release, so that a released task never runs longer than
+    // the lease of the gang.
     worker_->Renew(id, action.lease);
     worker_->Release(id);
   }
@@ -165,7 +166,7 @@
     const bool expired = now >= part.expires_at - part.lease / kCheckpointShare;
     if (part.phase == Phase::kStopping) {
       StopTasks(part, false);
-      // True if the worker never received the tasks.
+      // True if the worker reports none of the tasks after the stop, so it never received them.
       const bool never_started = reported_round_ > part.stop_round && !AnyTaskReported(part);
       each = never_started ? parts_.erase(each) : std::next(each);
       continue;
@@ -229,8 +230,8 @@
 }
 
 void GangHost::RequireCurrentPlanner(Time now) const {
-  // An agent cut off together with a replaced planner would otherwise obey that planner
-  // indefinitely, while the successor starts the same jobs elsewhere.
+  // An agent that is partitioned from the other entries together with a replaced planner would
+  // otherwise obey that planner indefinitely, while the successor starts the same jobs elsewhere.
   if (planner_.IsPlannerCurrent(lease(), now)) return;
   throw Error(ErrorKind::kStale, "a newer planner may exist that is not known here");
 }
@@ -324,9 +325,9 @@
 
 void GangHost::RebuildParts(Time now) {
   for (const auto& [id, report] : reports_) {
-    const auto [slot, fresh] = parts_.try_emplace({id.job, id.attempt});
+    const auto [slot, inserted] = parts_.try_emplace({id.job, id.attempt});
     Part& part = slot->second;
-    if (fresh) part.phase = Phase::kStopping;
+    if (inserted) part.phase = Phase::kStopping;
     part.reserve.job = id.job;
     part.reserve.attempt = id.attempt;
     part.reserve.epoch = report.epoch;
--- a/servers/agent/gang_host.h
+++ b/servers/agent/gang_host.h
@@ -1,6 +1,6 @@
-// Keeps track of the gang members on this worker: what is reserved, held and running, and under
-// which planner epoch. Has the authority over the worker's accelerators. docs/notes/gangs.md
-// describes the protocol.
+// Keeps track of the gang members on this worker: which are reserved, held (tasks set up, but not
+// released yet) or running, and under which planner epoch. Decides alone which accelerators of the
+// worker are in use. docs/notes/gangs.md describes the protocol.
 #pragma once
 
 #include <map>
--- a/servers/agent/gang_host_test.cc
+++ b/servers/agent/gang_host_test.cc
@@ -145,16 +145,16 @@
   EXPECT_EQ(ParseDuration(worker_.Report().at(0).checkpoint), milliseconds(9100));
 }
 
-// The planner dies after it released one member of a gang but not the others. The released member
-// must not run alone for a whole lease.
+// The planner dies after it released (allowed to run) the held tasks of one member of a gang but
+// not those of the others. The released member must not run alone for a whole lease.
 TEST_F(GangHostTest, ReleasedMemberStopsAfterFirstLeaseUnlessRenewed) {
   Run(1, seconds(2));
   AdvanceTime(seconds(2));
   EXPECT_EQ(phase(), TaskPhase::kStopped);
 }
 
-// A renewal is delayed for longer than the lease. The planner has started the gang elsewhere, so
-// the delayed renewal must not keep the old one running.
+// A renewal is delayed for longer than the lease. The planner has started a new attempt of the gang
+// elsewhere, so the delayed renewal must not keep the old attempt running.
 TEST_F(GangHostTest, DelayedRenewalDoesNotExtendLease) {
   Run(1);
   GangAction renewal = Action(kOldEpoch, 1);
@@ -167,9 +167,9 @@
   EXPECT_EQ(KindOf([&] { host_->Renew(renewal, clock_.Now()); }), ErrorKind::kConflict);
 }
 
-// A planner's machine is cut off together with one agent: it reaches the agent but not the log. Its
-// successor, which the agent can't reach, starts the job elsewhere. An agent that still obeyed the
-// old planner would run the job twice.
+// A planner's entry is partitioned together with one agent: the entry reaches the agent but not the
+// log. The successor, which the agent can't reach, starts the job elsewhere. If the agent still
+// obeyed the old planner, the job would run twice.
 TEST_F(GangHostTest, OneEntryWithoutLogIsNotEnoughToObeyPlanner) {
   Run(1);
   AdvanceTime(seconds(6));
--- a/servers/agent/planner_tracker.cc
+++ b/servers/agent/planner_tracker.cc
@@ -17,8 +17,8 @@
   known_entries_ = reply.entries.size();
   entries_[entry] = {sent, reply.jobs_freshness.failing};
   if (reply.jobs_freshness.age < Duration::zero()) return;
-  const Time fresh = sent - reply.jobs_freshness.age;
-  if (!fresh_at_ || fresh > *fresh_at_) fresh_at_ = fresh;
+  const Time read_at = sent - reply.jobs_freshness.age;
+  if (!jobs_read_at_ || read_at > *jobs_read_at_) jobs_read_at_ = read_at;
 }
 
 void PlannerTracker::RecordCall(Sequence epoch, Time now) {
@@ -35,8 +35,8 @@
 }
 
 bool PlannerTracker::IsPlannerCurrent(Duration limit, Time now) const {
-  if (!fresh_at_) return false;
-  if (now - *fresh_at_ <= limit) return true;
+  if (!jobs_read_at_) return false;
+  if (now - *jobs_read_at_ <= limit) return true;
   size_t failing_entries = 0;
   for (const auto& [entry, reply] : entries_) {
     if (now - reply.sent > limit) continue;
--- a/servers/agent/planner_tracker.h
+++ b/servers/agent/planner_tracker.h
@@ -1,6 +1,6 @@
 // Tracks an agent's knowledge of its zone's planner: the highest epoch, the time since the active
-// planner's last sign of life, and whether a higher epoch could exist that the agent has not
-// received. docs/notes/planner-duty.md explains the rule.
+// planner's last call or heartbeat reply, and whether a higher epoch could exist that the agent has
+// not received. docs/notes/planner-duty.md explains the rule.
 #pragma once
 
 #include <map>
@@ -23,7 +23,7 @@
   void RecordTaskEpoch(Sequence epoch);
 
   Sequence epoch() const { return epoch_; }
-  // Time since the active planner was last heard from. Negative if it never was.
+  // Time since the last call or heartbeat reply of the active planner. Negative if there was none.
   Duration silence(Time now) const;
 
   // Whether the planner may be obeyed. True if a reply shows that an entry had read the jobs stream
@@ -41,7 +41,8 @@
 
   Sequence epoch_ = kNoSequence;
   std::optional<Time> planner_last_seen_;
-  std::optional<Time> fresh_at_;
+  // The newest time at which an entry had read the jobs stream to its head, as far as known here.
+  std::optional<Time> jobs_read_at_;
   size_t known_entries_ = 0;
   std::map<std::string, EntryReply> entries_;
 };
--- a/servers/agent/request_ledger.h
+++ b/servers/agent/request_ledger.h
@@ -14,9 +14,10 @@
 
 namespace turmericshift {
 
-// Limits of what a ledger stores. Evicting a row is always safe. For a keyed attempt, the highest
-// evicted fence becomes a minimum: no unknown attempt with that fence or a lower one runs. For
-// requests without a key, queries about that age are answered with "unknown".
+// Limits of what a ledger stores. Evicting a row is always safe: after the eviction of a keyed
+// attempt, no unknown attempt whose fence is at most the highest evicted fence runs. After the
+// eviction of a request without a key, queries about requests of its age or older are answered with
+// "unknown".
 struct LedgerLimits {
   size_t max_rows = 8192;
   size_t max_answer_bytes = size_t{12} << 20;
@@ -34,7 +35,7 @@
   void Begin(const ServiceRequest& request, Time now);
   // Records the answer of an attempt that ran.
   void Finish(const ServiceRequest& request, const ServiceAnswer& answer);
-  // Records that the attempt has not reached the target. It never will from here on.
+  // Records that the attempt has not reached the target. From now on the attempt is refused.
   void MarkNotRun(const ServiceRequest& request);
   // Records that the attempt may have run, with an unknown result.
   void MarkUnknown(const ServiceRequest& request);
--- a/servers/agent/session_plan.cc
+++ b/servers/agent/session_plan.cc
@@ -9,7 +9,7 @@
 constexpr Duration kMaxBackoff = std::chrono::seconds(5);
 constexpr int kMaxDoublings = 6;
 
-// Score of a session by what no other session provides.
+// Scores of what a session provides and no other session of the agent does.
 constexpr int kPlannerScore = 8;
 constexpr int kOwnZoneScore = 4;
 constexpr int kNewZoneScore = 2;
--- a/servers/agent/session_plan.h
+++ b/servers/agent/session_plan.h
@@ -30,8 +30,9 @@
   std::string Choose(Time now);
   // The connection is established. Resets the back-off of the address.
   void MarkOpened(const std::string& address);
-  // The connection failed or was lost. The address is not tried again for a random, growing time,
-  // so that the agents do not all reconnect to a restarted entry at once.
+  // The connection failed or was lost. The address is not tried again for a random time that grows
+  // with each failure, so that the agents do not all reconnect to a restarted entry at the same
+  // time.
   void MarkLost(const std::string& address, Time now);
   // Whether the session is worth keeping. False for the session with the lowest score if there are
   // more than enough sessions.
@@ -39,8 +40,8 @@
   // The session was closed on purpose.
   void MarkReleased(const std::string& address);
 
-  int64_t members_digest() const;
   // Digest of the last received member list.
+  int64_t members_digest() const;
   std::vector<std::string> addresses() const;
 
  private:
--- a/servers/agent/session_plan_test.cc
+++ b/servers/agent/session_plan_test.cc
@@ -22,7 +22,8 @@
 
 class SessionPlanTest : public testing::Test {
  protected:
-  // Opens sessions until the plan wants no more. Returns the open ones.
+  // Opens sessions until the plan selects no more addresses. Returns the addresses of the opened
+  // sessions.
   std::set<std::string> OpenAll(SessionPlan* plan) {
     std::set<std::string> open;
     for (std::string next = plan->Choose(now_); !next.empty(); next = plan->Choose(now_)) {
@@ -40,8 +41,8 @@
   Time now_ = Time{} + std::chrono::hours(1);
 };
 
-// If all sessions were in one zone, the loss of that zone would cut the agent off and end its
-// starts.
+// If all of an agent's sessions were to entries in one zone, the loss of that zone would disconnect
+// the agent, which may then start no more work.
 TEST_F(SessionPlanTest, SessionsAreSpreadOverZones) {
   SessionPlan plan("b", 3, {"a0:1", "a1:1", "a2:1"}, 7);
   EXPECT_EQ(OpenAll(&plan).size(), 3U);
@@ -49,10 +50,10 @@
   std::set<char> zones;
   for (const std::string& address : OpenAll(&plan)) zones.insert(address[0]);
   plan.UpdateEntries(Members(3), "");
-  SessionPlan fresh("b", 3, {}, 8);
-  fresh.UpdateEntries(Members(3), "");
+  SessionPlan new_plan("b", 3, {}, 8);
+  new_plan.UpdateEntries(Members(3), "");
   zones.clear();
-  for (const std::string& address : OpenAll(&fresh)) zones.insert(address[0]);
+  for (const std::string& address : OpenAll(&new_plan)) zones.insert(address[0]);
   EXPECT_EQ(zones.size(), 3U);
 }
 
--- a/servers/agent/slot_limiter.cc
+++ b/servers/agent/slot_limiter.cc
@@ -50,8 +50,9 @@
 void SlotLimiter::RequireCapacity(const std::string& workspace, Time now, Time deadline) {
   if (closed_) ThrowFor(WaitState::kClosed);
   const int waiting = static_cast<int>(queue_.size());
-  // A request that would only expire in the queue is refused now, while its caller can still try
-  // another target. Under fair sharing, a request waits mainly behind its own workspace's queue.
+  // A request that is expected to reach its deadline in the queue is refused immediately, while its
+  // caller can still try another target. Under fair sharing, a request waits mainly for the queued
+  // requests of its own workspace.
   const Duration wait =
       average_hold_time_ * (waiting + 1 + std::max(0, running_ - slots_)) / slots_;
   const bool must_wait = running_ >= slots_;
@@ -69,7 +70,8 @@
   for (auto each = queue_.begin(); each != queue_.end(); ++each) {
     const int held = Usage((*each)->workspace);
     if (held < most || (*each)->workspace == workspace) continue;
-    // Selects the newest request of the workspace with the highest usage. Later requests win ties.
+    // Selects the newest request of the workspace with the highest usage. If workspaces have equal
+    // usage, the request that is later in the queue is selected.
     most = held;
     victim = each;
   }
--- a/servers/agent/slot_limiter.h
+++ b/servers/agent/slot_limiter.h
@@ -1,6 +1,7 @@
-// Limits the concurrency of a target: a fixed number of requests run, some wait, the rest are
-// refused immediately. Slots and queue are shared between workspaces by max-min fairness: the
-// workspace with the lowest usage is served first, the one with the highest is shed first.
+// Limits the concurrency of a target: a fixed number of requests run, a limited number wait, and
+// all others are refused immediately. Slots and queue are shared between workspaces by max-min
+// fairness: the workspace with the lowest usage is served first, and requests of the workspace with
+// the highest usage are shed first.
 #pragma once
 
 #include <condition_variable>
--- a/servers/agent/slot_limiter_test.cc
+++ b/servers/agent/slot_limiter_test.cc
@@ -17,7 +17,7 @@
 
 using SlotPointer = std::unique_ptr<SlotLimiter::Slot>;
 
-SlotPointer Take(SlotLimiter* limiter, const std::string& workspace, const std::string& id) {
+SlotPointer AcquireSlot(SlotLimiter* limiter, const std::string& workspace, const std::string& id) {
   const Time now = DefaultClock().Now();
   return std::make_unique<SlotLimiter::Slot>(limiter->Acquire(workspace, id, now, now + kLong));
 }
@@ -30,7 +30,7 @@
 struct Waiting {
   Waiting(SlotLimiter* limiter, const std::string& workspace, const std::string& id)
       : thread("wait", [this, limiter, workspace, id] {
-          outcome = AttemptOf<SlotPointer>([&] { return Take(limiter, workspace, id); });
+          outcome = AttemptOf<SlotPointer>([&] { return AcquireSlot(limiter, workspace, id); });
         }) {}
   Attempt<SlotPointer> outcome;
   Thread thread;
@@ -40,7 +40,7 @@
 // single request is refused because the flood has filled the queue.
 TEST(SlotLimiterTest, FloodingWorkspaceIsShedForIdleWorkspace) {
   SlotLimiter limiter(1, 3);
-  SlotPointer running = Take(&limiter, "flood", "f0");
+  SlotPointer running = AcquireSlot(&limiter, "flood", "f0");
   Waiting first(&limiter, "flood", "f1");
   WaitForQueue(limiter, 1);
   Waiting second(&limiter, "flood", "f2");
@@ -64,7 +64,7 @@
 // entries can send them elsewhere; running requests go on.
 TEST(SlotLimiterTest, CloseRefusesWaitingRequests) {
   SlotLimiter limiter(1, 3);
-  const SlotPointer running = Take(&limiter, "a", "1");
+  const SlotPointer running = AcquireSlot(&limiter, "a", "1");
   Waiting waiting(&limiter, "a", "2");
   WaitForQueue(limiter, 1);
   limiter.Close();
@@ -76,7 +76,7 @@
 
 TEST(SlotLimiterTest, ACancelledRequestStopsWaiting) {
   SlotLimiter limiter(1, 3);
-  const SlotPointer running = Take(&limiter, "a", "1");
+  const SlotPointer running = AcquireSlot(&limiter, "a", "1");
   Waiting waiting(&limiter, "a", "2");
   WaitForQueue(limiter, 1);
   EXPECT_TRUE(limiter.CancelWaiting("2"));
@@ -87,7 +87,7 @@
 
 TEST(SlotLimiterTest, RaisedSlotLimitReleasesWaitingRequests) {
   SlotLimiter limiter(1, 3);
-  const SlotPointer running = Take(&limiter, "a", "1");
+  const SlotPointer running = AcquireSlot(&limiter, "a", "1");
   Waiting waiting(&limiter, "a", "2");
   WaitForQueue(limiter, 1);
   limiter.SetLimits(2, 3);
--- a/servers/agent/start_guard.cc
+++ b/servers/agent/start_guard.cc
@@ -35,10 +35,11 @@
   newest_reply_sent_at_ = std::max(newest_reply_sent_at_, sent);
   if (environment_name_.empty()) environment_name_ = reply.environment;
   if (reply.config_version > version_ && !reply.config_text.empty()) ApplyDocument(reply);
-  // The agent's view is not as fresh as the entry's if it lacks the entry's version.
+  // The agent must not count as being as current as the entry while it lacks the entry's version of
+  // the document.
   if (version_ < reply.config_version) return;
-  // An entry that has read nothing since its start may have accepted a document before it, so its
-  // earlier status stays in force. It adds nothing new.
+  // An entry that has read nothing since its start may have accepted a document before its start,
+  // so the entry's earlier status stays in force and this reply adds nothing.
   if (reply.freshness.age < Duration::zero()) {
     // Unless the entry reports that reads fail, it is about to read the log, and may then accept a
     // document that this agent does not receive.
@@ -91,7 +92,7 @@
   ever_fresh_ = true;
   // An entry that became silent recently may only be unreachable from this agent and still read the
   // log, so a read by another entry does not clear its status. An entry that has been silent for
-  // long while others read the log is gone.
+  // kSilentEntryTimeout while others read the log is presumed to have ended.
   std::erase_if(statements_,
                 [&](const auto& each) { return each.second.sent < time - kSilentEntryTimeout; });
 }
--- a/servers/agent/start_guard.h
+++ b/servers/agent/start_guard.h
@@ -62,6 +62,7 @@
   int64_t version_ = 0;
   std::string digest_;
   std::shared_ptr<const Environment> environment_;
+  // All documents accepted before this time are known here. Only valid if `ever_fresh_`.
   Time fresh_at_{};
   bool ever_fresh_ = false;
   Time newest_reply_sent_at_{};
--- a/servers/agent/start_guard_test.cc
+++ b/servers/agent/start_guard_test.cc
@@ -24,7 +24,7 @@
 class StartGuardTest : public testing::Test {
  protected:
   // Reply of an entry in `zone` whose newest read is `age` old; `failing` if its reads fail now.
-  EntryBeat Beat(const std::string& zone, int64_t version, Duration age, bool failing) const {
+  EntryBeat MakeReply(const std::string& zone, int64_t version, Duration age, bool failing) const {
     EntryBeat beat;
     beat.self = {"entry-" + zone, zone, "10.0.0.1:1"};
     beat.config_version = version;
@@ -51,50 +51,50 @@
 // Without replies, the agent can't know whether its zone was taken out meanwhile.
 TEST_F(StartGuardTest, NoStartsAfterBoundWithoutReplies) {
   EXPECT_FALSE(MayStart(now_));
-  guard_.HandleHeartbeatReply(Beat("a", 1, milliseconds(100), false), now_);
+  guard_.HandleHeartbeatReply(MakeReply("a", 1, milliseconds(100), false), now_);
   EXPECT_TRUE(MayStart(now_ + milliseconds(2900)));
   EXPECT_FALSE(MayStart(now_ + milliseconds(2901)));
 }
 
 // One entry can't reach the log while others read it, so operators may take the zone out through
-// those.
+// the other entries.
 TEST_F(StartGuardTest, OneEntryReportingLogFailureIsNotEnough) {
-  guard_.HandleHeartbeatReply(Beat("a", 1, Duration{}, false), now_);
-  guard_.HandleHeartbeatReply(Beat("b", 1, Duration{}, false), now_ + milliseconds(1));
-  guard_.HandleHeartbeatReply(Beat("a", 1, seconds(4), true), now_ + seconds(4));
+  guard_.HandleHeartbeatReply(MakeReply("a", 1, Duration{}, false), now_);
+  guard_.HandleHeartbeatReply(MakeReply("b", 1, Duration{}, false), now_ + milliseconds(1));
+  guard_.HandleHeartbeatReply(MakeReply("a", 1, seconds(4), true), now_ + seconds(4));
   EXPECT_FALSE(MayStart(now_ + seconds(4)));
-  // The other entry still reads the log, which is sufficient.
-  guard_.HandleHeartbeatReply(Beat("b", 1, milliseconds(200), false), now_ + seconds(4));
+  // The other entry still reads the log, which is sufficient for starts.
+  guard_.HandleHeartbeatReply(MakeReply("b", 1, milliseconds(200), false), now_ + seconds(4));
   EXPECT_TRUE(MayStart(now_ + seconds(5)));
 }
 
 // The log is down for all entries, so none can have accepted a document and work may go on.
 TEST_F(StartGuardTest, StartsContinueWhileAllEntriesReportLogDown) {
   for (const char* zone : {"a", "b"})
-    guard_.HandleHeartbeatReply(Beat(zone, 1, Duration{}, false), now_);
+    guard_.HandleHeartbeatReply(MakeReply(zone, 1, Duration{}, false), now_);
   const Time later = now_ + seconds(600);
-  guard_.HandleHeartbeatReply(Beat("a", 1, seconds(600), true), later);
+  guard_.HandleHeartbeatReply(MakeReply("a", 1, seconds(600), true), later);
   EXPECT_FALSE(MayStart(later));
-  guard_.HandleHeartbeatReply(Beat("b", 1, seconds(599), true), later);
+  guard_.HandleHeartbeatReply(MakeReply("b", 1, seconds(599), true), later);
   EXPECT_TRUE(MayStart(later));
   // The silent entry may be able to read the log again.
-  guard_.HandleHeartbeatReply(Beat("a", 1, seconds(604), true), later + seconds(4));
+  guard_.HandleHeartbeatReply(MakeReply("a", 1, seconds(604), true), later + seconds(4));
   EXPECT_FALSE(MayStart(later + seconds(4)));
 }
 
-// An entry that could read the log died during the outage. The document it accepted last may have
-// reached no agent. Only a read by another entry shows that there was none.
+// An entry that could read the log died during the outage. The last document that it accepted may
+// have reached no agent. Only a read by another entry shows that there was no such document.
 TEST_F(StartGuardTest, DeadReaderCountsUntilLogIsReadAgain) {
   for (const char* zone : {"a", "b", "c"})
-    guard_.HandleHeartbeatReply(Beat(zone, 1, Duration{}, false), now_);
+    guard_.HandleHeartbeatReply(MakeReply(zone, 1, Duration{}, false), now_);
   const Time later = now_ + seconds(600);
   for (const char* zone : {"a", "b"})
-    guard_.HandleHeartbeatReply(Beat(zone, 1, seconds(600), true), later);
+    guard_.HandleHeartbeatReply(MakeReply(zone, 1, seconds(600), true), later);
   EXPECT_FALSE(MayStart(later));
-  guard_.HandleHeartbeatReply(Beat("a", 1, Duration{}, false), later + seconds(1));
+  guard_.HandleHeartbeatReply(MakeReply("a", 1, Duration{}, false), later + seconds(1));
   const Time again = later + seconds(100);
   for (const char* zone : {"a", "b"})
-    guard_.HandleHeartbeatReply(Beat(zone, 1, seconds(99), true), again);
+    guard_.HandleHeartbeatReply(MakeReply(zone, 1, seconds(99), true), again);
   EXPECT_TRUE(MayStart(again));
 }
 
@@ -103,13 +103,13 @@
 // zone out at the first entry, so no work may start.
 TEST_F(StartGuardTest, SilentReaderCountsAfterOthersRead) {
   for (const char* zone : {"a", "b", "c"})
-    guard_.HandleHeartbeatReply(Beat(zone, 1, Duration{}, false), now_);
+    guard_.HandleHeartbeatReply(MakeReply(zone, 1, Duration{}, false), now_);
   for (const char* zone : {"a", "b"}) {
-    guard_.HandleHeartbeatReply(Beat(zone, 1, Duration{}, false), now_ + seconds(1));
+    guard_.HandleHeartbeatReply(MakeReply(zone, 1, Duration{}, false), now_ + seconds(1));
   }
   const Time later = now_ + seconds(10);
   for (const char* zone : {"a", "b"})
-    guard_.HandleHeartbeatReply(Beat(zone, 1, seconds(9), true), later);
+    guard_.HandleHeartbeatReply(MakeReply(zone, 1, seconds(9), true), later);
   EXPECT_FALSE(MayStart(later));
 }
 
@@ -118,40 +118,40 @@
 // documents since.
 TEST_F(StartGuardTest, EntryAboutToReadCounts) {
   for (const char* zone : {"a", "b"})
-    guard_.HandleHeartbeatReply(Beat(zone, 1, Duration{}, false), now_);
-  guard_.HandleHeartbeatReply(Beat("c", 0, Duration(-1), false), now_);
+    guard_.HandleHeartbeatReply(MakeReply(zone, 1, Duration{}, false), now_);
+  guard_.HandleHeartbeatReply(MakeReply("c", 0, Duration(-1), false), now_);
   const Time later = now_ + seconds(10);
   for (const char* zone : {"a", "b"})
-    guard_.HandleHeartbeatReply(Beat(zone, 1, seconds(10), true), later);
+    guard_.HandleHeartbeatReply(MakeReply(zone, 1, seconds(10), true), later);
   EXPECT_FALSE(MayStart(later));
 }
 
 // An entry that restarted during the outage does not know which documents it accepted before.
 TEST_F(StartGuardTest, RestartedEntryIsNoEvidenceOfLogFailure) {
   for (const char* zone : {"a", "b"})
-    guard_.HandleHeartbeatReply(Beat(zone, 1, Duration{}, false), now_);
+    guard_.HandleHeartbeatReply(MakeReply(zone, 1, Duration{}, false), now_);
   const Time later = now_ + seconds(10);
-  guard_.HandleHeartbeatReply(Beat("a", 1, seconds(10), true), later);
-  guard_.HandleHeartbeatReply(Beat("b", 0, Duration(-1), true), later);
+  guard_.HandleHeartbeatReply(MakeReply("a", 1, seconds(10), true), later);
+  guard_.HandleHeartbeatReply(MakeReply("b", 0, Duration(-1), true), later);
   EXPECT_FALSE(MayStart(later));
 }
 
 // A process that was paused holds a reply whose age is outdated. The age must count from before the
 // heartbeat was sent.
 TEST_F(StartGuardTest, DelayedReplyCountsFromRequestTime) {
-  guard_.HandleHeartbeatReply(Beat("a", 1, Duration{}, false), now_);
+  guard_.HandleHeartbeatReply(MakeReply("a", 1, Duration{}, false), now_);
   const Time woke = now_ + seconds(300);
   EXPECT_FALSE(MayStart(woke));
-  guard_.HandleHeartbeatReply(Beat("a", 1, Duration{}, false), now_ + seconds(1));
+  guard_.HandleHeartbeatReply(MakeReply("a", 1, Duration{}, false), now_ + seconds(1));
   EXPECT_FALSE(MayStart(woke));
 }
 
 TEST_F(StartGuardTest, VersionNeverDecreasesAndZoneStaysOut) {
-  guard_.HandleHeartbeatReply(Beat("a", 1, Duration{}, false), now_);
-  guard_.HandleHeartbeatReply(Beat("b", 2, Duration{}, false), now_ + seconds(1));
+  guard_.HandleHeartbeatReply(MakeReply("a", 1, Duration{}, false), now_);
+  guard_.HandleHeartbeatReply(MakeReply("b", 2, Duration{}, false), now_ + seconds(1));
   EXPECT_FALSE(MayStart(now_ + seconds(1)));
   // The other entry lags and does not know version 2 yet.
-  EntryBeat old = Beat("a", 1, Duration{}, false);
+  EntryBeat old = MakeReply("a", 1, Duration{}, false);
   old.config_text = Document("in");
   guard_.HandleHeartbeatReply(old, now_ + seconds(2));
   EXPECT_EQ(guard_.config_version(), 2);
@@ -160,14 +160,14 @@
 
 // An agent's settings name an entry of another environment, whose documents must not be adopted.
 TEST_F(StartGuardTest, DocumentsOfAnotherEnvironmentAreRefused) {
-  EntryBeat trial = Beat("a", 1, Duration{}, false);
+  EntryBeat trial = MakeReply("a", 1, Duration{}, false);
   trial.environment = "trial";
   guard_.HandleHeartbeatReply(trial, now_);
-  EntryBeat production = Beat("b", 2, Duration{}, false);
+  EntryBeat production = MakeReply("b", 2, Duration{}, false);
   production.environment = "production";
   guard_.HandleHeartbeatReply(production, now_);
   EXPECT_EQ(guard_.config_version(), 1);
-  EntryBeat other = Beat("b", 1, Duration{}, false);
+  EntryBeat other = MakeReply("b", 1, Duration{}, false);
   other.config_digest = Digest("another document");
   guard_.HandleHeartbeatReply(other, now_ + seconds(4));
   EXPECT_FALSE(MayStart(now_ + seconds(4)));
--- a/servers/config/guarantee_check.h
+++ b/servers/config/guarantee_check.h
@@ -16,7 +16,8 @@
   std::vector<std::string> warnings;
 };
 
-// Depends on the document only. The messages name the accelerators guaranteed and present.
+// Checks the guarantees of `environment`. The result depends on the document only. Messages state
+// the numbers of guaranteed and of existing accelerators.
 GuaranteeReport CheckGuarantees(const Environment& environment);
 
 // Throws Error(kInvalidInput) if the report has errors; each line begins with `name`.
--- a/servers/entry/agent_directory.cc
+++ b/servers/entry/agent_directory.cc
@@ -21,7 +21,7 @@
   const auto found = agents_.find(hello.process);
   if (found == agents_.end() || found->second.hello.incarnation != hello.incarnation) return;
   found->second.beat = beat;
-  found->second.heard = now;
+  found->second.last_contact_at = now;
   found->second.leaving = found->second.leaving || beat.leaving;
 }
 
@@ -37,7 +37,7 @@
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     for (auto& [name, agent] : agents_) {
-      if (agent.disconnected || now - agent.heard <= limit) continue;
+      if (agent.disconnected || now - agent.last_contact_at <= limit) continue;
       agent.disconnected = true;
       silent.push_back(agent.port);
     }
@@ -61,7 +61,7 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   std::vector<std::string> gone;
   for (auto agent = agents_.begin(); agent != agents_.end();) {
-    if (now - agent->second.heard <= limit) {
+    if (now - agent->second.last_contact_at <= limit) {
       ++agent;
       continue;
     }
@@ -77,7 +77,7 @@
   std::vector<TargetCandidate> result;
   for (const auto& [name, agent] : agents_) {
     const bool open = agent.hello.service == service && !agent.leaving;
-    if (!open || now - agent.heard > limit) continue;
+    if (!open || now - agent.last_contact_at > limit) continue;
     result.push_back({name, agent.hello.zone, agent.beat.load, agent.outstanding});
   }
   return result;
--- a/servers/entry/agent_directory.h
+++ b/servers/entry/agent_directory.h
@@ -18,7 +18,7 @@
   std::shared_ptr<AgentPort> port;
   AgentBeat beat;
   // When the last heartbeat arrived, or the session was opened.
-  Time heard{};
+  Time last_contact_at{};
   // Requests that this entry has sent and that are not yet answered.
   int outstanding = 0;
   bool leaving = false;
@@ -28,8 +28,9 @@
 
 class AgentDirectory {
  public:
-  // Registers a session. It replaces an earlier session of the same process, whose calls in flight
-  // fail immediately: an agent opens a second connection when it takes the first one for dead.
+  // Registers a session. The session replaces an earlier session of the same process, whose calls
+  // in flight fail immediately: an agent opens a second connection only if it considers the first
+  // connection lost.
   void Open(const AgentHello& hello, std::shared_ptr<AgentPort> port, Time now);
   // Stores a heartbeat. Ignored unless it comes from the agent's registered incarnation.
   void RecordHeartbeat(const AgentHello& hello, const AgentBeat& beat, Time now);
--- a/servers/entry/config_api.h
+++ b/servers/entry/config_api.h
@@ -30,9 +30,9 @@
 
 class EntryServer;
 
-// Proof that `environment` had the document of `digest` in force as `version`. The trial's entries
-// make it, the operator's command carries it over, and production's entries check it. `key` is
-// known to the entries of both environments.
+// Proof that `environment` had the document of `digest` in force as `version`. Entries of the trial
+// environment issue the proof, the operator's command transfers it, and entries of the production
+// environment verify it. `key` is known to the entries of both environments.
 std::string PromotionProof(const std::string& key, const std::string& environment, int64_t version,
                            const std::string& digest);
 
@@ -52,8 +52,9 @@
   HttpResponse IssueStatement(const HttpRequest& request) const;
   HttpResponse Publish(const HttpRequest& request);
   HttpResponse SetZone(const HttpRequest& request);
-  // Throws Error(kForbidden) unless the request carries the trial's proof for the document of
-  // `digest`, this environment requires no trial, or the document was in force here before.
+  // Throws Error(kForbidden) unless the request carries the trial environment's PromotionProof for
+  // the document of `digest`, this environment requires no trial, or the document was in force here
+  // before.
   void RequireTrialProof(const HttpRequest& request, const std::string& digest) const;
   // The version in force. Throws Error(kNotFound) before the first document.
   std::shared_ptr<const ConfigVersion> Current() const;
--- a/servers/entry/entry_server.cc
+++ b/servers/entry/entry_server.cc
@@ -19,8 +19,9 @@
 constexpr Duration kRecordTimeout = std::chrono::seconds(3);
 constexpr Duration kStepDownTimeout = std::chrono::seconds(5);
 constexpr Duration kUpkeepInterval = std::chrono::seconds(1);
-// Entries that no agent has heard from for this long are removed from the members. The time lets a
-// partition heal; an entry that comes back finds itself missing and joins again.
+// Entries from which no agent has received an answer for this long are removed from the members.
+// The time lets a partition heal; an entry that becomes reachable again finds itself missing and
+// joins again.
 constexpr Duration kMemberTimeout = std::chrono::seconds(60);
 // Entries learn of each other through heartbeats; peers seen within this time are passed on.
 constexpr Duration kMaxPeerAge = std::chrono::seconds(30);
@@ -36,7 +37,7 @@
     const Time now = DefaultClock().Now();
     entry_->directory_.RecordHeartbeat(hello_, beat, now);
     entry_->peers_.RecordHeartbeat(beat, now);
-    return entry_->MakeBeat(hello_, beat);
+    return entry_->MakeHeartbeatReply(hello_, beat);
   }
 
  private:
@@ -121,7 +122,7 @@
   try {
     JoinIfMissing();
   } catch (const Error& error) {
-    // Upkeep retries.
+    // The next round of Upkeep retries.
     LogEvent(LogLevel::kWarning, "member_not_recorded", {{"error", error.what()}});
   }
 }
@@ -152,7 +153,8 @@
   for (const PeerState& peer : peers_.RecentlySeen(now, kMemberTimeout)) {
     seen.insert(peer.entry.process);
   }
-  // Without agents this entry gets no reports about entries and can't tell which ones are silent.
+  // Without agents this entry gets no reports about entries and can't tell which entries are
+  // silent.
   if (seen.count(options_.process) == 0) {
     silent_since_.clear();
     return;
@@ -230,27 +232,29 @@
   return drained;
 }
 
-EntryBeat EntryServer::MakeBeat(const AgentHello& hello, const AgentBeat& beat) const {
+EntryBeat EntryServer::MakeHeartbeatReply(const AgentHello& hello, const AgentBeat& beat) const {
   EntryBeat answer;
   const Time now = DefaultClock().Now();
   const StreamView view = config_stream_.view();
   if (view.ever_fresh) answer.freshness.age = now - view.fresh_at;
   answer.freshness.failing = view.failing;
-  // The document is read after the freshness, so that it is at least as new as the freshness says.
+  // The document is fetched after the time of the newest log read (the freshness), so that the
+  // document is at least as new as that read.
   const auto current = replicated_config_.current();
   if (current) {
     answer.config_version = current->version;
     answer.config_digest = current->digest;
     if (current->version > beat.config_version) answer.config_text = current->text;
   }
-  // The epoch is read after the freshness, so that it is at least as new as the freshness says.
+  // The epoch is fetched after the time of the newest log read (the freshness), so that the epoch
+  // is at least as new as that read.
   const StreamView jobs = job_stream_.view();
   if (jobs.ever_fresh) answer.jobs_freshness.age = now - jobs.fresh_at;
   answer.jobs_freshness.failing = jobs.failing;
   const PlannerEpoch epoch = replicated_jobs_.Planner(hello.zone);
   answer.planner_epoch = epoch.epoch;
   answer.planner_active = epoch.process == options_.process && planners_->Active(hello.zone);
-  // An agent may have received a newer version from an entry that has gone since. Naming this
+  // An agent may have received a newer version from an entry that has ended since. Reporting that
   // version without its text tells other agents that this entry's document is not the newest.
   if (peers_.highest_version() > answer.config_version) {
     answer.config_version = peers_.highest_version();
--- a/servers/entry/entry_server.h
+++ b/servers/entry/entry_server.h
@@ -34,8 +34,8 @@
   std::string environment;
   // Key that signs this environment's statements and verifies those of `trial`.
   std::string promotion_key;
-  // Name of the environment that must have had a document in force before it may be published here.
-  // Empty if documents are published directly.
+  // Name of the trial environment: a document may be published here only after it was in force
+  // there. Empty if documents are published here without a trial.
   std::string trial;
   // This process's share of the log's append rate.
   double appends_per_second = 60;
@@ -43,7 +43,8 @@
   Duration snapshot_period = std::chrono::minutes(10);
   HttpServerOptions caller_http;
   HttpServerOptions operator_http;
-  // Token that operators can use before the first document is in force; empty if there is none.
+  // Token that operators can use even before the first document is in force; empty if there is
+  // none.
   std::string operator_token;
   std::string routing_policy = "two_choices";
   bool eject_outliers = true;
@@ -85,11 +86,11 @@
   std::string CallerAddress(const std::string& peer_address) const;
   StreamOptions OptionsFor(Stream stream);
   void WaitForBalancer() const;
-  EntryBeat MakeBeat(const AgentHello& hello, const AgentBeat& beat) const;
+  EntryBeat MakeHeartbeatReply(const AgentHello& hello, const AgentBeat& beat) const;
   std::vector<EntryMember> KnownEntries(Time now) const;
   // Records this entry as a member if the members stream doesn't list it.
   void JoinIfMissing();
-  // Records the departure of entries that no agent has heard from for the member timeout.
+  // Records the departure of entries from which no agent has received an answer for kMemberTimeout.
   void RemoveSilentMembers(Time now);
   void RunUpkeep();
   // Periodic work: membership and snapshots. Failures are logged and retried in the next round.
--- a/servers/entry/in_force.cc
+++ b/servers/entry/in_force.cc
@@ -30,7 +30,7 @@
   for (const AgentState& agent : agents) {
     ZoneInForce& zone = report.zones[agent.hello.zone];
     const bool in_force =
-        agent.beat.config_version >= version && now - agent.heard <= kInForceMaxReportAge;
+        agent.beat.config_version >= version && now - agent.last_contact_at <= kInForceMaxReportAge;
     if (in_force) {
       ++zone.agents;
     } else {
--- a/servers/entry/in_force.h
+++ b/servers/entry/in_force.h
@@ -17,8 +17,9 @@
   int entries = 0;
   // Names of processes that have an older version, and of agents without a recent heartbeat.
   std::vector<std::string> behind;
-  // Names of entries that no agent has heard from recently. They can do no harm with an older
-  // version: entries act only through agents, and read the log before they serve again.
+  // Names of entries from which no agent has received an answer recently. An older version at these
+  // entries does no harm: entries act only through agents, and read the log before they serve
+  // again.
   std::vector<std::string> silent;
 };
 
--- a/servers/entry/peer_view.h
+++ b/servers/entry/peer_view.h
@@ -25,7 +25,8 @@
   // Stores the reports about entries in an agent's heartbeat that arrived at `now`.
   void RecordHeartbeat(const AgentBeat& beat, Time now);
 
-  // Entries that some agent heard from within the last `max_age`, sorted by process name.
+  // Entries from which some agent received an answer within the last `max_age`, sorted by process
+  // name.
   std::vector<PeerState> RecentlySeen(Time now, Duration max_age) const;
   // The highest version that any agent had in force.
   int64_t highest_version() const;
--- a/servers/entry/token_table.h
+++ b/servers/entry/token_table.h
@@ -18,9 +18,9 @@
   // The workspace whose token the request carries. Throws Error(kUnauthenticated), or
   // Error(kStale) before the first document.
   std::string RequireWorkspace(const HttpRequest& request);
-  // Throws Error(kUnauthenticated) unless the request carries an operator's token from the
-  // document, or the `bootstrap` token, which works before the first document and may be empty for
-  // none.
+  // Throws Error(kUnauthenticated) unless the request carries an operator's token from the document
+  // or the `bootstrap` token, which works even before the first document. An empty `bootstrap`
+  // accepts no token.
   void RequireOperator(const HttpRequest& request, const std::string& bootstrap) const;
 
  private:
--- a/servers/planner/cells.h
+++ b/servers/planner/cells.h
@@ -12,7 +12,8 @@
 
 namespace turmericshift {
 
-// A count for each cell level. As a supply: how many cells of each level could be carved out.
+// A count for each cell level. As a supply, the count of a level is the number of cells of that
+// level that the free room could provide.
 using CellCounts = std::array<int64_t, kCellLevelCount>;
 
 class CellSizes {
@@ -36,7 +37,8 @@
   // The smallest level, at most kWorker, whose cells hold `shape`; none if even a whole worker is
   // too small.
   std::optional<CellLevel> LevelFor(const TaskShape& shape) const;
-  // How many cells of each level `cells` could be split into, counted separately for each level.
+  // For each level, the number of cells of that level into which `cells` could be split if no other
+  // level were needed.
   CellCounts Cumulative(const std::vector<CellCount>& cells) const;
   // The number of `inner` cells in one `outer` cell; 0 if `inner` is the larger level.
   int64_t Ratio(CellLevel outer, CellLevel inner) const;
--- a/servers/planner/claim_rule.cc
+++ b/servers/planner/claim_rule.cc
@@ -7,8 +7,9 @@
 
 // Agents that have not reported to this entry for this long are ignored.
 constexpr Duration kMaxAgentAge = std::chrono::seconds(3);
-// Entries of other zones let the zone's own entries claim first. Their delays are then spread by
-// name, so that they don't all claim at the same time and each take a few of the zones.
+// Entries of other zones let the zone's own entries claim first. The delays of these entries also
+// differ by a hash of entry and zone name, so that the entries don't all claim at the same time and
+// each entry claims only a few of the zones.
 constexpr Duration kOtherZoneClaimDelay = std::chrono::milliseconds(500);
 constexpr Duration kMaxClaimStagger = std::chrono::milliseconds(1000);
 constexpr size_t kClaimStaggerSteps = 20;
@@ -50,7 +51,7 @@
   size_t reporting = 0;
   size_t silent = 0;
   for (const AgentState& agent : agents) {
-    const Duration age = now - agent.heard;
+    const Duration age = now - agent.last_contact_at;
     if (agent.hello.worker.processors == 0 || age > kMaxAgentAge) continue;
     ++reporting;
     const bool never = agent.beat.planner_silence < Duration::zero();
--- a/servers/planner/claim_rule.h
+++ b/servers/planner/claim_rule.h
@@ -29,7 +29,8 @@
   bool LeaderIsSilent(const std::vector<AgentState>& agents, Time now) const;
 
   const std::string process_;
-  // How long this entry waits for a better placed entry to claim first.
+  // How long this entry waits before it claims. Zero if the entry is in the zone; entries of other
+  // zones wait, so that the zone's own entries claim first.
   const Duration claim_delay_;
   PlannerEpoch leader_;
   // When this entry first saw `leader_` in the replicated state.
--- a/servers/planner/feasibility.cc
+++ b/servers/planner/feasibility.cc
@@ -77,8 +77,8 @@
 
 std::optional<Refusal> Feasibility::InZone(const std::string& zone, const JobSpec& spec) const {
   const AvailabilityZoneSpec* known = environment_->FindZone(zone);
-  // A zone that is out hosts no cells, so it is judged by the cells that it hosts once it is back
-  // in.
+  // A zone that is out hosts no cells, so the check uses the cells that the zone hosts once it is
+  // back in.
   return Check(zone, spec, known != nullptr && known->in ? split_ : split_all_in_);
 }
 
--- a/servers/planner/feasibility.h
+++ b/servers/planner/feasibility.h
@@ -25,7 +25,7 @@
   explicit Feasibility(std::shared_ptr<const Environment> environment);
 
   // Returns none if the job can run in the zone under the current document. A zone that is out is
-  // judged as if it were in.
+  // checked as if it were in.
   std::optional<Refusal> InZone(const std::string& zone, const JobSpec& spec) const;
   // Returns none if at least one zone that the job allows can run it, either now or once all zones
   // are in.
--- a/servers/planner/gang_runner.h
+++ b/servers/planner/gang_runner.h
@@ -1,6 +1,7 @@
-// Executes the steps of starting and stopping a gang at all its agents in parallel: reserve
-// everywhere, start all tasks held, release when all are up, then replace the short initial lease
-// by a full one. docs/notes/gangs.md describes the protocol and its time bounds.
+// Executes the steps of starting and stopping a gang at all its agents in parallel. A start has
+// four steps: reserve room at all agents, start all tasks as held (set up, but making no progress),
+// release the tasks once all of them are held, then replace the short initial lease by a full
+// lease. docs/notes/gangs.md describes the protocol and its time bounds.
 #pragma once
 
 #include <functional>
--- a/servers/planner/guarantee_split.cc
+++ b/servers/planner/guarantee_split.cc
@@ -17,7 +17,7 @@
 
   const CellSizes& sizes() const { return sizes_; }
 
-  bool Take(CellLevel level) {
+  bool Allocate(CellLevel level) {
     level = sizes_.Normalize(level);
     const CellCounts cost = sizes_.Cumulative({{level, 1}});
     for (size_t index = 0; index < left_.size(); ++index) {
@@ -89,7 +89,7 @@
 std::string ChooseZone(const Cell& cell, const std::map<std::string, std::string>& last_zone,
                        Supplies* supplies) {
   const auto previous = last_zone.find(cell.workspace);
-  if (previous != last_zone.end() && supplies->at(previous->second).Take(cell.level)) {
+  if (previous != last_zone.end() && supplies->at(previous->second).Allocate(cell.level)) {
     return previous->second;
   }
   std::vector<std::pair<int64_t, std::string>> order;
@@ -98,7 +98,7 @@
   }
   std::sort(order.begin(), order.end());
   for (const auto& [left, name] : order) {
-    if (supplies->at(name).Take(cell.level)) return name;
+    if (supplies->at(name).Allocate(cell.level)) return name;
   }
   return "";
 }
--- a/servers/planner/live_attempt.h
+++ b/servers/planner/live_attempt.h
@@ -20,7 +20,8 @@
   AttemptStage stage = AttemptStage::kStarting;
   // When the current stage began.
   Time stage_since{};
-  // By this time each unreachable member has stopped by itself, clock drift included.
+  // The time by which each unreachable member has stopped by itself, since its lease has expired.
+  // Includes an allowance for clock drift.
   Time leases_expire_at{};
   bool renewing = false;
   // True if a job_starting record may have been written for this attempt.
@@ -28,7 +29,7 @@
   // A stop that was requested while the attempt was starting.
   std::optional<StopDecision> requested_stop;
 
-  // How the attempt ended. Only meaningful in kEnding, as are the members below.
+  // How the attempt ended. This field and the fields below are only set in stage kEnding.
   AttemptEnd end = AttemptEnd::kStopped;
   // The state that the job ends in; kWaiting if it returns to the queue.
   JobState final_state = JobState::kWaiting;
--- a/servers/planner/planner_simulation.h
+++ b/servers/planner/planner_simulation.h
@@ -51,7 +51,8 @@
   // Pauses the entry that makes the next call for `time` before it sends the call.
   void PauseNextCall(Duration time) { pause_next_call_ = time; }
   void SetZoneIn(bool in);
-  // The number of attempts of the job that were released on at least one worker.
+  // The number of attempts of the job whose tasks were released (allowed to run) on at least one
+  // worker.
   size_t AttemptsReleased(const std::string& job) const;
   bool Runs(const std::string& job) const;
 
--- a/servers/planner/planner_simulation_test.cc
+++ b/servers/planner/planner_simulation_test.cc
@@ -163,7 +163,8 @@
     if (simulation_->faults_ && simulation_->Chance(0.02)) ticks = simulation_->random_() % 300;
     if (ticks == 0) return;
     ++simulation_->nested_pauses_;
-    // The entry resumes before it has read the records that were added meanwhile.
+    // One more tick than the simulation advances below, so that the entry resumes before it reads
+    // the records that others append during its pause.
     entry_->paused_until = simulation_->clock_.Now() + kTick * (ticks + 1);
     for (int64_t tick = 0; tick < ticks; ++tick) simulation_->Tick(false);
     --simulation_->nested_pauses_;
@@ -332,7 +333,8 @@
 
 void PlannerSimulation::ReadLog(Entry* entry) {
   const int64_t appends = log_.appends();
-  // A read that finds nothing sleeps for a short real time, which adds up over a run.
+  // Skips the read if no record was appended: a read without new entries sleeps for a short real
+  // time, which adds up over a test run.
   if (!log_down_ && !entry->log_unreachable && entry->appends_seen == appends) {
     entry->failing = false;
     entry->log_current_at = clock_.Now();
@@ -470,8 +472,8 @@
       if (report.phase == TaskPhase::kDone) ++ended[id.job][id.attempt];
       if (report.phase != TaskPhase::kRunning) continue;
       ++running[id.job][id.attempt];
-      const bool fresh = released_[id.job].insert(id.attempt).second;
-      if (fresh && !zone_in_ && now > zone_out_at_ + kZoneOutBound) {
+      const bool inserted = released_[id.job].insert(id.attempt).second;
+      if (inserted && !zone_in_ && now > zone_out_at_ + kZoneOutBound) {
         violations_.push_back(id.job + " started while its zone was out");
       }
     }
--- a/servers/planner/zone_planner.cc
+++ b/servers/planner/zone_planner.cc
@@ -94,15 +94,15 @@
   view_.waiting.push_back(waiting);
 }
 
-void ZonePlanner::CancelAsked(const std::string& job) {
-  if (!cancel_asked_.emplace(job, true).second) return;
+void ZonePlanner::RequestCancel(const std::string& job) {
+  if (!cancel_requested_.emplace(job, true).second) return;
   const auto found = FindById(&view_.waiting, job);
   if (found != view_.waiting.end()) found->cancel_asked = true;
 }
 
-void ZonePlanner::JobGone(const std::string& job) {
+void ZonePlanner::RemoveJob(const std::string& job) {
   if (waiting_ids_.erase(job) != 0) view_.waiting.erase(FindById(&view_.waiting, job));
-  cancel_asked_.erase(job);
+  cancel_requested_.erase(job);
   health_.ForgetJob(job);
   checked_jobs_.erase(job);
   refused_jobs_.erase(job);
@@ -124,7 +124,7 @@
   running.last_checkpoint = now;
   running.borrowed = borrowed;
   running.tasks = tasks;
-  for (const TaskOnWorker& task : tasks) TakeRoom(job.spec.shape, task);
+  for (const TaskOnWorker& task : tasks) AllocateRoom(job.spec.shape, task);
   UpdatePositions(&running.tasks);
   running_index_[job.id] = view_.running.size();
   view_.running.push_back(running);
@@ -158,7 +158,7 @@
     for (const TaskOnWorker& task : ended.tasks) workers.push_back(task.worker);
     health_.AttemptDone(job, workers);
   }
-  if (end == AttemptEnd::kDone || end == AttemptEnd::kFailed) return JobGone(job);
+  if (end == AttemptEnd::kDone || end == AttemptEnd::kFailed) return RemoveJob(job);
   WaitingJob waiting;
   waiting.id = job;
   waiting.spec = ended.spec;
@@ -169,7 +169,7 @@
   waiting.restarts = ended.restarts + (end == AttemptEnd::kNotStarted ? 0 : 1);
   waiting.checkpoint = checkpoints_[job];
   waiting.progress = ended.saved_progress;
-  waiting.cancel_asked = cancel_asked_.count(job) != 0;
+  waiting.cancel_asked = cancel_requested_.count(job) != 0;
   waiting_ids_.insert(job);
   view_.waiting.push_back(waiting);
 }
@@ -247,9 +247,10 @@
 }
 
 void ZonePlanner::ApplyCancels(Plan* plan) {
-  std::erase_if(plan->starts,
-                [this](const StartDecision& start) { return cancel_asked_.count(start.job) != 0; });
-  for (const auto& [job, asked] : cancel_asked_) {
+  std::erase_if(plan->starts, [this](const StartDecision& start) {
+    return cancel_requested_.count(start.job) != 0;
+  });
+  for (const auto& [job, asked] : cancel_requested_) {
     const RunningJob* running = FindRunning(job);
     if (running == nullptr || running->stopping) continue;
     plan->stops.push_back({job, running->attempt, false, StopReason::kCancelled});
@@ -335,7 +336,7 @@
   running.saved_progress = found->progress;
   running.borrowed = start.borrowed;
   running.tasks = start.tasks;
-  for (const TaskOnWorker& task : start.tasks) TakeRoom(running.spec.shape, task);
+  for (const TaskOnWorker& task : start.tasks) AllocateRoom(running.spec.shape, task);
   view_.waiting.erase(found);
   waiting_ids_.erase(start.job);
   checked_jobs_.erase(start.job);
@@ -361,7 +362,7 @@
   return found == running_index_.end() ? nullptr : &view_.running[found->second];
 }
 
-void ZonePlanner::TakeRoom(const TaskShape& shape, const TaskOnWorker& task) {
+void ZonePlanner::AllocateRoom(const TaskShape& shape, const TaskOnWorker& task) {
   WorkerView* worker = FindWorker(task.worker);
   if (worker == nullptr) return;
   worker->free_processors -= shape.processors;
--- a/servers/planner/zone_planner.h
+++ b/servers/planner/zone_planner.h
@@ -33,10 +33,10 @@
   void WorkerLost(const std::string& name, Time now);
 
   void JobAccepted(const JobRecord& job, Time now);
-  // Takes effect with the next Decide.
-  void CancelAsked(const std::string& job);
-  // Forgets the job, which has ended or belongs to another planner now.
-  void JobGone(const std::string& job);
+  // Requests that the job be cancelled. Takes effect with the next Decide.
+  void RequestCancel(const std::string& job);
+  // Removes a job that has ended or now belongs to another planner.
+  void RemoveJob(const std::string& job);
   // Adds a job that was found running after a change of planner.
   void FoundRunning(const JobRecord& job, int64_t attempt, const std::vector<TaskOnWorker>& tasks,
                     bool borrowed, Time now);
@@ -67,7 +67,7 @@
  private:
   WorkerView* FindWorker(const std::string& name);
   RunningJob* FindRunning(const std::string& job);
-  void TakeRoom(const TaskShape& shape, const TaskOnWorker& task);
+  void AllocateRoom(const TaskShape& shape, const TaskOnWorker& task);
   void ReleaseRoom(const TaskShape& shape, const TaskOnWorker& task);
   void UpdatePositions(std::vector<TaskOnWorker>* tasks) const;
   // Binds running jobs to the cells of the current document. A job that no longer gets a cell is
@@ -98,7 +98,7 @@
   std::unordered_map<std::string, size_t> running_index_;
   bool running_index_stale_ = false;
   const std::unique_ptr<PlacementPolicy> policy_;
-  std::map<std::string, bool> cancel_asked_;
+  std::map<std::string, bool> cancel_requested_;
   std::map<std::string, std::string> checkpoints_;
   std::map<std::string, std::string> wait_reasons_;
 };
--- a/servers/planner/zone_planner_manager.cc
+++ b/servers/planner/zone_planner_manager.cc
@@ -9,8 +9,8 @@
 namespace turmericshift {
 namespace {
 
-// The interval between rounds. A round runs earlier when the jobs stream or a completion brings
-// news.
+// The interval between rounds. A round runs earlier when the jobs stream has new records or work on
+// the executor has completed.
 constexpr Duration kStepInterval = std::chrono::milliseconds(100);
 constexpr Duration kPollInterval = std::chrono::milliseconds(20);
 constexpr Duration kZoneRefreshInterval = std::chrono::milliseconds(200);
--- a/servers/planner/zone_planner_service.cc
+++ b/servers/planner/zone_planner_service.cc
@@ -11,7 +11,8 @@
 namespace {
 
 constexpr Duration kRecordTimeout = std::chrono::seconds(3);
-// Shorter than kGangHoldTimeout, so that the gang is still held when the record has been read back.
+// Time-out for writing the job_starting record. Shorter than kGangHoldTimeout, so that the agents
+// still hold the gang's tasks when the record has been read back.
 constexpr Duration kStartRecordTimeout = std::chrono::milliseconds(2500);
 // Leases are renewed this many times per lease. The time left when a planner dies must last until
 // its successor has adopted the gang.
@@ -229,7 +230,7 @@
   std::vector<AgentState> confirmed;
   for (const AgentState& agent : agents) {
     if (agent.hello.worker.processors == 0) continue;
-    if (now - agent.heard + agent.beat.report_age > options_.agent_timeout) continue;
+    if (now - agent.last_contact_at + agent.beat.report_age > options_.agent_timeout) continue;
     if (agent.beat.planner_epoch > epoch_) {
       StepDown("an agent follows a newer planner");
       return {};
@@ -277,7 +278,7 @@
       if (!ResolvePreviousAttempt(job, table, now)) continue;
       resolved_.insert(job.id);
     }
-    if (job.cancel_asked) planner_->CancelAsked(job.id);
+    if (job.cancel_asked) planner_->RequestCancel(job.id);
     if (attempts_.count(job.id) != 0 || pending_records_.count(job.id) != 0) continue;
     if (job.cancel_asked) {
       EndJob(job.id, 0, JobState::kCancelled, "cancelled by the caller", {});
@@ -289,7 +290,7 @@
   for (const WaitingJob& job : planner_->view().waiting) {
     if (open.count(job.id) == 0) gone.push_back(job.id);
   }
-  for (const std::string& job : gone) planner_->JobGone(job);
+  for (const std::string& job : gone) planner_->RemoveJob(job);
   std::erase_if(resolved_, [&](const std::string& job) { return open.count(job) == 0; });
 }
 
@@ -364,7 +365,8 @@
   if (AnyFenced(result.failures)) return StepDown("an agent follows a newer planner");
   attempt->start_recorded = start_recorded;
   attempt->stage_since = now;
-  // A release that is still in flight can only take effect while the hold lasts.
+  // A release call that is still in flight takes effect only while the agent holds the tasks, which
+  // it does for kGangHoldTimeout at most.
   attempt->leases_expire_at = LeaseExpiry(now + kGangHoldTimeout + kInitialLease);
   if (result.ok()) {
     attempt->stage = AttemptStage::kRunning;
@@ -407,14 +409,14 @@
 void ZonePlannerService::RenewLeases(const std::vector<AgentState>& confirmed, Time now) {
   if (now - last_renewal_ < lease() / kRenewalsPerLease) return;
   last_renewal_ = now;
-  std::map<std::string, const AgentState*> fresh;
+  std::map<std::string, const AgentState*> recent_reports;
   for (const AgentState& agent : confirmed) {
-    if (now - agent.heard + agent.beat.report_age > kMaxEvidenceAge) continue;
-    fresh[agent.hello.process] = &agent;
+    if (now - agent.last_contact_at + agent.beat.report_age > kMaxEvidenceAge) continue;
+    recent_reports[agent.hello.process] = &agent;
   }
   std::vector<AgentState> evidence;
-  evidence.reserve(fresh.size());
-  for (const auto& [name, agent] : fresh) evidence.push_back(*agent);
+  evidence.reserve(recent_reports.size());
+  for (const auto& [name, agent] : recent_reports) evidence.push_back(*agent);
   const ReportTable table(evidence);
   for (auto& [job, attempt] : attempts_) {
     if (attempt.stage != AttemptStage::kRunning || attempt.renewing) continue;
@@ -422,13 +424,14 @@
     const int total = static_cast<int>(attempt.gang.tasks.size());
     const bool whole =
         found != nullptr && found->running() + found->Count(TaskPhase::kDone) == total;
-    // A member may be lost, and renewing the others would let part of the gang keep running.
+    // A member of the gang may be lost. Renewing the leases of the other members would let part of
+    // the gang keep running.
     if (!whole) continue;
     HeartbeatTimes heartbeat_times;
     for (const std::string& worker : attempt.gang.workers()) {
-      heartbeat_times[worker] = fresh[worker]->beat.sent_at;
+      heartbeat_times[worker] = recent_reports[worker]->beat.sent_at;
       attempt.leases_expire_at =
-          std::max(attempt.leases_expire_at, LeaseExpiry(fresh[worker]->heard));
+          std::max(attempt.leases_expire_at, LeaseExpiry(recent_reports[worker]->last_contact_at));
     }
     attempt.renewing = true;
     RunAsync([this, gang = attempt.gang, heartbeat_times]() -> Completion {
--- a/servers/planner/zone_planner_service.h
+++ b/servers/planner/zone_planner_service.h
@@ -126,11 +126,12 @@
 
   LiveAttempt* Find(const std::string& job, int64_t number);
   Duration lease() const;
-  // When a lease that began at `from` has expired on any clock.
+  // The time by which a lease that began at `from` has expired at its agent, even if the agent's
+  // clock runs slower than this entry's.
   Time LeaseExpiry(Time from) const;
-  // When an agent that has never reported to this planner has stopped everything that earlier
-  // planners started. Such an agent may follow an earlier planner for one lease after the claim,
-  // and the last lease that it was granted lasts one lease more.
+  // The time by which an agent that has never reported to this planner has stopped everything that
+  // earlier planners started. Such an agent may follow an earlier planner for one lease after the
+  // claim, and the last lease that the agent was granted lasts one lease more.
   Time UnreportedLeaseExpiry() const;
   Duration Jitter();
   void LogJob(const char* event, const GangAttempt& gang) const;
@@ -151,14 +152,15 @@
   bool releasing_ = false;
   Sequence epoch_ = kNoSequence;
   Time claimed_at_{};
-  // True once every agent of the zone has reported under this epoch, or the leases of the others
-  // have expired.
+  // True once every agent of the zone has reported under this epoch, or the leases of the agents
+  // that have not reported have expired.
   bool all_agents_reported_ = false;
   Time last_renewal_{};
   int64_t start_count_ = 0;
   std::unique_ptr<ZonePlanner> planner_;
   std::map<std::string, LiveAttempt> attempts_;
-  // Open jobs for which no attempt of an earlier planner can still be running unnoticed.
+  // Open jobs of which no attempt that an earlier planner started can still run without being known
+  // here.
   std::set<std::string> resolved_;
   std::map<std::string, std::string> checkpoints_;
   Time next_move_at_{};
--- a/servers/planner/zone_planner_service_attempts.cc
+++ b/servers/planner/zone_planner_service_attempts.cc
@@ -73,8 +73,8 @@
   const bool all_reported = static_cast<int>(found.tasks.size()) == job.spec.tasks;
   const int held = found.Count(TaskPhase::kHeld);
   if (all_reported && held == 0) return;
-  // Some tasks were never released or are gone. All reporting agents reject calls of the previous
-  // planner, so a gang that is held at every member will never be released.
+  // Some tasks were never released or no longer exist. All reporting agents reject calls of the
+  // previous planner, so a gang whose tasks are all held will never be released.
   adopted.may_have_run = !(all_reported && held == job.spec.tasks);
   BeginEnding(&adopted, adopted.may_have_run ? AttemptEnd::kWorkerLost : AttemptEnd::kNotStarted,
               now);
@@ -251,7 +251,7 @@
 
 void ZonePlannerService::QueueRecord(const std::string& job, const Record& record,
                                      const GangAttempt& attempt_to_forget) {
-  planner_->JobGone(job);
+  planner_->RemoveJob(job);
   PendingRecord pending;
   pending.record = record;
   pending.attempt_to_forget = attempt_to_forget;
--- a/servers/planner/zone_room.cc
+++ b/servers/planner/zone_room.cc
@@ -99,7 +99,8 @@
         continue;
       }
       if (Bind(workspace, job.spec.shape, &task, nullptr)) continue;
-      // Left from an earlier document or an earlier planner: the job keeps its room without a cell.
+      // A job that was started under an earlier document or by an earlier planner may fit in no
+      // cell. Such a job keeps its room without a cell.
       const CellLevel level = sizes_.LevelFor(job.spec.shape).value_or(CellLevel::kWorker);
       uint32_t mask = task.accelerators;
       for (const uint32_t block : sizes_.Blocks(level)) {
@@ -156,7 +157,7 @@
     ClearCells(&start->tasks);
   }
   shares_[workspace].used += accelerators;
-  TakeFree(spec, start->tasks);
+  SubtractFree(spec, start->tasks);
   return AdmitRefusal::kNone;
 }
 
@@ -182,13 +183,13 @@
 }
 
 void ZoneRoom::Reserve(const JobSpec& spec, const std::vector<TaskOnWorker>& tasks) {
-  TakeFree(spec, tasks);
+  SubtractFree(spec, tasks);
 }
 
-void ZoneRoom::Take(const JobSpec& spec, const std::vector<TaskOnWorker>& tasks) {
+void ZoneRoom::Allocate(const JobSpec& spec, const std::vector<TaskOnWorker>& tasks) {
   shares_[WorkspaceIndex(spec.workspace)].used +=
       spec.shape.accelerators * static_cast<int>(tasks.size());
-  TakeFree(spec, tasks);
+  SubtractFree(spec, tasks);
 }
 
 void ZoneRoom::MarkHeld(int worker, uint32_t mask) {
@@ -262,9 +263,11 @@
   if (!FitsIn(shape, cell_shape)) return false;
   const std::vector<uint32_t>& blocks = sizes_.Blocks(level);
   const auto block = std::find_if(blocks.begin(), blocks.end(), [&](uint32_t mask) {
-    // A task without accelerators fits any block, so its recorded block must be kept explicitly.
-    const bool kept = task->cell_mask == 0 || task->cell_mask == mask;
-    return kept && IsSubset(task->accelerators, mask) && (mask & workers_[worker].held) == 0;
+    // A task without accelerators fits in any block, so the block that is recorded for the task
+    // must be compared explicitly.
+    const bool matches_recorded_block = task->cell_mask == 0 || task->cell_mask == mask;
+    return matches_recorded_block && IsSubset(task->accelerators, mask) &&
+           (mask & workers_[worker].held) == 0;
   });
   if (block == blocks.end()) return false;
   std::vector<int> members = {worker};
@@ -321,7 +324,7 @@
   return true;
 }
 
-void ZoneRoom::TakeFree(const JobSpec& spec, const std::vector<TaskOnWorker>& tasks) {
+void ZoneRoom::SubtractFree(const JobSpec& spec, const std::vector<TaskOnWorker>& tasks) {
   for (const TaskOnWorker& task : tasks) {
     const int index = WorkerIndex(task);
     if (index < 0) continue;
--- a/servers/planner/zone_room.h
+++ b/servers/planner/zone_room.h
@@ -23,7 +23,7 @@
   CellLevel level = CellLevel::kAccelerator;
   uint32_t mask = 0;
   uint32_t used = 0;
-  // What is left of the processors and memory that belong to the cell.
+  // The unused part of the processors and memory that belong to the cell.
   int processors_left = 0;
   int64_t memory_left = 0;
 };
@@ -47,7 +47,8 @@
   uint32_t held = 0;
   std::vector<BoundCell> cells;
   std::vector<LentTask> lent;
-  // Set aside for a waiting gang; other work avoids this worker if possible.
+  // True if the worker is reserved for a waiting gang; other jobs use this worker only if
+  // necessary.
   bool soft_reserved = false;
 };
 
@@ -89,17 +90,18 @@
   // GuaranteesHold().
   CellCounts Deficit() const;
 
-  // Takes free room for a start: within the workspace's cells if they have room and
+  // Allocates free room for a start: within the workspace's cells if they have room and
   // `start->borrowed` is false, else as lent room. Sets `borrowed` and the cell of each task.
   // Changes nothing unless the result is kNone.
   AdmitRefusal Admit(const JobSpec& spec, StartDecision* start);
-  // Binds the tasks to cells at their current places, lent work disregarded. Returns false and
-  // changes nothing if that is not possible.
+  // Binds the tasks to cells of their workspace that contain the tasks' accelerators, even where
+  // tasks on lent room use these accelerators now. Returns false and changes nothing if some task
+  // can't be bound.
   bool BindAll(const JobSpec& spec, std::vector<TaskOnWorker>* tasks);
   // True if the room that the tasks need is free on usable workers.
   bool HasFreeRoom(const JobSpec& spec, const std::vector<TaskOnWorker>& tasks) const;
-  // Takes free room for tasks that BindAll has bound.
-  void Take(const JobSpec& spec, const std::vector<TaskOnWorker>& tasks);
+  // Subtracts from the free room what tasks that BindAll has bound to cells need.
+  void Allocate(const JobSpec& spec, const std::vector<TaskOnWorker>& tasks);
   // Reserves the free room at these places for the lifetime of this object.
   void Reserve(const JobSpec& spec, const std::vector<TaskOnWorker>& tasks);
   void MarkSoftReserved(int worker) { workers_[worker].soft_reserved = true; }
@@ -122,7 +124,7 @@
   void AddShares();
   void AddRunning();
   void MarkHeld(int worker, uint32_t mask);
-  // Adds (sign 1) or subtracts (sign -1) the blocks of the worker that are not held.
+  // Adds the worker's blocks that are not held to the supply (sign 1) or subtracts them (sign -1).
   void UpdateSupply(int worker, int sign);
   bool IsRackAvailable(int rack) const;
   bool Bind(int workspace, const TaskShape& shape, TaskOnWorker* task, Journal* journal);
@@ -132,7 +134,7 @@
                    TaskOnWorker* task, Journal* journal);
   void Save(int worker, Journal* journal) const;
   void Undo(int workspace, Journal* journal);
-  void TakeFree(const JobSpec& spec, const std::vector<TaskOnWorker>& tasks);
+  void SubtractFree(const JobSpec& spec, const std::vector<TaskOnWorker>& tasks);
 
   const ZoneView& view_;
   CellSizes sizes_;
--- a/servers/replay/expectation_check.cc
+++ b/servers/replay/expectation_check.cc
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr size_t kContextEvents = 8;
-// Additional slack, because releases and ends are reported with a lag.
+// Margin that is added to the bounds, because releases and ends are reported with a lag.
 constexpr Duration kReportMargin = std::chrono::seconds(1);
 
 std::string FormatNumber(double value) {
--- a/servers/replay/guarantee_oracle.cc
+++ b/servers/replay/guarantee_oracle.cc
@@ -6,7 +6,8 @@
 namespace turmericshift {
 namespace {
 
-// The cells of a workspace by their free accelerators. A rack is counted as its workers.
+// The free cells of a workspace, each represented by its number of accelerators. A cell of level
+// kRack is represented by one entry for each worker of the rack.
 class CellTable {
  public:
   CellTable(const std::vector<CellCount>& cells, const AvailabilityZoneSpec& zone) : zone_(zone) {
@@ -18,8 +19,9 @@
     }
   }
 
-  // Takes the job's room. Returns false and changes nothing if the job does not fit.
-  bool Take(const JobSpec& spec) {
+  // Allocates cells for all tasks of the job. Returns false and changes nothing if the job does not
+  // fit.
+  bool Allocate(const JobSpec& spec) {
     const int task_size = SizeOf(spec.shape);
     const bool same_worker = spec.adjacency == Adjacency::kSameWorker;
     // The document does not say which cells are in the same rack, so such gangs never count as
@@ -29,7 +31,7 @@
     const int pieces = same_worker ? 1 : spec.tasks;
     const int size = same_worker ? task_size * spec.tasks : task_size;
     for (int piece = 0; piece < pieces; ++piece) {
-      if (!TakePiece(size, &trial)) return false;
+      if (!AllocatePiece(size, &trial)) return false;
     }
     free_ = std::move(trial);
     return true;
@@ -50,12 +52,12 @@
     return size;
   }
 
-  static bool TakePiece(int size, std::vector<int>* cells) {
-    // Best fit: takes the smallest cell that holds the piece.
+  static bool AllocatePiece(int size, std::vector<int>* cells) {
+    // Best fit: uses the smallest cell with at least `size` accelerators.
     std::sort(cells->begin(), cells->end());
     const auto cell = std::lower_bound(cells->begin(), cells->end(), size);
     if (cell == cells->end()) return false;
-    // The rest of the cell is split into halves, down to the size of the piece.
+    // The rest of the cell is split into halves, down to `size`.
     int rest = *cell;
     cells->erase(cell);
     while (rest / 2 >= size) {
@@ -95,7 +97,7 @@
   CellTable table(cells, *zone);
   for (const RunningJob& job : view.running) {
     // A workspace that uses more than its guarantee has nothing to claim.
-    if (job.spec.workspace == workspace && !table.Take(job.spec)) return covered;
+    if (job.spec.workspace == workspace && !table.Allocate(job.spec)) return covered;
   }
   std::vector<const WaitingJob*> waiting;
   for (const WaitingJob& job : view.waiting) {
@@ -105,7 +107,7 @@
     return left->sequence < right->sequence;
   });
   for (const WaitingJob* job : waiting) {
-    if (table.Take(job->spec)) covered.insert(job->id);
+    if (table.Allocate(job->spec)) covered.insert(job->id);
   }
   return covered;
 }
--- a/servers/replay/guarantee_oracle.h
+++ b/servers/replay/guarantee_oracle.h
@@ -14,9 +14,9 @@
 // Returns the number of accelerators of one cell in the zone.
 int CellAccelerators(CellLevel level, const AvailabilityZoneSpec& zone);
 
-// Returns the ids of the waiting jobs of `view` that fit in `cells`, taken in order of arrival and
-// together with all running jobs of the workspace. `cells`: the cells that the zone hosts for the
-// workspace.
+// Returns the ids of the waiting jobs of `view` that fit in `cells` together with all running jobs
+// of the workspace. Jobs are placed in order of arrival. `cells`: the cells that the zone hosts for
+// the workspace.
 std::set<std::string> CoveredJobs(const ZoneView& view, const std::string& workspace,
                                   const std::vector<CellCount>& cells);
 
--- a/servers/replay/replay_measures.h
+++ b/servers/replay/replay_measures.h
@@ -37,15 +37,16 @@
   double value = 0;
 };
 
-// Integrals over time of the state between events.
+// Accumulates free room and work over time, from which the measures of fragmentation and of work
+// are computed. The state is constant between events.
 class TimeIntegrals {
  public:
   // Adds a period of length `span` without changes. `requested_accelerators`: the sum over all jobs
   // that have not ended.
   void Add(const std::vector<const ZoneView*>& zones, const ReplayPlatform& platform,
            int requested_accelerators, Duration span);
-  // Records that a zone left or returned. Work counts for the zone-change measure from the first
-  // zone that leaves until some time after the last return.
+  // Records that a zone was taken out or brought back in. Work counts for the zone-change measure
+  // from the first change until kZoneChangeWindow after the last change.
   void ZoneChanged(Time now);
   void AddLostWork(double accelerator_seconds);
   void SetTime(Time now) { now_ = now; }
--- a/servers/replay/replay_platform.h
+++ b/servers/replay/replay_platform.h
@@ -1,6 +1,6 @@
 // Simulates the cluster that carries out the decisions in a replay: workers with their resources,
-// and attempts that run for their true time. The state changes only by the trace's events and the
-// decisions; no network, no machines.
+// and attempts that run for the run time that the trace gives. The state changes only by the
+// trace's events and the decisions; no network or real VM is involved.
 #pragma once
 
 #include <map>
--- a/servers/replay/replay_step.cc
+++ b/servers/replay/replay_step.cc
@@ -15,7 +15,8 @@
 // change.
 constexpr Duration kIdleDecisionInterval = std::chrono::seconds(30);
 constexpr Duration kProgressInterval = std::chrono::seconds(30);
-// Matches the planners: few moves at a time, so that a zone that comes back fills gradually.
+// Equals the interval of the real planners, which move few jobs at a time, so that a zone that
+// comes back in is filled gradually.
 constexpr Duration kMoveInterval = std::chrono::seconds(5);
 constexpr int kMaxMovesPerInterval = 4;
 
@@ -34,7 +35,7 @@
   }
   for (const JobRecord& job : replicated_jobs_.OpenJobs(name)) {
     zone->planner->JobAccepted(job, now_);
-    if (job.cancel_asked) zone->planner->CancelAsked(job.id);
+    if (job.cancel_asked) zone->planner->RequestCancel(job.id);
   }
   for (const auto& [key, attempt] : platform_->attempts()) {
     if (attempt.zone != name || attempt.end_time <= now_) continue;
@@ -128,7 +129,7 @@
   for (const WaitingJob& job : waiting) {
     if (!replicated_jobs_.Find(job.id)->cancel_asked) continue;
     EndJob(name, job.id, job.last_attempt, JobState::kCancelled, "by the caller");
-    zone->planner->JobGone(job.id);
+    zone->planner->RemoveJob(job.id);
   }
 }
 
@@ -147,7 +148,7 @@
     loads_[name].Remove(job.spec);
     loads_[to].Add(job.spec);
     jobs_.at(job.id).zone = to;
-    zone->planner->JobGone(job.id);
+    zone->planner->RemoveJob(job.id);
     Zone& next = RequireZone(to);
     next.planner->JobAccepted(*replicated_jobs_.Find(job.id), now_);
     next.needs_decision = true;
@@ -160,7 +161,7 @@
   for (const StartDecision& start : plan.starts) Start(name, start, zone);
   for (const RefuseDecision& refusal : plan.refusals) {
     EndJob(name, refusal.job, 0, JobState::kImpossible, refusal.reason);
-    zone->planner->JobGone(refusal.job);
+    zone->planner->RemoveJob(refusal.job);
   }
 }
 
--- a/servers/replay/replay_test.cc
+++ b/servers/replay/replay_test.cc
@@ -248,7 +248,8 @@
   EXPECT_EQ(result.verdict, CheckVerdict::kViolated);
 }
 
-// A policy that never starts some job looks good on every mean.
+// A policy that never starts some job can still have good mean values. The expectations must detect
+// the job.
 TEST(ReplayTest, AForgottenJobViolatesExpectations) {
   const std::string idle = Register(
       "test_idle", [](const WaitingJob&, const ZoneView&) { return std::vector<TaskOnWorker>(); });
--- a/servers/replay/replayer.cc
+++ b/servers/replay/replayer.cc
@@ -12,7 +12,8 @@
 
 using Kind = HistoryEventKind;
 
-// Not near the clock's zero, which means "never" in some views.
+// Start time of the simulated clock. Far from zero, because a time of zero means "never" in some
+// views.
 constexpr Duration kStart = std::chrono::hours(1000);
 
 bool IsLogEvent(TraceEventKind kind) {
@@ -155,7 +156,7 @@
     throw Error(ErrorKind::kInvalidInput, "the document has no workspace of job '" + id + "'");
   }
   if (feasibility_->Anywhere(job.spec)) {
-    // The job is refused immediately, as entries do.
+    // The job is refused immediately, as entries do with a job that no zone can run.
     ReplayJob& refused = jobs_[id];
     refused.id = id;
     refused.job = job;
@@ -197,7 +198,7 @@
 void Replayer::Cancel(const std::string& job) {
   if (!Record(JobCancelled{NewRecordId(), job}).accepted) return;
   Zone& zone = RequireZone(replicated_jobs_.Find(job)->zone);
-  zone.planner->CancelAsked(job);
+  zone.planner->RequestCancel(job);
   zone.needs_decision = true;
 }
 
--- a/servers/replay/trace.cc
+++ b/servers/replay/trace.cc
@@ -55,7 +55,7 @@
   Duration Time(const char* field, Duration default_value) {
     return Has(field) ? Time(field) : default_value;
   }
-  // Reads a number, or a duration as seconds.
+  // Reads a number, or a duration that is converted to seconds.
   std::optional<double> Bound(const char* field) {
     if (!Has(field)) return std::nullopt;
     if (json_.at(field).is_string()) return Seconds(Time(field));
--- a/servers/requests/idempotent_router.cc
+++ b/servers/requests/idempotent_router.cc
@@ -17,8 +17,9 @@
 // against them, but refusing early tells the caller sooner that the log is down.
 constexpr Duration kMaxViewAge = std::chrono::seconds(10);
 constexpr Duration kRecordOutcomeTimeout = std::chrono::seconds(60);
-// A follower waits this long before it asks the agent about a claim, so that the claim's owner can
-// forward the request first: the question makes the agent refuse an attempt that has not arrived.
+// An entry that finds the claim of another entry waits this long before it asks the agent about the
+// attempt, so that the claim's owner can forward the request first: the question makes the agent
+// refuse an attempt that has not arrived.
 constexpr Duration kForwardGracePeriod = std::chrono::milliseconds(100);
 constexpr Duration kGracePollInterval = std::chrono::milliseconds(5);
 constexpr int kMaxRounds = 16;
@@ -89,7 +90,8 @@
     RequireFreshView(DefaultClock().Now());
     if (auto answer = ClaimAndDeliver(request, attempt, deadline)) return std::move(*answer);
   }
-  // In every round the attempt was proven never to run, or another request claimed the key first.
+  // In every round of the loop, either the attempt was proven never to run, or another request
+  // claimed the key first.
   throw Error(
       ErrorKind::kUnavailable, Outcome::kUnknown,
       "no attempt for this idempotency key could run; other requests may be claiming the key");
@@ -163,7 +165,8 @@
     RecordOutcome(claim, answer);
     return answer;
   } catch (const Error& error) {
-    // A follower may have had the agent refuse this attempt, and may be running the next one.
+    // Another entry that found this claim may have asked the agent about the attempt, which makes
+    // the agent refuse it, and may be running the next attempt.
     if (error.kind() == ErrorKind::kFenced) return std::nullopt;
     if (error.outcome() != Outcome::kNotRun) throw;
     const auto state = replicated_requests_->Find(request.workspace, request.idempotency_key);
--- a/servers/requests/outlier_detector.cc
+++ b/servers/requests/outlier_detector.cc
@@ -99,7 +99,8 @@
     known.push_back(found->second.latency_seconds);
   }
   if (known.empty()) return 0;
-  // With two targets, takes the lower latency: a slow target must not be compared with itself.
+  // The lower median: with two targets, it is the latency of the faster target, so that a slow
+  // target is not compared with itself.
   const auto middle = known.begin() + static_cast<std::ptrdiff_t>((known.size() - 1) / 2);
   std::nth_element(known.begin(), middle, known.end());
   return *middle;
--- a/servers/requests/target_sender.cc
+++ b/servers/requests/target_sender.cc
@@ -49,7 +49,7 @@
 }
 
 // Returns the attempt's answer, or throws the Error that matches its state.
-ServiceAnswer TakeResolved(SeenAnswer seen) {
+ServiceAnswer AnswerOrThrow(SeenAnswer seen) {
   if (seen.state == SeenState::kNeverWillRun) {
     throw Error(ErrorKind::kConnectionLost, Outcome::kNotRun,
                 "the request did not reach the target and will not run");
@@ -186,7 +186,7 @@
                   "the target's agent has restarted since the request was sent");
     }
     std::optional<SeenAnswer> seen = QueryAgent(state, question, sent, now, deadline);
-    if (seen && seen->state != SeenState::kRunning) return TakeResolved(std::move(*seen));
+    if (seen && seen->state != SeenState::kRunning) return AnswerOrThrow(std::move(*seen));
     const Time asked = DefaultClock().Now();
     if (seen) last_reached = asked;
     RequireTimeLeft(deadline, asked, Outcome::kUnknown);
--- a/servers/requests/target_sender.h
+++ b/servers/requests/target_sender.h
@@ -55,13 +55,14 @@
   Duration RetryAfter(const std::string& service) const;
 
  private:
-  // Asks the agent once; nullopt when the agent could not be reached.
+  // Asks the agent once for the outcome of an attempt. Returns nullopt if the agent could not be
+  // reached.
   std::optional<SeenAnswer> QueryAgent(const AgentState& agent, SeenQuestion question, Time sent,
                                        Time now, Time deadline) const;
   // Passes a call's result to the outlier detector and the policy. `error` is null for an answer.
   void RecordResult(const std::string& agent, Duration latency, const Error* error, int status,
                     Time now);
-  // Thread that disconnects silent agents.
+  // Body of the thread that disconnects agents without recent heartbeats.
   void RunSilenceWatch();
 
   const SenderOptions options_;
--- a/servers/state/append_budget.h
+++ b/servers/state/append_budget.h
@@ -35,7 +35,7 @@
 
   bool TryAcquireLocked(Ticket ticket, Time now);
   Ticket EnqueueLocked(Stream stream, Time now);
-  // The queued append to start next.
+  // Returns the queued append that must start next.
   std::list<Waiting>::iterator NextWaiter(Time now);
 
   const Duration interval_;
--- a/servers/state/record.h
+++ b/servers/state/record.h
@@ -118,8 +118,8 @@
   Sequence epoch = kNoSequence;
 };
 
-// A job that must not run twice is about to be released. The planner writes this record and reads
-// it back before the release.
+// States that a job that must not run twice is about to be released, that is, its held tasks are
+// told to run. The planner writes this record and reads it back before the release.
 struct JobStarting {
   std::string id;
   std::string job;
@@ -129,7 +129,8 @@
   bool resumes = false;
 };
 
-// States that the attempt of a JobStarting record was not released anywhere and never will be.
+// States that the attempt of a JobStarting record was not released (allowed to run) on any worker
+// and never will be.
 struct JobNotStarted {
   std::string id;
   std::string job;
--- a/servers/state/replicated_config.h
+++ b/servers/state/replicated_config.h
@@ -37,9 +37,10 @@
   std::vector<std::shared_ptr<const ConfigVersion>> history() const;
   // Returns null if the version is not in the history.
   std::shared_ptr<const ConfigVersion> Find(int64_t version) const;
-  // The version created by the record with this id. Null if none in the history was.
+  // The version created by the record with this id. Null if the history has no such version.
   std::shared_ptr<const ConfigVersion> FindChange(const std::string& change) const;
-  // Name of the environment that this stream belongs to. Empty until a record has named one.
+  // Name of the environment that this stream belongs to. Empty until a record has named the
+  // environment.
   std::string environment_name() const;
   // Waits up to `limit` until `version` or a later one is in force in this process. Returns whether
   // it is.
--- a/servers/state/replicated_config_test.cc
+++ b/servers/state/replicated_config_test.cc
@@ -26,8 +26,8 @@
 
 ZoneChanged Zone(bool in) { return {NewRecordId(), "a", in, "angus", 0, ""}; }
 
-// Two operators publish on the same parent version: only the first record in the log is accepted,
-// and the second operator is told whose document came first.
+// Two operators publish documents based on the same parent version. Only the first record in the
+// log may be accepted, and the second operator must be told whose document came first.
 TEST(ReplicatedConfigTest, FirstOfTwoCompetingDocumentsWins) {
   ReplicatedConfig config;
   EXPECT_TRUE(config.Apply(Publish(0, Document("in")), 0).accepted);
--- a/servers/state/replicated_jobs.cc
+++ b/servers/state/replicated_jobs.cc
@@ -87,7 +87,7 @@
   const auto found = jobs_.find(record.job);
   if (found == jobs_.end()) return {false, "no such job"};
   JobRecord& job = found->second;
-  const std::string why = VoidReason(job, record.epoch);
+  const std::string why = RejectionReason(job, record.epoch);
   if (!why.empty()) return {false, why};
   if (job.cancel_asked) return {false, "the job was cancelled"};
   if (job.starting_attempt != 0 && !record.resumes) {
@@ -100,7 +100,7 @@
 RecordVerdict ReplicatedJobs::ApplyRecord(const JobNotStarted& record, Sequence /*sequence*/) {
   const auto found = jobs_.find(record.job);
   if (found == jobs_.end()) return {false, "no such job"};
-  const std::string why = VoidReason(found->second, record.epoch);
+  const std::string why = RejectionReason(found->second, record.epoch);
   if (!why.empty()) return {false, why};
   if (found->second.starting_attempt != record.attempt)
     return {false, "another attempt is starting"};
@@ -123,7 +123,7 @@
   return {};
 }
 
-std::string ReplicatedJobs::VoidReason(const JobRecord& job, Sequence epoch) const {
+std::string ReplicatedJobs::RejectionReason(const JobRecord& job, Sequence epoch) const {
   if (job.state != JobState::kWaiting) return "the job has ended";
   const auto planner = planners_.find(job.zone);
   if (planner == planners_.end() || planner->second.epoch != epoch) {
--- a/servers/state/replicated_jobs.h
+++ b/servers/state/replicated_jobs.h
@@ -27,7 +27,8 @@
   int64_t ended_wall_ms = 0;
   // Checkpoint to resume from, recorded by the planner that moved the job to another zone.
   std::string checkpoint;
-  // For a job that must not run twice: the attempt that may have been released, or 0.
+  // For a job that must not run twice: the attempt whose held tasks may have been released to run,
+  // according to a JobStarting record; 0 if there is none.
   int64_t starting_attempt = 0;
 };
 
@@ -65,7 +66,7 @@
   RecordVerdict ApplyRecord(const PlannerClaimed& record, Sequence sequence);
   RecordVerdict ApplyRecord(const PlannerReleased& record, Sequence sequence);
   // Returns why a record about `job` by the planner with `epoch` is rejected, or "" if it is not.
-  std::string VoidReason(const JobRecord& job, Sequence epoch) const;
+  std::string RejectionReason(const JobRecord& job, Sequence epoch) const;
 
   mutable std::mutex mutex_;
   int64_t changes_ = 0;
--- a/servers/state/replicated_jobs_test.cc
+++ b/servers/state/replicated_jobs_test.cc
@@ -122,7 +122,8 @@
   EXPECT_EQ(restored.OpenJobs("bud-b").front().id, job_);
 }
 
-// Records written before the newer fields existed must still be read, alike by all processes.
+// Records written before the newer fields existed must still be read, with the same result in all
+// processes.
 TEST(JobRecordsTest, OlderRecordsWithoutTheNewFieldsAreRead) {
   const auto records = DecodeRecords(
       R"([{"type":"planner_claimed","id":"a","zone":"z","process":"p"},)"
--- a/servers/state/replicated_requests.cc
+++ b/servers/state/replicated_requests.cc
@@ -34,14 +34,14 @@
   if (expired_.contains(HashOf(full_key))) {
     return {false, "the key has expired and its outcome is no longer stored"};
   }
-  const auto [slot, fresh] = requests_.try_emplace(full_key);
+  const auto [slot, inserted] = requests_.try_emplace(full_key);
   RequestState& state = slot->second;
-  if (fresh && claim.attempt != 1) {
+  if (inserted && claim.attempt != 1) {
     requests_.erase(slot);
     return {false, "no earlier attempt of the key is known"};
   }
-  if (!fresh && state.ended) return {false, "the request has ended"};
-  if (!fresh && claim.attempt != state.claim.attempt + 1) {
+  if (!inserted && state.ended) return {false, "the request has ended"};
+  if (!inserted && claim.attempt != state.claim.attempt + 1) {
     return {false, "another attempt owns the key"};
   }
   state.claim = claim;
--- a/servers/state/replicated_requests.h
+++ b/servers/state/replicated_requests.h
@@ -26,8 +26,9 @@
   bool expired = false;
 };
 
-// Limits of what is stored. They must be equal in every process, or the replicas would differ. A
-// dropped request is remembered as expired until `max_expired` later ones have expired.
+// Limits of what is stored. The limits must be equal in every process, or the replicas would
+// differ. A dropped request is remembered as expired until `max_expired` later requests have
+// expired.
 struct RequestRetentionLimits {
   size_t max_ended = 20000;
   size_t max_body_bytes = size_t{4} << 20;
@@ -44,7 +45,7 @@
 
   std::optional<RequestState> Find(const std::string& workspace, const std::string& key) const;
   // Keys claimed at or before this time (milliseconds since 1970) may have been forgotten
-  // completely. 0 while no key was.
+  // completely. 0 while no key has been forgotten.
   int64_t forgotten_until_ms() const;
 
  private:
@@ -62,7 +63,8 @@
   int64_t forgotten_wall_ms_ = 0;
   size_t body_bytes_ = 0;
   std::map<std::string, RequestState> requests_;
-  // Keys of ended requests, oldest first: those with a stored body, and all of them.
+  // Keys of ended requests, oldest first: in `with_body_` the requests whose answer body is stored,
+  // in `ended_order_` all ended requests.
   std::deque<std::string> with_body_;
   std::deque<std::string> ended_order_;
   // Hashes of the keys of dropped requests, and the same keys in the order in which they were
--- a/servers/state/snapshot.h
+++ b/servers/state/snapshot.h
@@ -12,7 +12,7 @@
 
 // A complete snapshot.
 struct SnapshotState {
-  // Offset that the snapshot reaches to: the state after all entries before it.
+  // The snapshot is the state after all entries before this offset.
   Offset covers = kNoOffset;
   int64_t wall_ms = 0;
   std::string bytes;
@@ -28,7 +28,8 @@
 // a snapshot is used only if it is complete and its digest matches.
 class SnapshotAssembler {
  public:
-  // Returns the snapshot that this part completes, if it is newer than all complete ones before.
+  // Returns the snapshot that this part completes, if that snapshot is newer than all snapshots
+  // completed before.
   std::optional<SnapshotState> Add(const SnapshotPart& part);
 
  private:
--- a/servers/state/stream_client.cc
+++ b/servers/state/stream_client.cc
@@ -32,7 +32,7 @@
   bool done = false;
   bool abandoned = false;
   WriteResult written;
-  // Set for records from Post: retries stop after this time.
+  // Time after which a record from Post is not retried any more. Empty for records from Write.
   std::optional<Time> retry_deadline;
 
   bool maybe_in_log() const { return maybe_appended || in_flight; }
@@ -49,7 +49,7 @@
       append_failures_(&metrics->counter("log_append_failures_" + name_)),
       read_failures_(&metrics->counter("log_read_failures_" + name_)),
       read_bytes_(&metrics->counter("log_read_bytes_" + name_)),
-      void_records_(&metrics->counter("log_void_records_" + name_)),
+      rejected_records_(&metrics->counter("log_void_records_" + name_)),
       queued_(&metrics->gauge("log_queued_records_" + name_)),
       group_size_(&metrics->distribution("log_group_records_" + name_)),
       write_seconds_(&metrics->distribution("log_write_seconds_" + name_)),
@@ -171,12 +171,12 @@
     }
     if (options_.budget != nullptr) options_.budget->Acquire(stream_);
     // Collected after the wait for the budget, so that records queued meanwhile share the append.
-    const Group group = TakeGroup();
+    const Group group = CollectGroup();
     if (!group.empty()) AppendGroup(group);
   }
 }
 
-StreamClient::Group StreamClient::TakeGroup() {
+StreamClient::Group StreamClient::CollectGroup() {
   Group group;
   size_t bytes = 0;
   const std::lock_guard<std::mutex> lock(mutex_);
@@ -290,7 +290,7 @@
   read_bytes_->Add(static_cast<int64_t>(entry.bytes.size()));
   std::vector<AppliedRecord> applied = replica_.Apply(entry);
   for (const AppliedRecord& record : applied) {
-    if (!record.written.verdict.accepted) void_records_->Add();
+    if (!record.written.verdict.accepted) rejected_records_->Add();
   }
   for (AppliedRecord& record : replica_.TakeDuplicates()) applied.push_back(std::move(record));
   const std::lock_guard<std::mutex> lock(mutex_);
@@ -370,8 +370,8 @@
 }
 
 bool StreamClient::WriteSnapshotIfDue(Time now, int64_t wall_ms) {
-  // Discards the remaining parts if a snapshot as new was completed, by another process or by this
-  // one.
+  // Discards the remaining parts if another process, or this process, has completed a snapshot that
+  // is at least as new.
   const Offset newest = replica_.newest_snapshot().covers;
   if (!snapshot_parts_.empty() && newest >= snapshot_parts_.front().covers) {
     snapshot_parts_.clear();
--- a/servers/state/stream_client.h
+++ b/servers/state/stream_client.h
@@ -88,7 +88,8 @@
 
   const std::string& name() const { return name_; }
   StreamView view() const;
-  // Waits up to `limit` until the view has been fresh once. Returns whether it has.
+  // Waits up to `limit` until a read has reached the head of the stream for the first time. Returns
+  // whether this has happened.
   bool WaitUntilFresh(Duration limit);
 
  private:
@@ -96,7 +97,7 @@
   using Group = std::vector<std::shared_ptr<PendingRecord>>;
 
   void RunWriter();
-  Group TakeGroup();
+  Group CollectGroup();
   void AppendGroup(const Group& group);
   void RunReader();
   // Reads once and applies the entries. Returns false after a failure.
@@ -122,7 +123,7 @@
   Counter* const append_failures_;
   Counter* const read_failures_;
   Counter* const read_bytes_;
-  Counter* const void_records_;
+  Counter* const rejected_records_;
   Gauge* const queued_;
   Distribution* const group_size_;
   Distribution* const write_seconds_;
