--- a/modules/placement/cell_policy.cc
+++ b/modules/placement/cell_policy.cc
@@ -20,8 +20,7 @@
 constexpr double kBackfillShare = 0.5;
 // The cost of a checkpointed stop and the restart, in seconds for each accelerator.
 constexpr double kCheckpointSeconds = 60;
-// Recently started jobs are the last choice for a stop, so that they are not stopped again and
-// again.
+// Stopping recently started jobs costs more, so that the same jobs are not stopped repeatedly.
 constexpr double kRecentStartSeconds = 300;
 constexpr double kRecentStartFactor = 4;
 constexpr double kUrgentPenalty = 1e9;
--- a/modules/placement/placement_suite.cc
+++ b/modules/placement/placement_suite.cc
@@ -81,7 +81,7 @@
   rules.push_back(MakeRule("batch-", 30,
                            MakeJobSpec(deployment.batch_workspace, 2, 8, Adjacency::kSameRack),
                            minutes(30), hours(3)));
-  // A burst before the co-packer's shift.
+  // A burst of jobs before the shift of the co-packer, a contract packaging company.
   rules.push_back(MakeRule("shift-", 12,
                            MakeJobSpec(deployment.batch_workspace, 2, 4, Adjacency::kAny),
                            minutes(15), minutes(60)));
--- a/servers/planner/worker_health.h
+++ b/servers/planner/worker_health.h
@@ -1,8 +1,8 @@
 // Distinguishes workers on which every task fails from jobs that fail on every worker. A worker
 // that fails all its tasks looks idle and would attract more work. After a failure the worker is
 // therefore quarantined, for longer after each failure in a row, and the job is tried on other
-// workers. If the job fails on several workers, the job is at fault and the failures it caused no
-// longer count against them. If the job completes elsewhere, the quarantine of the first worker
+// workers. If the job fails on several workers, the job is at fault and its failures no longer
+// count against these workers. If the job completes elsewhere, the quarantine of the first worker
 // stays. A quarantine ends by itself; the next job on the worker serves as the probe.
 #pragma once
 
--- a/servers/planner/zone_choice.cc
+++ b/servers/planner/zone_choice.cc
@@ -7,7 +7,8 @@
 namespace turmericshift {
 namespace {
 
-// A waiting job moves only if this lowers its load ratio by more than this value.
+// A waiting job moves to another zone only if its load ratio there is lower by more than this
+// value.
 constexpr double kMinLoadImprovement = 0.1;
 
 int AcceleratorsOf(const JobSpec& spec) { return spec.shape.accelerators * spec.tasks; }
--- a/servers/requests/idempotent_router.cc
+++ b/servers/requests/idempotent_router.cc
@@ -151,7 +151,7 @@
     written = requests_->Write(claim, std::min<Duration>(kClaimTimeout, left));
   } catch (const Error& error) {
     // Only the writer of a claim forwards the request, and this writer gives up here, so the
-    // request does not run even if the claim is committed later. A follower that finds the claim
+    // request does not run even if the claim is committed later. Another entry that finds the claim
     // asks the agent, which then refuses the attempt for good, so the key stays usable.
     throw Error(error.kind(), Outcome::kNotRun, error.what());
   }
--- a/servers/requests/target_sender.cc
+++ b/servers/requests/target_sender.cc
@@ -15,8 +15,8 @@
 constexpr Duration kSilenceWatchInterval = std::chrono::milliseconds(250);
 constexpr Duration kMinQuestionInterval = std::chrono::milliseconds(5);
 constexpr Duration kMaxQuestionInterval = std::chrono::milliseconds(100);
-// A question gets at least this long even when the deadline is closer, as its answer tells the
-// caller whether the request ran.
+// The minimum time-out of a question about an attempt's outcome, even when the deadline is closer,
+// as the answer tells the caller whether the request ran.
 constexpr Duration kMinQuestionTimeout = std::chrono::milliseconds(200);
 constexpr Duration kMaxQuestionTimeout = std::chrono::seconds(1);
 constexpr Duration kMinRetryAfter = std::chrono::milliseconds(100);
@@ -170,7 +170,8 @@
   } catch (const Error& error) {
     if (error.outcome() != Outcome::kUnknown) throw;
     unknown_->Add();
-    // The error of the delivery says more about the cause than that of the question.
+    // The error of the delivery says more about the cause than the error of the question to the
+    // agent.
     throw *delivery_error;
   }
 }
