--- a/servers/agent/agent_server.cc
+++ b/servers/agent/agent_server.cc
@@ -37,8 +37,8 @@
         std::make_unique<GangHost>(options.hello.worker, worker, &guard_, options.hello.process);
     expiry_ = Thread("agent-expiry", [this] { RunExpiry(); });
   }
-  // One thread more than sessions, so that a better session is opened before the worst one is
-  // closed.
+  // One thread more than sessions, so that a better session is opened before the session with the
+  // lowest score is closed.
   for (int index = 0; index <= options.max_sessions; ++index) {
     sessions_.emplace_back("agent-beat", [this] { RunSessions(); });
   }
@@ -202,7 +202,7 @@
 
 void AgentServer::RunSession(const std::string& address) {
   // A silent session may only be slow, so it is kept until a new session is connected. The entry
-  // then resolves over the new session the calls that were in flight on the old one.
+  // then uses the new session to resolve the calls that were in flight on the old session.
   std::shared_ptr<EntryPort> suspect;
   bool reconnect = true;
   while (reconnect) {
--- a/servers/agent/gang_host.cc
+++ b/servers/agent/gang_host.cc
@@ -223,8 +223,8 @@
 
 void GangHost::RequireEpoch(Sequence epoch, Time now) {
   RequireWorkerState();
-  // A planner that was paused and replaced still takes itself for the active one. Obeying it could
-  // start a job that its successor has started elsewhere.
+  // A planner that was paused and replaced still considers itself the active planner. Obeying its
+  // calls could start a job that its successor has started elsewhere.
   if (epoch < planner_.epoch()) throw Error(ErrorKind::kFenced, "a newer planner has the zone");
   planner_.RecordCall(epoch, now);
 }
@@ -342,8 +342,8 @@
     const Time expires_at = now + report.lease_left;
     const bool first = part.phase == Phase::kStopping;
     part.expires_at = first ? expires_at : std::min(part.expires_at, expires_at);
-    // A part with a task that is still held counts as held, since its gang is incomplete; it
-    // expires with the hold.
+    // A part with a task that is still held counts as held, since its gang is incomplete. The part
+    // expires when its held tasks do.
     if (part.phase != Phase::kHeld) {
       part.phase = report.phase == TaskPhase::kHeld ? Phase::kHeld : Phase::kRunning;
     }
--- a/servers/planner/planner_simulation.h
+++ b/servers/planner/planner_simulation.h
@@ -30,7 +30,7 @@
   PlannerSimulation(uint64_t seed, const InjectedFaults& injected);
   ~PlannerSimulation();
 
-  // Submit and Cancel bring the log up first.
+  // Submit and Cancel first end any outage of the log.
   std::string Submit(const JobSpec& spec);
   void Cancel(const std::string& job);
   // Advances the simulation by `time`, with or without random faults.
--- a/servers/planner/zone_planner_service_attempts.cc
+++ b/servers/planner/zone_planner_service_attempts.cc
@@ -31,12 +31,12 @@
 
 bool ZonePlannerService::ResolvePreviousAttempt(const JobRecord& job, const ReportTable& table,
                                                 Time now) {
-  // An earlier planner reads this planner's claim before it reads a later job, so it can't have
-  // started the job.
+  // An earlier planner reads this planner's claim before it reads a job that was submitted after
+  // the claim, so the earlier planner can't have started the job.
   if (job.sequence > epoch_) return true;
   const ReportedAttempt* found = table.Newest(job.id);
-  // If a whole attempt runs or is done, no other attempt can exist. If it was stopped, a newer
-  // attempt may run at an agent that has not reported yet.
+  // If all tasks of an attempt run or are done, no other attempt can exist. If the attempt was
+  // stopped, a newer attempt may run at an agent that has not reported yet.
   const bool conclusive =
       found != nullptr && found->running() + found->Count(TaskPhase::kDone) == job.spec.tasks;
   if (!conclusive && !all_agents_reported_) return false;
--- a/servers/state/state_replica.h
+++ b/servers/state/state_replica.h
@@ -1,6 +1,6 @@
 // Replica of one stream's state: applies log entries to a ReplicatedState, ignores duplicate
-// records, and writes and restores snapshots. Uses no threads and no log, so that tests can cut a
-// stream anywhere.
+// records, and writes and restores snapshots. Uses no threads and no log, so that tests can split a
+// stream at any entry.
 #pragma once
 
 #include <deque>
