--- a/core/bench_suite.cc
+++ b/core/bench_suite.cc
@@ -21,7 +21,7 @@
 
 BenchFigure MachineFigure(const std::string& name, const std::string& unit,
                           std::vector<double> samples) {
-  if (samples.empty()) throw Error(ErrorKind::kInvalidInput, name + " has no sample");
+  if (samples.empty()) throw Error(ErrorKind::kInvalidInput, name + " has no samples");
   std::sort(samples.begin(), samples.end());
   BenchFigure figure;
   figure.name = name;
--- a/core/bench_suite.h
+++ b/core/bench_suite.h
@@ -1,5 +1,5 @@
-// Benchmarks as plug-ins: a suite measures a handful of figures; `turmericshift bench` prints them
-// all in one table. A library registers its suites in its register_types function.
+// Benchmark suites as plug-ins. Each suite measures a few figures, and `turmericshift bench` prints
+// all figures in one table. A library registers its suites in its register_types function.
 #pragma once
 
 #include <cstdint>
@@ -11,50 +11,51 @@
 
 namespace turmericshift {
 
-// Policy figures are exact: two runs with one seed give the same digits. Machine figures depend on
-// the computer and its other work, so they carry a range.
+// Policy figures are deterministic: two runs with the same seed give the same digits. Machine
+// figures depend on the computer and its other load, so they have a range.
 enum class FigureKind { kPolicy, kMachine };
 const char* FigureKindName(FigureKind kind);
 
 struct BenchFigure {
-  // snake_case, unique within its suite.
+  // In snake_case, unique within the suite.
   std::string name;
-  // For a machine figure the median of its runs.
+  // For a machine figure, the median of its runs.
   double value = 0;
-  // "s", "us", "MB", "share", "1/s"...; written beside the value.
+  // Unit printed after the value, such as "s", "us", "MB", "share" or "1/s".
   std::string unit;
   FigureKind kind = FigureKind::kPolicy;
-  // The same figure of the plain alternative that the value is held against; none if there is none.
+  // The same figure for the simple alternative that the value is compared with, if there is one.
   std::optional<double> baseline;
-  // What is wanted, for people: "below 1.2 s".
+  // Goal in a readable form, such as "below 1.2 s".
   std::string aim;
-  // Lowest and highest of the runs, for machine figures.
+  // Lowest and highest value of the runs, for machine figures only.
   std::optional<double> low;
   std::optional<double> high;
 
-  // Value over baseline; none without a baseline or with a baseline of 0.
+  // Returns value / baseline, or nothing if there is no baseline or the baseline is 0.
   std::optional<double> ratio() const;
 };
 
 struct BenchOptions {
   uint64_t seed = 1;
-  // How often a machine figure is measured.
+  // Number of times that a machine figure is measured.
   int repeats = 5;
 };
 
 class BenchSuite {
  public:
   virtual ~BenchSuite() = default;
-  // One line for the list of suites.
+  // Returns a one-line description for the list of suites.
   virtual std::string Summary() const = 0;
-  // Runs on loopback only, and ends by itself within a minute or so.
+  // Measures the suite's figures. Uses only the loopback interface and takes about a minute at
+  // most.
   virtual std::vector<BenchFigure> Run(const BenchOptions& options) = 0;
 };
 
 using BenchSuiteRegistry = PluginRegistry<BenchSuite>;
 
-// A machine figure from the samples of its runs: median, lowest and highest.
-// Throws Error(kInvalidInput) without a sample.
+// Makes a machine figure (median, lowest and highest value) from the samples of its runs.
+// Throws Error(kInvalidInput) if `samples` is empty.
 BenchFigure MachineFigure(const std::string& name, const std::string& unit,
                           std::vector<double> samples);
 
--- a/core/clock.h
+++ b/core/clock.h
@@ -1,5 +1,5 @@
-// Time as a value. Functions that decide take the present time as an argument; only threads at the
-// edge (sessions, servers, commands) read a clock.
+// Time types and clocks. Functions that make decisions take the current time as an argument; only
+// the outer layers (sessions, servers, commands) read a clock.
 #pragma once
 
 #include <chrono>
@@ -8,17 +8,18 @@
 namespace turmericshift {
 
 using Duration = std::chrono::nanoseconds;
-// Monotonic, comparable only inside one process.
+// Monotonic time, comparable only within one process.
 using Time = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 
 using std::chrono::duration_cast;
 
-// Source of the present time for the threads at the edge.
+// Source of the current time for the outer layers.
 class Clock {
  public:
   virtual ~Clock() = default;
   virtual Time Now() const = 0;
-  // Milliseconds since 1970, for records and logs that people read; never for decisions.
+  // Wall-clock time in milliseconds since 1970, for records and logs that people read. Decisions
+  // must not use it.
   virtual int64_t WallMillis() const = 0;
 };
 
@@ -28,23 +29,23 @@
   int64_t WallMillis() const override;
 };
 
-// Counts on while the VM is suspended, which the steady clock does not: a lease reckoned by a clock
-// that stood still would be honoured here after it has lapsed everywhere else.
+// A clock that also advances while the VM is suspended, unlike the steady clock. With a clock that
+// stops, a resumed VM would still honour a lease that has expired for all other processes.
 class SuspendAwareClock : public Clock {
  public:
   Time Now() const override;
   int64_t WallMillis() const override;
 };
 
-// The process's clock for leases.
+// Returns the process's clock for leases, a SuspendAwareClock.
 const Clock& LeaseClock();
 
-// The process's own clock, for code at the edge that is not handed one.
+// Returns the process's SystemClock, for code in the outer layers that is not passed a clock.
 const Clock& DefaultClock();
 
 inline double Seconds(Duration duration) { return std::chrono::duration<double>(duration).count(); }
 
-// `duration` times `factor`.
+// Returns `duration` multiplied by `factor`.
 inline Duration Scaled(Duration duration, double factor) {
   return Duration(static_cast<int64_t>(static_cast<double>(duration.count()) * factor));
 }
--- a/core/crash_report.cc
+++ b/core/crash_report.cc
@@ -13,23 +13,23 @@
 namespace turmericshift {
 namespace {
 
-constexpr int kMostFrames = 32;
+constexpr int kMaxFrames = 32;
 constexpr size_t kLineBytes = 1024;
-// What one more frame and the end of the line take at most.
+// Upper bound for the bytes of one more frame and the end of the line.
 constexpr int kFrameBytes = 40;
 constexpr std::array<int, 5> kSignals = {SIGSEGV, SIGBUS, SIGILL, SIGFPE, SIGABRT};
 
-// Where the program was loaded; frames are told relative to it.
+// Load address of the program; frames are reported relative to this address.
 uintptr_t program_base = 0;
 
-int TakeFirst(dl_phdr_info* info, size_t /*size*/, void* base) {
+int SaveFirstBase(dl_phdr_info* info, size_t /*size*/, void* base) {
   *static_cast<uintptr_t*>(base) = info->dlpi_addr;
   return 1;
 }
 
 void Report(int signal) {
-  std::array<void*, kMostFrames> frames{};
-  const int count = backtrace(frames.data(), kMostFrames);
+  std::array<void*, kMaxFrames> frames{};
+  const int count = backtrace(frames.data(), kMaxFrames);
   std::array<char, kLineBytes> line{};
   int used = snprintf(line.data(), line.size(),
                       R"({"event":"crashed","level":"error","signal":%d,"frames":[)", signal);
@@ -39,7 +39,7 @@
                      i == 0 ? "" : ",", static_cast<size_t>(address - program_base));
   }
   used += snprintf(line.data() + used, line.size() - static_cast<size_t>(used), "]}\n");
-  // Nothing is left to do about a line that can't be written.
+  // A failed write is ignored: there is no other place to report the crash.
   const ssize_t written = write(STDOUT_FILENO, line.data(), static_cast<size_t>(used));
   static_cast<void>(written);
   raise(signal);
@@ -48,8 +48,8 @@
 }  // namespace
 
 void InstallCrashReport() {
-  dl_iterate_phdr(&TakeFirst, &program_base);
-  // The first call loads a library, which must not happen in a handler.
+  dl_iterate_phdr(&SaveFirstBase, &program_base);
+  // The first call of backtrace loads a library, which is not safe in a signal handler.
   std::array<void*, 1> frame{};
   backtrace(frame.data(), 1);
   for (const int each : kSignals) {
--- a/core/crash_report.h
+++ b/core/crash_report.h
@@ -1,13 +1,13 @@
-// A last line for a process that crashes. Without it a crash shows as a log that breaks off, and
-// nobody can tell it from a loss of power.
+// Logs a last line when the process crashes. Without this line the log just ends, and a crash can't
+// be told from a power loss.
 #pragma once
 
 namespace turmericshift {
 
-// From now on a fatal signal (invalid memory, abort, arithmetic) writes one JSON line `crashed` to
-// standard output, with the signal and the call stack as addresses within the program
-// (`addr2line -e turmericshift ADDRESS`), and then ends the process as it would have ended. A
-// thread that has run out of stack writes nothing.
+// Installs handlers for the fatal signals (SIGSEGV, SIGBUS, SIGILL, SIGFPE, SIGABRT). A handler
+// writes a JSON line with the event `crashed` to standard output, with the signal and the call
+// stack as addresses within the program (for `addr2line -e turmericshift ADDRESS`), then lets the
+// signal end the process. After a stack overflow nothing is written.
 void InstallCrashReport();
 
 }  // namespace turmericshift
--- a/core/digest.h
+++ b/core/digest.h
@@ -1,4 +1,5 @@
-// Content digests (XXH3, 128 bits, as 32 hexadecimal digits): they find accidents, not attackers.
+// Content digests (XXH3, 128 bits, as 32 hexadecimal digits). They detect accidental corruption,
+// but do not protect against deliberate tampering.
 #pragma once
 
 #include <string>
@@ -8,7 +9,8 @@
 
 std::string Digest(std::string_view bytes);
 
-// Names an idempotency key in logs without giving it away; "" for no key.
+// Returns a digest that identifies an idempotency key in logs without disclosing the key, or "" if
+// `key` is empty.
 std::string KeyTag(const std::string& workspace, const std::string& key);
 
 }  // namespace turmericshift
--- a/core/error.cc
+++ b/core/error.cc
@@ -3,7 +3,7 @@
 namespace turmericshift {
 namespace {
 
-constexpr std::array<ErrorInfo, kErrorKindCount> kAnswers = {{
+constexpr std::array<ErrorInfo, kErrorKindCount> kErrorInfos = {{
     {ErrorKind::kInvalidInput, "invalid_input", 400, ExitCode::kUsage, Outcome::kNotRun, false,
      "correct the input and send it again"},
     {ErrorKind::kTooLarge, "too_large", 413, ExitCode::kUsage, Outcome::kNotRun, false,
@@ -52,7 +52,7 @@
 
 }  // namespace
 
-const ErrorInfo& ErrorInfoFor(ErrorKind kind) { return kAnswers.at(static_cast<size_t>(kind)); }
+const ErrorInfo& ErrorInfoFor(ErrorKind kind) { return kErrorInfos.at(static_cast<size_t>(kind)); }
 
 ExitCode ExitCodeFor(const Error& error) {
   const ExitCode code = ErrorInfoFor(error.kind()).exit_code;
@@ -61,8 +61,8 @@
 }
 
 ErrorKind ErrorKindFromName(const std::string& name) {
-  for (const ErrorInfo& answer : kAnswers) {
-    if (name == answer.name) return answer.kind;
+  for (const ErrorInfo& info : kErrorInfos) {
+    if (name == info.name) return info.kind;
   }
   return ErrorKind::kInternal;
 }
--- a/core/error.h
+++ b/core/error.h
@@ -1,4 +1,4 @@
-// The closed list of error kinds and the one table that says how each is answered.
+// The error kinds, and the table that maps each kind to its HTTP status, exit code and advice.
 #pragma once
 
 #include <array>
@@ -7,8 +7,8 @@
 
 namespace turmericshift {
 
-// Every way in which an operation of this project can fail. Add a kind here and a row to the table
-// in error.cc; a test checks that the table is total.
+// All ways in which an operation can fail. A new kind also needs a row in the table in error.cc; a
+// test checks that every kind has a row.
 enum class ErrorKind {
   kInvalidInput,
   kTooLarge,
@@ -35,7 +35,7 @@
 
 inline constexpr int kErrorKindCount = static_cast<int>(ErrorKind::kInternal) + 1;
 
-// What is known about the work that a failed request asked for.
+// Whether the work of a failed request was run.
 enum class Outcome { kNotRun, kRan, kUnknown };
 
 // Exit codes of the binary, as documented in `turmericshift --help`.
@@ -43,45 +43,46 @@
   kDone = 0,
   kFailed = 1,
   kUsage = 2,
-  // Nothing was done.
+  // The command was not carried out.
   kUnavailable = 3,
-  // The time was up.
+  // The deadline passed.
   kTimedOut = 4,
-  // It may have been done or not.
+  // The command may or may not have been carried out.
   kUnknown = 5,
 };
 
-// One row of the table from error kind to answer.
+// A row of the table of error kinds.
 struct ErrorInfo {
   ErrorKind kind;
   const char* name;
   int http_status;
   ExitCode exit_code;
-  // What holds unless the thrower states otherwise.
+  // The outcome of an Error that is constructed without an explicit outcome.
   Outcome default_outcome;
-  // Whether the same request may succeed later without being changed.
+  // Whether the same request may succeed later without changes.
   bool retryable;
-  // What the reader of the message may do next.
+  // What the caller can do about the error.
   const char* advice;
 };
 
-// The row of `kind`. Total: every kind has one.
+// Returns the table's row for `kind`. Every kind has a row.
 const ErrorInfo& ErrorInfoFor(ErrorKind kind);
 
 class Error;
-// What a command that ends with `error` exits with: the table's code, but never one that says
-// "nothing was done" of an outcome that isn't known.
+// Returns the exit code of a command that failed with `error`: the table's code, except that
+// kUnavailable, which means that nothing was done, becomes kUnknown unless the outcome is kNotRun.
 ExitCode ExitCodeFor(const Error& error);
 
-// The kind whose name is `name`; kInternal for a name that is none of ours.
+// Returns the kind called `name`, or kInternal for an unknown name.
 ErrorKind ErrorKindFromName(const std::string& name);
 
 const char* OutcomeName(Outcome outcome);
 
-// kUnknown for any name that is not one of ours: a peer's nonsense must never read as "not run".
+// Returns the outcome called `name`. An unknown name gives kUnknown, so that an invalid message
+// from a peer is never taken for "not run".
 Outcome OutcomeFromName(const std::string& name);
 
-// The one exception type of the project.
+// The exception type of this project.
 class Error : public std::runtime_error {
  public:
   Error(ErrorKind kind, const std::string& message);
--- a/core/error_test.cc
+++ b/core/error_test.cc
@@ -11,11 +11,11 @@
   std::set<std::string> names;
   for (int index = 0; index < kErrorKindCount; ++index) {
     const auto kind = static_cast<ErrorKind>(index);
-    const ErrorInfo& answer = ErrorInfoFor(kind);
-    EXPECT_EQ(answer.kind, kind);
-    EXPECT_TRUE(names.insert(answer.name).second) << answer.name;
-    EXPECT_GE(answer.http_status, 400);
-    EXPECT_EQ(ErrorKindFromName(answer.name), kind);
+    const ErrorInfo& info = ErrorInfoFor(kind);
+    EXPECT_EQ(info.kind, kind);
+    EXPECT_TRUE(names.insert(info.name).second) << info.name;
+    EXPECT_GE(info.http_status, 400);
+    EXPECT_EQ(ErrorKindFromName(info.name), kind);
   }
 }
 
@@ -25,12 +25,13 @@
   EXPECT_EQ(OutcomeFromName("not_run"), Outcome::kNotRun);
 }
 
-// The help says of status 3 that nothing was done; an entry that was lost may have done it.
+// Exit code 3 promises that nothing was done. After a lost connection the entry may have carried
+// out the command, so the code must not be 3.
 TEST(ErrorTest, AnUnknownOutcomeNeverExitsAsNotRun) {
-  const Error log_silent(ErrorKind::kLogUnavailable, Outcome::kUnknown, "no answer");
-  const Error log_away(ErrorKind::kLogUnavailable, Outcome::kNotRun, "refused");
-  EXPECT_EQ(ExitCodeFor(log_silent), ExitCode::kUnknown);
-  EXPECT_EQ(ExitCodeFor(log_away), ExitCode::kUnavailable);
+  const Error log_timed_out(ErrorKind::kLogUnavailable, Outcome::kUnknown, "no answer");
+  const Error log_refused(ErrorKind::kLogUnavailable, Outcome::kNotRun, "refused");
+  EXPECT_EQ(ExitCodeFor(log_timed_out), ExitCode::kUnknown);
+  EXPECT_EQ(ExitCodeFor(log_refused), ExitCode::kUnavailable);
   EXPECT_EQ(ExitCodeFor(Error(ErrorKind::kConnectionLost, "reset")), ExitCode::kUnknown);
   EXPECT_EQ(ExitCodeFor(Error(ErrorKind::kDeadlineExceeded, "silent")), ExitCode::kTimedOut);
 }
--- a/core/http_client.cc
+++ b/core/http_client.cc
@@ -29,18 +29,18 @@
   static std::once_flag once;
   std::call_once(once, [] { curl_global_init(CURL_GLOBAL_ALL); });
   thread_local std::unique_ptr<CURL, HandleDeleter> handle(curl_easy_init());
-  if (!handle) throw Error(ErrorKind::kInternal, "libcurl gives no handle");
+  if (!handle) throw Error(ErrorKind::kInternal, "libcurl could not create a handle");
   curl_easy_reset(handle.get());
   return handle.get();
 }
 
-// At least 1, as the library takes 0 for no limit.
+// Returns at least 1, as libcurl takes 0 for no limit.
 long WholeMillis(Duration duration) {  // NOLINT(google-runtime-int): the library's type
   const auto millis = duration_cast<std::chrono::milliseconds>(duration).count();
   return static_cast<long>(std::max<int64_t>(1, millis));  // NOLINT(google-runtime-int)
 }
 
-size_t TakeBody(char* bytes, size_t size, size_t count, void* user) {
+size_t OnBody(char* bytes, size_t size, size_t count, void* user) {
   auto* receiver = static_cast<Receiver*>(user);
   if (receiver->reply.body.size() + size * count > receiver->max_bytes) {
     receiver->too_large = true;
@@ -50,7 +50,7 @@
   return size * count;
 }
 
-size_t TakeHeader(char* bytes, size_t size, size_t count, void* user) {
+size_t OnHeader(char* bytes, size_t size, size_t count, void* user) {
   auto* receiver = static_cast<Receiver*>(user);
   const std::string line(bytes, size * count);
   const size_t colon = line.find(':');
@@ -63,7 +63,7 @@
   return size * count;
 }
 
-// Whether any byte of the request has left.
+// Returns whether any byte of the request has been sent.
 bool HasSent(CURL* handle) {
   long request_bytes = 0;  // NOLINT(google-runtime-int): the library's type
   curl_easy_getinfo(handle, CURLINFO_REQUEST_SIZE, &request_bytes);
@@ -107,11 +107,12 @@
   for (const HttpHeader& header : call.headers) {
     raw_list = curl_slist_append(raw_list, (header.name + ": " + header.value).c_str());
   }
-  // Without this, a body of over 1 KiB waits a second for a "100 Continue" that few servers send.
+  // Without this empty header, libcurl delays a body of over 1 KiB by a second to wait for a
+  // "100 Continue", which few servers send.
   raw_list = curl_slist_append(raw_list, "Expect:");
   const std::unique_ptr<curl_slist, ListDeleter> list(raw_list);
-  const long timeout_ms = WholeMillis(call.timeout);                              // NOLINT
-  const long connect_ms = std::min(timeout_ms, WholeMillis(call.connect_limit));  // NOLINT
+  const long timeout_ms = WholeMillis(call.timeout);                                // NOLINT
+  const long connect_ms = std::min(timeout_ms, WholeMillis(call.connect_timeout));  // NOLINT
   curl_easy_setopt(handle, CURLOPT_URL, call.url.c_str());
   curl_easy_setopt(handle, CURLOPT_CUSTOMREQUEST, call.method.c_str());
   curl_easy_setopt(handle, CURLOPT_HTTPHEADER, list.get());
@@ -122,9 +123,9 @@
   curl_easy_setopt(handle, CURLOPT_PROTOCOLS_STR, "http");
   curl_easy_setopt(handle, CURLOPT_TIMEOUT_MS, timeout_ms);
   curl_easy_setopt(handle, CURLOPT_CONNECTTIMEOUT_MS, connect_ms);
-  curl_easy_setopt(handle, CURLOPT_WRITEFUNCTION, &TakeBody);
+  curl_easy_setopt(handle, CURLOPT_WRITEFUNCTION, &OnBody);
   curl_easy_setopt(handle, CURLOPT_WRITEDATA, &receiver);
-  curl_easy_setopt(handle, CURLOPT_HEADERFUNCTION, &TakeHeader);
+  curl_easy_setopt(handle, CURLOPT_HEADERFUNCTION, &OnHeader);
   curl_easy_setopt(handle, CURLOPT_HEADERDATA, &receiver);
   if (!call.body.empty() || call.method == "POST" || call.method == "PUT") {
     curl_easy_setopt(handle, CURLOPT_POSTFIELDS, call.body.data());
--- a/core/http_client.h
+++ b/core/http_client.h
@@ -1,4 +1,4 @@
-// HTTP calls by libcurl, one handle a thread, bounded in time and size.
+// HTTP client based on libcurl, with one handle for each thread and limits on time and size.
 #pragma once
 
 #include <map>
@@ -20,11 +20,11 @@
   std::vector<HttpHeader> headers;
   std::string body;
   Duration timeout = std::chrono::seconds(10);
-  // Part of `timeout` within which the connection must stand.
-  Duration connect_limit = std::chrono::seconds(2);
+  // Limit for establishing the connection, counted as part of `timeout`.
+  Duration connect_timeout = std::chrono::seconds(2);
   size_t max_answer_bytes = size_t{16} << 20;
-  // Never reuses a connection. libcurl sends a request again by itself, also a POST, when a reused
-  // connection ends before the first byte of the answer, and so might run it twice.
+  // Forces a new connection. When a reused connection is closed before the first byte of the
+  // response, libcurl resends the request on its own, even a POST, so the request might run twice.
   bool fresh_connection = false;
 };
 
@@ -33,13 +33,13 @@
   std::string body;
   std::vector<HttpHeader> headers;
 
-  // The value of the header `name` (any case), or "".
+  // Returns the value of the header `name` (case-insensitive), or "".
   std::string header(const std::string& name) const;
 };
 
-// Performs the call on the calling thread's own handle, which keeps its connection open.
-// Throws Error: kUnavailable with outcome not_run when the connection was refused,
-// kDeadlineExceeded with not_run when none stood in time; kConnectionLost,
+// Performs the call on the calling thread's handle, which keeps its connections open for later
+// calls. Throws Error: kUnavailable with outcome not_run when the connection was refused,
+// kDeadlineExceeded with not_run when no connection was established in time; kConnectionLost,
 // kDeadlineExceeded or kAnswerCut with outcome unknown when the request may have been received.
 HttpReply PerformHttp(const HttpCall& call);
 
--- a/core/http_client_test.cc
+++ b/core/http_client_test.cc
@@ -18,21 +18,21 @@
   return call;
 }
 
-// A peer whose queue of connections is full: those that come are not let in, and get no answer.
+// A listening socket whose backlog is full, so that new connection attempts get no reply.
 class FullListener {
  public:
   FullListener() : listener_(ListenSocket("127.0.0.1", 0)) {
-    constexpr int kWaiting = 4;
+    constexpr int kPendingConnections = 4;
     listen(listener_, 0);
     const sockaddr_in address = SocketAddress("127.0.0.1", port());
-    for (int i = 0; i < kWaiting; ++i) {
+    for (int i = 0; i < kPendingConnections; ++i) {
       const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
       static_cast<void>(connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof(address)));
-      waiting_.push_back(fd);
+      pending_.push_back(fd);
     }
   }
   ~FullListener() {
-    for (const int fd : waiting_) close(fd);
+    for (const int fd : pending_) close(fd);
     close(listener_);
   }
   FullListener(const FullListener&) = delete;
@@ -42,7 +42,7 @@
 
  private:
   const int listener_;
-  std::vector<int> waiting_;
+  std::vector<int> pending_;
 };
 
 Error FailureOf(const HttpCall& call) {
@@ -51,11 +51,11 @@
   } catch (const Error& error) {
     return error;
   }
-  return {ErrorKind::kInternal, "the call went through"};
+  return {ErrorKind::kInternal, "the call succeeded"};
 }
 
-// A call that never reached its peer was called unknown, and was not sent elsewhere.
-TEST(HttpClientTest, WithoutAConnectionNothingWasRun) {
+// A call that never connected was reported with outcome unknown, so it was not retried elsewhere.
+TEST(HttpClientTest, TimeoutWithoutConnectionIsNotRun) {
   const FullListener peer;
   HttpCall call = CallTo(peer.port());
   call.timeout = std::chrono::milliseconds(100);
@@ -64,16 +64,16 @@
   EXPECT_EQ(failure.outcome(), Outcome::kNotRun);
 }
 
-// The limit for an answer of minutes must not hold up a call that finds no connection.
-TEST(HttpClientTest, AConnectionHasALimitOfItsOwn) {
+// A call with a timeout of minutes for its response must still fail fast if it can't connect.
+TEST(HttpClientTest, ConnectTimeoutIsIndependentOfCallTimeout) {
   const FullListener peer;
   HttpCall call = CallTo(peer.port());
   call.timeout = std::chrono::hours(1);
-  call.connect_limit = std::chrono::milliseconds(100);
+  call.connect_timeout = std::chrono::milliseconds(100);
   EXPECT_EQ(FailureOf(call).outcome(), Outcome::kNotRun);
 }
 
-TEST(HttpClientTest, ARequestThatGotNoAnswerMayHaveRun) {
+TEST(HttpClientTest, TimeoutAfterSendingIsUnknown) {
   const int listener = ListenSocket("127.0.0.1", 0);
   HttpCall call = CallTo(BoundPort(listener));
   call.timeout = std::chrono::milliseconds(100);
--- a/core/http_server.cc
+++ b/core/http_server.cc
@@ -25,37 +25,38 @@
 namespace turmericshift {
 namespace {
 
-// How long a connection that stands may take until its request has arrived, once the server stops.
-constexpr Duration kRequestGrace = std::chrono::seconds(1);
-// A handshake within a region that had begun when new ones were turned off is over by then. Callers
-// whose handshake comes meanwhile are refused a second later, when they ask again, so it is short.
-constexpr Duration kHandshakeGrace = std::chrono::milliseconds(1);
+// Time that open connections get to send a request after the server has begun to stop.
+constexpr Duration kRequestGracePeriod = std::chrono::seconds(1);
+// Time for handshakes that began before the filter for new handshakes was set; enough within a
+// region. A caller whose first SYN is dropped in this time retries a second later and is then
+// refused, so the period is kept short.
+constexpr Duration kHandshakeGracePeriod = std::chrono::milliseconds(1);
 
-// Has the listening socket drop the packets that open a connection. Handshakes under way go on.
-// Returns whether the system has taken the filter.
+// Attaches a packet filter to the listening socket that drops SYN packets, which open a connection.
+// Handshakes in progress can complete. Returns whether the system accepted the filter.
 bool DropNewHandshakes(int listener) {
   constexpr uint32_t kFlagsOffset = 13;  // of the TCP header
   constexpr uint32_t kSyn = 0x02;
   constexpr uint32_t kSynAndAck = 0x12;
-  constexpr uint32_t kKeepWhole = UINT32_MAX;
+  constexpr uint32_t kAcceptWholePacket = UINT32_MAX;
   std::array<sock_filter, 5> program = {{BPF_STMT(BPF_LD | BPF_B | BPF_ABS, kFlagsOffset),
                                          BPF_STMT(BPF_ALU | BPF_AND | BPF_K, kSynAndAck),
                                          BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, kSyn, 0, 1),
                                          BPF_STMT(BPF_RET | BPF_K, 0),
-                                         BPF_STMT(BPF_RET | BPF_K, kKeepWhole)}};
+                                         BPF_STMT(BPF_RET | BPF_K, kAcceptWholePacket)}};
   const sock_fprog filter{static_cast<uint16_t>(program.size()), program.data()};
   return setsockopt(listener, SOL_SOCKET, SO_ATTACH_FILTER, &filter, sizeof(filter)) == 0;
 }
 
-// What a connection's present request has gathered so far.
+// State of the request that a connection is receiving or answering.
 struct Exchange {
   HttpRequest request;
-  Time begun{};
+  Time start{};
   bool too_large = false;
   bool counted = false;
 };
 
-MHD_Result TakeValue(void* user, MHD_ValueKind /*kind*/, const char* key, const char* value) {
+MHD_Result AppendValue(void* user, MHD_ValueKind /*kind*/, const char* key, const char* value) {
   auto* list = static_cast<std::vector<HttpHeader>*>(user);
   list->push_back({key, value == nullptr ? "" : value});
   return MHD_YES;
@@ -88,17 +89,16 @@
   HttpServerOptions options;
   Handler handler;
   MHD_Daemon* daemon = nullptr;
-  // The listening socket once the daemon accepts no more. Its threads may use the number until the
-  // daemon is stopped, so it is closed after that.
+  // The listening socket after StopAccepting. The daemon's threads may use the descriptor until the
+  // daemon is stopped, so the descriptor is closed after that.
   MHD_socket retired_listener = MHD_INVALID_SOCKET;
   std::atomic<bool> stopping{false};
   std::mutex mutex;
   std::condition_variable drained;
   int in_flight = 0;
   int open_connections = 0;
-  // Descriptors of connections that were taken from the queue and that the daemon has not begun
-  // yet.
-  std::set<int> taken;
+  // Descriptors of connections that AddToDaemon passed on and that the daemon has not started yet.
+  std::set<int> not_started;
 
   HttpResponse Answer(const Exchange& exchange) const {
     try {
@@ -112,7 +112,7 @@
     }
   }
 
-  void Leave() {
+  void EndRequest() {
     const std::lock_guard<std::mutex> lock(mutex);
     --in_flight;
     drained.notify_all();
@@ -126,12 +126,12 @@
     if (exchange == nullptr) {
       exchange = new Exchange;  // freed by OnCompleted
       *user = exchange;
-      exchange->begun = DefaultClock().Now();
+      exchange->start = DefaultClock().Now();
       exchange->request.method = method;
       exchange->request.path = url;
-      MHD_get_connection_values(connection, MHD_HEADER_KIND, &TakeValue,
+      MHD_get_connection_values(connection, MHD_HEADER_KIND, &AppendValue,
                                 &exchange->request.headers);
-      MHD_get_connection_values(connection, MHD_GET_ARGUMENT_KIND, &TakeValue,
+      MHD_get_connection_values(connection, MHD_GET_ARGUMENT_KIND, &AppendValue,
                                 &exchange->request.query);
       const std::lock_guard<std::mutex> lock(state->mutex);
       ++state->in_flight;
@@ -139,7 +139,7 @@
       return MHD_YES;
     }
     if (*data_size > 0) {
-      if (DefaultClock().Now() - exchange->begun > state->options.receive_limit) return MHD_NO;
+      if (DefaultClock().Now() - exchange->start > state->options.receive_timeout) return MHD_NO;
       std::string& body = exchange->request.body;
       if (body.size() + *data_size > state->options.max_body_bytes) {
         exchange->too_large = true;
@@ -160,15 +160,15 @@
     const std::lock_guard<std::mutex> lock(state->mutex);
     state->open_connections += started ? 1 : -1;
     if (started) {
-      state->taken.erase(
+      state->not_started.erase(
           MHD_get_connection_info(connection, MHD_CONNECTION_INFO_CONNECTION_FD)->connect_fd);
     }
     state->drained.notify_all();
   }
 
-  // Connections that the kernel has accepted wait in the listening socket's queue. The end of the
-  // socket resets them, and a caller who has sent a request already gets no answer to it.
-  void TakeQueued(MHD_socket listener) {
+  // Accepts the connections in the listening socket's queue. Closing the socket would reset them,
+  // and a caller that has already sent a request would get no response.
+  void AcceptQueued(MHD_socket listener) {
     while (true) {
       sockaddr_in address{};
       socklen_t size = sizeof(address);
@@ -176,29 +176,29 @@
                              SOCK_CLOEXEC | SOCK_NONBLOCK);
       if (fd < 0 && (errno == EINTR || errno == ECONNABORTED)) continue;
       if (fd < 0) return;
-      Add(fd, address);
+      AddToDaemon(fd, address);
     }
   }
 
-  // Hands a connection to the daemon, whose thread begins it later.
-  void Add(int fd, const sockaddr_in& address) {
+  // Passes a connection to the daemon, which starts it later on its own thread.
+  void AddToDaemon(int fd, const sockaddr_in& address) {
     {
       const std::lock_guard<std::mutex> lock(mutex);
-      taken.insert(fd);
+      not_started.insert(fd);
     }
     const auto* peer = reinterpret_cast<const sockaddr*>(&address);
     if (MHD_add_connection(daemon, fd, peer, sizeof(address)) == MHD_YES) return;
-    // The library has closed it.
-    LogEvent(LogLevel::kWarning, "connection_not_taken", {{"reason", "limit of connections"}});
+    // On failure the library has already closed the descriptor.
+    LogEvent(LogLevel::kWarning, "connection_not_taken", {{"reason", "connection limit reached"}});
     const std::lock_guard<std::mutex> lock(mutex);
-    taken.erase(fd);
+    not_started.erase(fd);
   }
 
   static void OnCompleted(void* self, MHD_Connection* /*connection*/, void** user,
                           MHD_RequestTerminationCode /*code*/) {
     const std::unique_ptr<Exchange> exchange(static_cast<Exchange*>(*user));
     *user = nullptr;
-    if (exchange && exchange->counted) static_cast<State*>(self)->Leave();
+    if (exchange && exchange->counted) static_cast<State*>(self)->EndRequest();
   }
 };
 
@@ -248,7 +248,7 @@
       options.stack_bytes, MHD_OPTION_END);
   if (state_->daemon == nullptr) {
     close(listener);
-    throw Error(ErrorKind::kUnavailable, "the HTTP server does not start");
+    throw Error(ErrorKind::kUnavailable, "libmicrohttpd could not start the HTTP server");
   }
   port_ = BoundPort(listener);
 }
@@ -272,12 +272,12 @@
   state_->retired_listener = listener;
   fcntl(listener, F_SETFL, fcntl(listener, F_GETFL) | O_NONBLOCK);
   if (DropNewHandshakes(listener)) {
-    state_->TakeQueued(listener);
-    std::this_thread::sleep_for(kHandshakeGrace);
+    state_->AcceptQueued(listener);
+    std::this_thread::sleep_for(kHandshakeGracePeriod);
   }
-  state_->TakeQueued(listener);
-  // Closing it would end it only when the daemon's thread leaves its poll; what came until then
-  // would be reset.
+  state_->AcceptQueued(listener);
+  // close() would take effect only when the daemon's thread returns from poll, and connections that
+  // arrive until then would be reset, so the socket is shut down instead.
   if (shutdown(listener, SHUT_RDWR) != 0) {
     LogEvent(LogLevel::kWarning, "listener_not_shut_down",
              {{"port", port_}, {"error", std::generic_category().message(errno)}});
@@ -287,8 +287,8 @@
 bool HttpServer::Drain(Duration limit) {
   const Time until = DefaultClock().Now() + limit;
   std::unique_lock<std::mutex> lock(state_->mutex);
-  state_->drained.wait_until(lock, until, [this] { return state_->taken.empty(); });
-  state_->drained.wait_for(lock, std::min(limit, kRequestGrace),
+  state_->drained.wait_until(lock, until, [this] { return state_->not_started.empty(); });
+  state_->drained.wait_for(lock, std::min(limit, kRequestGracePeriod),
                            [this] { return state_->open_connections == 0; });
   return state_->drained.wait_until(lock, until, [this] { return state_->in_flight == 0; });
 }
--- a/core/http_server.h
+++ b/core/http_server.h
@@ -1,4 +1,5 @@
-// An HTTP server by libmicrohttpd: one thread a connection, bounded bodies, slow senders cut off.
+// HTTP server based on libmicrohttpd, with one thread for each connection. It limits the size of
+// bodies and disconnects slow senders.
 #pragma once
 
 #include <atomic>
@@ -21,9 +22,9 @@
   std::vector<HttpHeader> query;
   std::string body;
 
-  // The value of the header `name` (any case), or "".
+  // Returns the value of the header `name` (case-insensitive), or "".
   std::string header(const std::string& name) const;
-  // The value of the query argument `name`, or "".
+  // Returns the value of the query argument `name` (case-insensitive), or "".
   std::string argument(const std::string& name) const;
 };
 
@@ -33,8 +34,8 @@
   std::vector<HttpHeader> headers;
 };
 
-// A problem+json answer for `error`, by the table of error kinds. `request_id` may be empty;
-// `retry_after` of zero leaves the header out.
+// Makes an application/problem+json response for `error` from the table of error kinds.
+// `request_id` may be empty. If `retry_after` is zero, the Retry-After header is left out.
 HttpResponse ProblemResponse(const Error& error, const std::string& request_id,
                              Duration retry_after = Duration::zero());
 
@@ -42,40 +43,41 @@
 
 struct HttpServerOptions {
   std::string address = "127.0.0.1";
-  // 0 lets the system choose; see HttpServer::port().
+  // 0 lets the system choose a port; see HttpServer::port().
   int port = 0;
   size_t max_body_bytes = size_t{16} << 20;
   int max_connections = 1024;
-  // A connection on which nothing arrives or leaves for this long is closed.
+  // A connection without any traffic for this time is closed.
   std::chrono::seconds idle_timeout = std::chrono::seconds(60);
-  // A request whose body has not arrived whole within this time is cut, however steadily it
-  // trickles.
-  Duration receive_limit = std::chrono::seconds(60);
+  // A connection whose request body is not complete within this time is closed, even if data keeps
+  // arriving.
+  Duration receive_timeout = std::chrono::seconds(60);
   size_t stack_bytes = size_t{256} * 1024;
 };
 
 class HttpServer {
  public:
-  // Called on the connection's thread. An Error thrown becomes a ProblemResponse.
+  // Called on the connection's thread. An Error that the handler throws becomes a ProblemResponse.
   using Handler = std::function<HttpResponse(const HttpRequest&)>;
 
-  // Listens at once. Throws Error(kUnavailable) when the address can't be bound.
+  // Starts listening. Throws Error(kUnavailable) if the address can't be bound.
   HttpServer(const HttpServerOptions& options, Handler handler);
-  // Cuts what is open; call StopAccepting and Drain first for a graceful stop.
+  // Closes all connections. For a graceful stop call StopAccepting and Drain first.
   ~HttpServer();
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
   int port() const { return port_; }
-  // Requests whose handler has begun and whose answer is not yet out.
+  // Number of requests whose headers have arrived and whose response has not been sent completely.
   int in_flight() const;
-  // From here on every answer closes its connection, so that callers who keep theirs open move on.
+  // From now on every response closes its connection, so that callers with persistent connections
+  // connect to another process.
   void CloseAfterAnswers();
-  // Takes in the connections that the system has queued and refuses new ones; open connections go
-  // on and close after their present answer.
+  // Accepts the connections in the kernel's queue and refuses new connections. Open connections are
+  // closed after their next response.
   void StopAccepting();
-  // Waits until nothing is in flight, at most `limit`; returns whether that came about. A
-  // connection whose request has not arrived yet gets a short while for it.
+  // Waits, for `limit` at most, until no request is in flight; returns whether this was reached. An
+  // open connection without a request gets up to a second to send one.
   bool Drain(Duration limit);
 
  private:
--- a/core/http_server_test.cc
+++ b/core/http_server_test.cc
@@ -40,7 +40,7 @@
   EXPECT_EQ(send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL), static_cast<ssize_t>(bytes.size()));
 }
 
-// All that arrives until the server closes the connection, which is then closed here too.
+// Reads until the server closes the connection, then closes `fd`.
 std::string ReadAll(int fd) {
   std::string answer;
   char buffer[4096];
@@ -52,14 +52,14 @@
   return answer;
 }
 
-// Sends raw bytes on a connection of its own and reads until the server closes it.
+// Sends raw bytes on a new connection and reads until the server closes the connection.
 std::string SendRaw(int port, const std::string& bytes) {
   const int fd = ConnectTo(port);
   SendAll(fd, bytes);
   return ReadAll(fd);
 }
 
-TEST(HttpServerTest, CarriesEightMebibytesEachWayWhole) {
+TEST(HttpServerTest, TransfersEightMebibytesEachWay) {
   const HttpServer server({}, &Echo);
   HttpCall call = CallTo(server, "/");
   call.body = std::string(size_t{8} << 20, 'x') + "end";
@@ -68,7 +68,7 @@
   EXPECT_EQ(Digest(reply.body), Digest(call.body));
 }
 
-TEST(HttpServerTest, ErrorsBecomeProblemsByTheTable) {
+TEST(HttpServerTest, ErrorsBecomeProblemResponses) {
   const HttpServer server({}, &Echo);
   const HttpReply reply = PerformHttp(CallTo(server, "/refuse"));
   EXPECT_EQ(reply.status, 429);
@@ -76,7 +76,7 @@
   EXPECT_NE(reply.body.find("\"outcome\":\"not_run\""), std::string::npos);
 }
 
-TEST(HttpServerTest, BodiesOverTheLimitAreRefusedAndTheServerGoesOn) {
+TEST(HttpServerTest, RejectsBodiesOverTheLimitAndKeepsServing) {
   HttpServerOptions options;
   options.max_body_bytes = 1000;
   const HttpServer server(options, &Echo);
@@ -87,9 +87,9 @@
   EXPECT_EQ(PerformHttp(call).status, 200);
 }
 
-// A caller opens a connection and sends half a request, then nothing. Without a limit on idleness
-// such connections would pile up until no other caller gets in.
-TEST(HttpServerTest, SendersThatStallAreCutOff) {
+// A caller sends half a request and then nothing. Without an idle timeout such connections would
+// accumulate until no other caller can connect.
+TEST(HttpServerTest, DisconnectsStalledSenders) {
   HttpServerOptions options;
   options.idle_timeout = std::chrono::seconds(1);
   const HttpServer server(options, &Echo);
@@ -99,17 +99,18 @@
   EXPECT_EQ(PerformHttp(CallTo(server, "/")).status, 200);
 }
 
-// A sender that trickles a byte now and then is never idle and would hold its connection for ever.
-TEST(HttpServerTest, SendersThatTrickleAreCutOff) {
+// A sender that sends a byte now and then is never idle, so only the receive timeout can close its
+// connection.
+TEST(HttpServerTest, DisconnectsSlowSenders) {
   HttpServerOptions options;
-  options.receive_limit = Duration::zero();
+  options.receive_timeout = Duration::zero();
   const HttpServer server(options, &Echo);
   EXPECT_EQ(SendRaw(server.port(), "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\nx"), "");
 }
 
-// A planned stop comes while a caller's connection stands and its request is still on its way. The
-// server must not take itself for idle and close it: the caller would not know whether it was run.
-TEST(HttpServerTest, AStopWaitsForARequestThatIsOnItsWay) {
+// The server is stopped while a request is in transit on an open connection. If the server took
+// itself for idle and closed the connection, the caller would not know whether the request was run.
+TEST(HttpServerTest, DrainWaitsForARequestInTransit) {
   HttpServer server({}, &Echo);
   const int fd = ConnectTo(server.port());
   server.StopAccepting();
@@ -120,8 +121,8 @@
   EXPECT_NE(ReadAll(fd).find("200 OK"), std::string::npos);
 }
 
-// Calls over connections of its own until one is refused; counts those that were let in and then
-// got no answer.
+// Sends requests, each on a new connection, until a connection is refused. Counts the requests
+// whose connection was accepted and that got no response.
 void CallUntilRefused(int port, std::atomic<int>* unanswered) {
   while (true) {
     const int fd = socket(AF_INET, SOCK_STREAM, 0);
@@ -138,8 +139,9 @@
   }
 }
 
-// Callers who connect while the server stops were let in and then reset, with their request sent.
-TEST(HttpServerTest, AStopAnswersAllWhoWereLetIn) {
+// Connections that arrived while the server stopped were accepted and then reset after the caller
+// had sent its request.
+TEST(HttpServerTest, StopAnswersAllAcceptedConnections) {
   constexpr int kRounds = 5;
   constexpr int kCallers = 64;
   constexpr int kAnswersBeforeTheStop = 100;
@@ -164,11 +166,11 @@
     for (std::thread& caller : callers) caller.join();
   }
   EXPECT_EQ(unanswered.load(), 0);
-  // A process ends once it has drained.
+  // The process exits after Drain, so no request may be handled later than that.
   EXPECT_EQ(late.load(), 0);
 }
 
-TEST(HttpServerTest, NonsenseIsRefusedAndTheServerGoesOn) {
+TEST(HttpServerTest, RejectsMalformedRequestsAndKeepsServing) {
   const HttpServer server({}, &Echo);
   SendRaw(server.port(), "GET\r\n\r\n");
   SendRaw(server.port(), "POST / HTTP/1.1\r\nContent-Length: -5\r\nConnection: close\r\n\r\n");
--- a/core/ini.cc
+++ b/core/ini.cc
@@ -12,10 +12,10 @@
 namespace turmericshift {
 namespace {
 
-// The library cuts lines at its own buffer's size; longer ones are refused here instead.
+// inih truncates lines at the size of its buffer, so longer lines are rejected here.
 constexpr size_t kMaxLineBytes = INI_MAX_LINE - 2;
 
-// Feeds the library line by line, so that the number of the present line is known.
+// Passes the text to inih line by line, so that the number of the current line is known.
 struct LineSource {
   std::istringstream lines;
   int line = 0;
@@ -33,9 +33,9 @@
         {source->line, "", "line longer than " + std::to_string(kMaxLineBytes) + " bytes"});
     text.clear();
   }
-  // An embedded NUL would hide the rest of the line from the library.
+  // inih would ignore the rest of a line after an embedded NUL.
   if (text.find('\0') != std::string::npos) {
-    source->file->problems.push_back({source->line, "", "line holds a NUL byte"});
+    source->file->problems.push_back({source->line, "", "line contains a NUL byte"});
     text.clear();
   }
   std::memcpy(buffer, text.c_str(), text.size());
@@ -44,7 +44,7 @@
   return buffer;
 }
 
-// The section named `name`, opened on its first row.
+// Returns the section called `name`; adds the section on its first row.
 IniSection* SectionFor(const char* name, LineSource* source) {
   const std::string text = name;
   const size_t space = text.find(' ');
@@ -57,7 +57,7 @@
   return &source->file->sections.back();
 }
 
-int TakeRow(void* user, const char* section, const char* key, const char* value) {
+int OnRow(void* user, const char* section, const char* key, const char* value) {
   auto* source = static_cast<LineSource*>(user);
   SectionFor(section, source)->rows.push_back({key, value, source->line});
   return 1;
@@ -106,15 +106,15 @@
   IniFile file;
   file.name = name;
   if (text.size() > kMaxIniBytes) {
-    file.problems.push_back({0, "", "larger than " + std::to_string(kMaxIniBytes) + " bytes"});
+    file.problems.push_back({0, "", "file larger than " + std::to_string(kMaxIniBytes) + " bytes"});
     return file;
   }
   LineSource source;
   source.lines.str(text);
   source.file = &file;
-  const int bad_line = ini_parse_stream(&NextLine, &source, &TakeRow, &source);
+  const int bad_line = ini_parse_stream(&NextLine, &source, &OnRow, &source);
   if (bad_line != 0) {
-    file.problems.push_back({bad_line, "", "neither [section], key = value, nor a comment"});
+    file.problems.push_back({bad_line, "", "expected [section], key = value, or a comment"});
   }
   return file;
 }
--- a/core/ini.h
+++ b/core/ini.h
@@ -1,5 +1,5 @@
-// INI text read into sections with line numbers, and bound to typed fields. All problems of a file
-// are reported in one go, each with file, line, key and what was expected.
+// Parses INI text into sections with line numbers and binds them to typed fields. All problems of a
+// file are reported together, each with file, line, key and the expected value.
 #pragma once
 
 #include <functional>
@@ -10,7 +10,7 @@
 
 struct IniProblem {
   int line = 0;
-  // "section / key"; empty for a problem of the whole file.
+  // "[section] key"; empty for a problem of the whole file.
   std::string place;
   std::string message;
 };
@@ -34,26 +34,27 @@
   std::vector<IniSection> sections;
   std::vector<IniProblem> problems;
 
-  // Throws Error(kInvalidInput) that lists every problem, a line each, if there is any.
+  // If there are problems, throws an Error(kInvalidInput) that lists them, one in each line.
   void ThrowIfProblems() const;
 };
 
 inline constexpr size_t kMaxIniBytes = 1 << 20;
 
-// Never throws on bad text; what is wrong is in `problems`.
+// Parses `text`; `name` is used in messages. Does not throw on invalid text but adds to `problems`.
 IniFile ParseIni(const std::string& name, const std::string& text);
 
-// One key that a section may hold. `assign` throws Error(kInvalidInput) for a bad value.
+// A key that a section may contain. `assign` throws Error(kInvalidInput) for an invalid value.
 struct IniKey {
   std::string name;
   bool required = false;
   std::function<void(const std::string&)> assign;
 };
 
-// Binds the rows of `section`: unknown, duplicate, missing and bad keys go to `file->problems`.
+// Assigns the values of `section` to the fields of `keys`. Adds unknown, duplicate, missing and
+// invalid keys to `file->problems`.
 void BindSection(const IniSection& section, const std::vector<IniKey>& keys, IniFile* file);
 
-// Reports a section of a kind that the file may not have.
+// Adds a problem for a section whose kind is unknown. `known_kinds` lists the known kinds.
 void ReportUnknownSection(const IniSection& section, const std::string& known_kinds, IniFile* file);
 
 }  // namespace turmericshift
--- a/core/ini_keys.cc
+++ b/core/ini_keys.cc
@@ -54,7 +54,7 @@
             std::string word;
             while (words >> word) target->push_back(word);
             if (IsRequired(presence) && target->empty()) {
-              throw Error(ErrorKind::kInvalidInput, "names nothing");
+              throw Error(ErrorKind::kInvalidInput, "must list at least one word");
             }
           }};
 }
--- a/core/ini_test.cc
+++ b/core/ini_test.cc
@@ -10,7 +10,7 @@
 namespace turmericshift {
 namespace {
 
-TEST(IniTest, OverlongLinesAndNulBytesAreRefusedWithTheirLine) {
+TEST(IniTest, ReportsLineOfOverlongLinesAndNulBytes) {
   const std::string text =
       "[a]\nkey = " + std::string(5000, 'x') + "\nother = " + std::string("b\0c", 3) + "\n";
   const IniFile file = ParseIni("f", text);
@@ -19,17 +19,17 @@
   EXPECT_EQ(file.problems[1].line, 3);
 }
 
-RC_GTEST_PROP(IniProperty, AnyBytesGiveAFileOrProblemsAndNeverCrash, (const std::string& text)) {
+RC_GTEST_PROP(IniProperty, ParsesAnyBytesWithoutCrashing, (const std::string& text)) {
   ParseIni("f", text);
 }
 
-RC_GTEST_PROP(UnitsProperty, DurationsReadBackAsWritten, ()) {
+RC_GTEST_PROP(UnitsProperty, FormattedDurationsParseToTheSameValue, ()) {
   const auto millis = *rc::gen::inRange<int64_t>(0, int64_t{1} << 40);
   const Duration duration = std::chrono::milliseconds(millis);
   RC_ASSERT(ParseDuration(FormatDuration(duration)) == duration);
 }
 
-TEST(UnitsTest, NumbersWithoutOrWithWrongUnitsAreRefused) {
+TEST(UnitsTest, RejectsMissingAndUnknownUnits) {
   for (const char* text : {"5", "5 s", "-5s", "5sec", "", "99999999999999999999s"}) {
     EXPECT_THROW(ParseDuration(text), Error) << text;
   }
--- a/core/listen_socket.cc
+++ b/core/listen_socket.cc
@@ -15,10 +15,10 @@
 namespace turmericshift {
 namespace {
 
-constexpr int kMostTries = 50;
-constexpr Duration kBetweenTries = std::chrono::milliseconds(100);
+constexpr int kMaxTries = 50;
+constexpr Duration kRetryInterval = std::chrono::milliseconds(100);
 
-// The socket, or -1 with errno set.
+// Returns the socket, or -1 with errno set.
 int TryToListen(const sockaddr_in& address) {
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   if (fd < 0) return -1;
@@ -55,13 +55,13 @@
     const int fd = TryToListen(to);
     if (fd >= 0) return fd;
     const int failure = errno;
-    const bool taken = failure == EADDRINUSE && port != 0;
-    if (!taken || tries >= kMostTries) {
+    const bool in_use = failure == EADDRINUSE && port != 0;
+    if (!in_use || tries >= kMaxTries) {
       throw Error(ErrorKind::kUnavailable,
                   "can't listen on " + where + ": " + std::generic_category().message(failure));
     }
     if (tries == 1) LogEvent(LogLevel::kWarning, "port_taken", {{"address", where}});
-    pause(kBetweenTries);
+    pause(kRetryInterval);
   }
 }
 
--- a/core/listen_socket_test.cc
+++ b/core/listen_socket_test.cc
@@ -12,9 +12,8 @@
 
 constexpr const char* kLoopback = "127.0.0.1";
 
-// An entry that was started again in place ended at once, since its port was another's for a
-// moment.
-TEST(ListenSocket, WaitsForAPortThatIsTakenForAMoment) {
+// An entry that was restarted in place exited immediately because its port was still in use.
+TEST(ListenSocket, RetriesWhileThePortIsInUse) {
   const int holder = ListenSocket(kLoopback, 0);
   const int port = BoundPort(holder);
   int pauses = 0;
@@ -26,12 +25,12 @@
   close(fd);
 }
 
-TEST(ListenSocket, GivesUpAPortThatStaysTaken) {
+TEST(ListenSocket, GivesUpIfThePortStaysInUse) {
   const int holder = ListenSocket(kLoopback, 0);
   Duration waited{};
   try {
     ListenSocket(kLoopback, BoundPort(holder), [&](Duration pause) { waited += pause; });
-    ADD_FAILURE() << "two sockets listen on one port";
+    ADD_FAILURE() << "opened a second listening socket on a port in use";
   } catch (const Error& error) {
     EXPECT_EQ(error.kind(), ErrorKind::kUnavailable);
   }
@@ -40,8 +39,9 @@
   close(holder);
 }
 
-// Two processes on one port share its callers, and those of a process that hangs get no answer.
-TEST(ListenSocket, AServersPortIsItsAlone) {
+// If two processes listened on one port, the system would spread callers over both, and callers of
+// a process that hangs would get no response.
+TEST(ListenSocket, PortIsNotShared) {
   const HttpServer server({}, [](const HttpRequest&) { return HttpResponse(); });
   const int fd = socket(AF_INET, SOCK_STREAM, 0);
   const int on = 1;
@@ -51,7 +51,7 @@
   close(fd);
 }
 
-TEST(ListenSocket, RefusesWhatIsNoAddress) { EXPECT_THROW(ListenSocket("localhost", 0), Error); }
+TEST(ListenSocket, RejectsInvalidAddress) { EXPECT_THROW(ListenSocket("localhost", 0), Error); }
 
 }  // namespace
 }  // namespace turmericshift
--- a/core/log_writer.cc
+++ b/core/log_writer.cc
@@ -11,13 +11,13 @@
 namespace turmericshift {
 namespace {
 
-// How often a writer that waits for a reader looks whether it should stop.
-constexpr int kPollMillis = 200;
+// Interval at which a writer that waits for a slow reader checks whether to stop.
+constexpr int kPollTimeoutMs = 200;
 
 }  // namespace
 
-LogWriter::LogWriter(int fd, size_t most_lines)
-    : fd_(fd), most_lines_(most_lines), thread_("log", [this] { Run(); }) {}
+LogWriter::LogWriter(int fd, size_t max_lines)
+    : fd_(fd), max_lines_(max_lines), thread_("log", [this] { Run(); }) {}
 
 LogWriter::~LogWriter() {
   const std::lock_guard<std::mutex> lock(mutex_);
@@ -28,8 +28,8 @@
 void LogWriter::Put(LogLevel level, std::string line) {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    const size_t most = level == LogLevel::kInfo ? most_lines_ / 2 : most_lines_;
-    if (lines_.size() >= most) {
+    const size_t limit = level == LogLevel::kInfo ? max_lines_ / 2 : max_lines_;
+    if (lines_.size() >= limit) {
       ++dropped_;
       return;
     }
@@ -49,12 +49,12 @@
 }
 
 std::string LogWriter::DroppedLine() {
-  if (dropped_ == dropped_told_) return "";
+  if (dropped_ == dropped_reported_) return "";
   const nlohmann::json line = {{"time_ms", DefaultClock().WallMillis()},
                                {"level", "warning"},
                                {"event", "log_lines_dropped"},
-                               {"count", dropped_ - dropped_told_}};
-  dropped_told_ = dropped_;
+                               {"count", dropped_ - dropped_reported_}};
+  dropped_reported_ = dropped_;
   return line.dump() + "\n";
 }
 
@@ -80,7 +80,7 @@
   size_t written = 0;
   while (written < bytes.size()) {
     pollfd ready{fd_, POLLOUT, 0};
-    const int polled = poll(&ready, 1, kPollMillis);
+    const int polled = poll(&ready, 1, kPollTimeoutMs);
     {
       const std::lock_guard<std::mutex> lock(mutex_);
       if (polled == 0 && stopping_) return false;
@@ -89,7 +89,7 @@
     const size_t chunk = std::min<size_t>(bytes.size() - written, PIPE_BUF);
     const ssize_t count = write(fd_, bytes.data() + written, chunk);
     if (count > 0) written += static_cast<size_t>(count);
-    // Nobody will ever read; there is no better place to say so.
+    // The reader is gone for good, and there is no other place to report this.
     if (count < 0 && errno != EAGAIN && errno != EINTR) return false;
   }
   return true;
--- a/core/log_writer_test.cc
+++ b/core/log_writer_test.cc
@@ -30,9 +30,9 @@
   close(ends[0]);
 }
 
-// Nobody reads the process's output. Whoever logs must go on all the same; what is lost is the less
-// telling lines, and once somebody reads again, how many.
-TEST(LogWriter, NeverWaitsForAReader) {
+// Nobody reads the process's output. Logging must not block: info lines are dropped first, and the
+// number of dropped lines is reported when the output is read again.
+TEST(LogWriter, DoesNotBlockWithoutAReader) {
   int ends[2];
   ASSERT_EQ(pipe(ends), 0);
   const std::string line(1000, 'x');
@@ -48,7 +48,7 @@
   close(ends[0]);
 }
 
-TEST(LogWriter, TellsHowManyLinesWereDropped) {
+TEST(LogWriter, ReportsNumberOfDroppedLines) {
   int ends[2];
   ASSERT_EQ(pipe(ends), 0);
   std::string read_back;
--- a/core/logging.cc
+++ b/core/logging.cc
@@ -17,7 +17,7 @@
   return identity;
 }
 
-// Lives as long as the process: threads log until the very end.
+// The writer is never destroyed, since threads may log until the process exits.
 LogWriter*& Writer() {
   static LogWriter* writer = nullptr;
   return writer;
--- a/core/logging.h
+++ b/core/logging.h
@@ -1,5 +1,5 @@
-// Log events as JSON lines: through glog on standard error, or, for processes that serve, from a
-// thread of its own on standard output.
+// Log events as JSON lines: through glog on standard error or, for daemons, on standard output from
+// a separate thread.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -9,23 +9,23 @@
 
 enum class LogLevel { kInfo, kWarning, kError };
 
-// What every line of this process carries.
+// Fields that every log line of this process contains.
 struct LogIdentity {
   std::string role;
   std::string process;
   std::string availability_zone;
 };
 
-// Sets glog up for JSON lines. Call once, before other threads start.
+// Configures glog for JSON lines. Call this function before other threads start.
 void InitLogging(const char* program, const LogIdentity& identity);
 
-// From now on lines go to standard output, and nobody waits for a reader; see LogWriter.
+// Redirects log lines to standard output without blocking on the reader; see LogWriter.
 void LogToStandardOutput();
-// Waits until what was logged is written, at most a fifth of a second.
+// Waits, for 200 ms at most, until all lines logged so far are written.
 void FlushLog();
 
-// One line: time, level, identity, `event` (snake_case) and `fields` (a JSON object).
-// Fields must hold no token, key or body.
+// Logs a line with time, level, identity, `event` (snake_case) and `fields` (a JSON object).
+// `fields` must not contain tokens, keys or bodies.
 void LogEvent(LogLevel level, const std::string& event,
               const nlohmann::json& fields = nlohmann::json::object());
 
--- a/core/metrics.cc
+++ b/core/metrics.cc
@@ -3,7 +3,7 @@
 #include <sstream>
 #include <vector>
 
-// These use <sstream> without including it, so they stand after it in a block of their own.
+// The Boost headers use <sstream> without including it, so they must come after <sstream>.
 #include <boost/accumulators/accumulators.hpp>
 #include <boost/accumulators/statistics/count.hpp>
 #include <boost/accumulators/statistics/extended_p_square_quantile.hpp>
--- a/core/metrics.h
+++ b/core/metrics.h
@@ -1,4 +1,5 @@
-// Metrics behind Boost.Accumulators, printed in the text format that monitoring systems scrape.
+// Counters, gauges and distributions, printed in the Prometheus text format. Distributions use
+// Boost.Accumulators.
 #pragma once
 
 #include <atomic>
@@ -28,7 +29,7 @@
   std::atomic<double> value_{0};
 };
 
-// Count, sum and the estimated 50th and 99th percentile of samples, in constant memory.
+// Count, sum, and estimated 50th and 99th percentile of samples, in constant memory.
 class Distribution {
  public:
   Distribution();
@@ -37,7 +38,7 @@
   void Record(double sample);
   int64_t count() const;
   double sum() const;
-  // `quantile` is 0.5 or 0.99; 0 before the first sample.
+  // Returns an estimate; `quantile` is 0.5 or 0.99. Returns 0 before the first sample.
   double Quantile(double quantile) const;
 
  private:
@@ -47,14 +48,15 @@
 };
 
 // The metrics of one process. Names are snake_case with the unit last (`_seconds`, `_bytes`).
-// References stay valid as long as the registry.
+// References stay valid for the lifetime of the registry.
 class MetricsRegistry {
  public:
   Counter& counter(const std::string& name);
   Gauge& gauge(const std::string& name);
   Distribution& distribution(const std::string& name);
 
-  // The exposition text of all metrics, in name order.
+  // Returns the exposition text of all metrics, sorted by name within counters, gauges and
+  // distributions.
   std::string Expose() const;
 
  private:
--- a/core/plugin_registry.h
+++ b/core/plugin_registry.h
@@ -1,5 +1,6 @@
-// Plug-ins by name. A module's register_types function adds its factories; main/register_modules.cc
-// calls every such function, so that the linker can't drop one unnoticed.
+// Registry of plug-ins by name. A module's register_types function adds its factories;
+// main/register_modules.cc calls every such function, so that the linker can't silently drop a
+// module.
 #pragma once
 
 #include <functional>
@@ -18,16 +19,16 @@
  public:
   using Factory = std::function<std::unique_ptr<Interface>(Arguments...)>;
 
-  // The registry of this interface.
+  // Returns the registry of this interface.
   static PluginRegistry& Instance() {
     static PluginRegistry registry;
     return registry;
   }
 
-  // Registering a name again replaces the factory, so that register_types may run more than once.
+  // Registering a name again replaces its factory, so that register_types may run more than once.
   void Register(const std::string& name, Factory factory) { factories_[name] = std::move(factory); }
 
-  // Throws Error(kInvalidInput), naming the known plug-ins, for a name that none registered.
+  // Throws Error(kInvalidInput), with the list of known plug-ins, if `name` is not registered.
   std::unique_ptr<Interface> Create(const std::string& name, Arguments... arguments) const {
     const auto found = factories_.find(name);
     if (found != factories_.end()) return found->second(std::forward<Arguments>(arguments)...);
--- a/core/result.h
+++ b/core/result.h
@@ -1,4 +1,4 @@
-// A value or the Error that came in its place, for crossing boundaries that lose exception types.
+// A value or an Error, for boundaries that lose exception types, such as threads and RPC promises.
 #pragma once
 
 #include <exception>
@@ -14,14 +14,15 @@
   std::optional<Value> value;
   std::optional<Error> error;
 
-  // The value; throws the Error if there is one.
+  // Moves the value out, so call this only once. Throws the Error if there is one.
   Value Take() {
     if (error) throw *error;
     return std::move(*value);
   }
 };
 
-// What `work` returns or throws.
+// Calls `work` and captures its return value or exception. An exception that is not an Error
+// becomes an Error(kInternal).
 template <typename Value, typename Work>
 Result<Value> ResultOf(Work&& work) {
   Result<Value> result;
--- a/core/secret.cc
+++ b/core/secret.cc
@@ -14,7 +14,7 @@
 
 void EnsureInitialised() {
   static const int state = sodium_init();
-  if (state < 0) throw Error(ErrorKind::kInternal, "libsodium can't start");
+  if (state < 0) throw Error(ErrorKind::kInternal, "libsodium could not be initialized");
 }
 
 std::string Hex(const unsigned char* bytes, size_t count) {
@@ -28,7 +28,8 @@
   return reinterpret_cast<const unsigned char*>(text.data());
 }
 
-// Keyed hash of `message`. Keys of any length are first hashed to the library's size.
+// Returns a keyed hash of `message`. The key may have any length and is first hashed to libsodium's
+// key size.
 std::string KeyedHash(std::string_view key, std::string_view message) {
   EnsureInitialised();
   unsigned char short_key[crypto_generichash_KEYBYTES];
--- a/core/shutdown.cc
+++ b/core/shutdown.cc
@@ -10,7 +10,7 @@
 namespace turmericshift {
 namespace {
 
-constexpr int kCutExitCode = 1;
+constexpr int kForcedExitCode = 1;
 
 sigset_t StopSignals() {
   sigset_t signals;
@@ -20,7 +20,7 @@
   return signals;
 }
 
-void WaitForOne() {
+void WaitForStopSignal() {
   const sigset_t signals = StopSignals();
   int received = 0;
   sigwait(&signals, &received);
@@ -34,15 +34,15 @@
 }
 
 void ShutdownSignal::Wait() {
-  WaitForOne();
+  WaitForStopSignal();
   LogEvent(LogLevel::kInfo, "stop_asked");
 }
 
 void ShutdownSignal::ExitOnNextSignal() {
   Thread cutter("cut-on-signal", [] {
-    WaitForOne();
+    WaitForStopSignal();
     LogEvent(LogLevel::kWarning, "stop_cut");
-    _exit(kCutExitCode);
+    _exit(kForcedExitCode);
   });
   cutter.Detach();
 }
--- a/core/shutdown.h
+++ b/core/shutdown.h
@@ -1,27 +1,30 @@
-// Orderly shutdown: the first SIGTERM or SIGINT asks for a graceful stop, a second one cuts.
+// Shutdown by signals: the first SIGTERM or SIGINT requests a graceful stop, the second signal
+// forces an exit.
 #pragma once
 
 namespace turmericshift {
 
 class ShutdownSignal {
  public:
-  // Blocks the two signals for this thread and every thread made later; construct it first in
-  // main, or a thread of a library takes the signal and the process dies with requests in flight.
+  // Blocks both signals for this thread and all threads created later. Construct the ShutdownSignal
+  // before any other thread is created; otherwise a library's thread may receive the signal, and
+  // the process dies with requests in flight.
   ShutdownSignal();
 
-  // Waits for the first signal.
+  // Blocks until the first signal arrives.
   void Wait();
 
-  // From here on, a further signal ends the process at once with exit code 1.
+  // From now on, another signal ends the process immediately with exit code 1.
   void ExitOnNextSignal();
 };
 
-// SIGHUP tells that the settings file has changed, which takes a restart; SIGPIPE that a peer has
-// gone, which the write tells as well. Neither may end a daemon, also not while it starts.
+// Ignores SIGHUP and SIGPIPE, which must not end a daemon, not even while it starts. SIGHUP
+// announces a changed settings file, which takes effect only after a restart. SIGPIPE announces a
+// closed connection, which the write call reports as well.
 void IgnoreHangUpAndPipe();
 
-// Ends the process at once with `code`. For daemons that have nothing left to do but wait for
-// threads in calls that last seconds, longer than the platform gives a stop.
+// Flushes the log and exits immediately with `code`. For daemons that are done except for threads
+// in blocking calls, which may take seconds, longer than the platform allows for a stop.
 [[noreturn]] void EndProcess(int code);
 
 }  // namespace turmericshift
--- a/core/thread.cc
+++ b/core/thread.cc
@@ -23,7 +23,7 @@
   try {
     start->body();
   } catch (const std::exception& error) {
-    // An exception that leaves a thread would end the process and everything it serves.
+    // An exception that escapes from a thread would end the whole process.
     LogEvent(LogLevel::kError, "thread_failed", {{"thread", start->name}, {"error", error.what()}});
   }
   return nullptr;
@@ -38,7 +38,7 @@
   pthread_attr_setstacksize(&attributes, stack_bytes);
   const int failure = pthread_create(&handle_, &attributes, &Run, start.get());
   pthread_attr_destroy(&attributes);
-  if (failure != 0) throw Error(ErrorKind::kUnavailable, "no room for thread " + name);
+  if (failure != 0) throw Error(ErrorKind::kUnavailable, "can't create thread " + name);
   static_cast<void>(start.release());
   running_ = true;
 }
--- a/core/thread.h
+++ b/core/thread.h
@@ -11,12 +11,12 @@
 
 inline constexpr size_t kDefaultStackBytes = size_t{256} * 1024;
 
-// A joinable thread. The destructor joins, so the owner must first make the body return.
+// A joinable thread. The destructor joins the thread, so the owner must make the body return first.
 class Thread {
  public:
   Thread() = default;
-  // Names longer than 15 bytes are cut, as the kernel keeps no more.
-  // Throws Error(kUnavailable) when the system has no room for another thread.
+  // Names are truncated to 15 bytes, the kernel's limit.
+  // Throws Error(kUnavailable) if the system can't create another thread.
   Thread(const std::string& name, std::function<void()> body,
          size_t stack_bytes = kDefaultStackBytes);
   Thread(Thread&& other) noexcept;
@@ -26,7 +26,7 @@
   ~Thread();
 
   void Join();
-  // Lets the thread end by itself; its body must own all that it uses.
+  // Lets the thread run on without its owner; the body must own everything that it uses.
   void Detach();
   bool joinable() const { return running_; }
 
--- a/core/thread_pool.h
+++ b/core/thread_pool.h
@@ -1,4 +1,4 @@
-// A pool of threads that grows up to a bound, for work that blocks.
+// A thread pool for blocking work that creates threads on demand, up to a limit.
 #pragma once
 
 #include <condition_variable>
@@ -15,12 +15,13 @@
 class ThreadPool {
  public:
   ThreadPool(const std::string& name, int max_threads, size_t stack_bytes = kDefaultStackBytes);
-  // Runs what is queued, then joins.
+  // Runs all queued work, then joins the threads.
   ~ThreadPool();
   ThreadPool(const ThreadPool&) = delete;
   ThreadPool& operator=(const ThreadPool&) = delete;
 
-  // Never blocks and never drops; bound the number of callers instead.
+  // Queues `work`. Never blocks and never drops work, so callers must limit how much work they
+  // submit.
   void Submit(std::function<void()> work);
 
  private:
--- a/core/units.cc
+++ b/core/units.cc
@@ -25,14 +25,15 @@
                                {"MiB", 1 << 20},
                                {"KiB", 1 << 10},
                                {"B", 1}};
-// Keeps every product within 64 bits, nanoseconds included: some 100 years.
+// About 100 years; keeps every product within 64 bits, also in nanoseconds.
 constexpr int64_t kMaxMillis = int64_t{36500} * 86400 * kMillisPerSecond;
 
 [[noreturn]] void Refuse(const std::string& text, const std::string& expected) {
   throw Error(ErrorKind::kInvalidInput, "'" + text + "' is not " + expected);
 }
 
-// `text` as a count times the factor of its unit; expected names the forms for the message.
+// Returns the count in `text` multiplied by the factor of its unit. `expected` describes the valid
+// forms for the error message.
 template <size_t kCount>
 int64_t ParseWithUnit(const std::string& text, const Unit (&units)[kCount], int64_t limit,
                       const std::string& expected) {
@@ -86,7 +87,7 @@
   double value = 0;
   const char* end = text.data() + text.size();
   const auto [rest, failure] = std::from_chars(text.data(), end, value);
-  // Written so that a NaN is refused too.
+  // The negated condition also rejects NaN.
   if (failure != std::errc() || rest != end || !(value >= low && value <= high)) {
     Refuse(text, "a number from " + std::to_string(low) + " to " + std::to_string(high));
   }
