--- a/servers/history/config_checks.cc
+++ b/servers/history/config_checks.cc
@@ -9,7 +9,8 @@
 
 using Kind = HistoryEventKind;
 
-// No process goes back to an older version, and a version is one document everywhere.
+// No process returns to an older version of the document, and a version is the same document in all
+// processes.
 class ConfigNeverReverts : public HistoryCheck {
  public:
   const char* name() const override { return "config_never_reverts"; }
@@ -20,8 +21,8 @@
     bool any = false;
     for (const HistoryEvent& event : history.events) {
       if (event.kind != Kind::kConfigInForce && event.kind != Kind::kConfigAccepted) continue;
-      const auto [document, fresh] = documents.emplace(event.version, &event);
-      if (!fresh && document->second->digest != event.digest) {
+      const auto [document, inserted] = documents.emplace(event.version, &event);
+      if (!inserted && document->second->digest != event.digest) {
         return Violated("one version has two documents", {*document->second, event});
       }
       if (event.kind != Kind::kConfigInForce) continue;
@@ -36,7 +37,8 @@
   }
 };
 
-// A zone that operators took out starts nothing once the bound has passed, until it is in again.
+// When operators take a zone out of use, no task starts there after the bound has passed, until the
+// zone is in use again.
 class NoStartAfterZoneExit : public HistoryCheck {
  public:
   const char* name() const override { return "no_start_after_zone_exit"; }
@@ -46,7 +48,7 @@
     std::map<std::string, const HistoryEvent*> out_since;
     int64_t version = 0;
     for (const HistoryEvent& event : history.events) {
-      // The first sight of a version counts, whoever logged it.
+      // The first event with a version counts, whichever process logged the event.
       const bool document =
           event.kind == Kind::kConfigAccepted || event.kind == Kind::kConfigInForce;
       if (document && event.version > version) {
--- a/servers/history/gang_checks.cc
+++ b/servers/history/gang_checks.cc
@@ -8,31 +8,31 @@
 
 using Kind = HistoryEventKind;
 
-// One try of one job.
-struct AttemptName {
+// Identifies an attempt of a job.
+struct AttemptId {
   std::string job;
   int64_t attempt = 0;
-  auto operator<=>(const AttemptName&) const = default;
+  auto operator<=>(const AttemptId&) const = default;
 };
 
-// The members of one attempt that run, by worker.
-struct AttemptState {
-  // Tasks of the whole gang; 0 until the plan was seen.
+// The running members of an attempt, by worker.
+struct AttemptMembers {
+  // Number of tasks of the whole gang; 0 until the gang_planned event.
   int planned = 0;
   int running = 0;
   std::map<std::string, int> by_worker;
-  // A member stopped before all had ended: the rest must follow.
+  // First event after which only some of the gang's tasks ran; null while all or none of them run.
   const HistoryEvent* partial_since = nullptr;
 };
 
-using Attempts = std::map<AttemptName, AttemptState>;
+using Attempts = std::map<AttemptId, AttemptMembers>;
 
 bool IsMemberEvent(Kind kind) {
   return kind == Kind::kGangReleased || kind == Kind::kGangStopped || kind == Kind::kGangForgotten;
 }
 
-// Applies an event of one member.
-void Follow(const HistoryEvent& event, AttemptState* state) {
+// Applies an event of a gang's member.
+void ApplyMemberEvent(const HistoryEvent& event, AttemptMembers* state) {
   if (event.kind == Kind::kGangReleased) {
     int& here = state->by_worker[event.process];
     state->running += event.tasks - here;
@@ -45,7 +45,7 @@
   }
 }
 
-// A gang does not run with only part of its members for longer than its lease takes to end it.
+// A gang does not run with only part of its members for longer than its lease takes to expire.
 class NoPartialGang : public HistoryCheck {
  public:
   const char* name() const override { return "no_partial_gang"; }
@@ -55,14 +55,14 @@
     Attempts attempts;
     bool any = false;
     for (const HistoryEvent& event : history.events) {
-      if (const auto late = FirstLate(attempts, event.time_ms - bound)) {
-        return Violated("part of a gang ran alone for longer than the bound", {*late, event});
+      if (const auto overdue = FirstOverdue(attempts, event.time_ms - bound)) {
+        return Violated("part of a gang ran alone for longer than the bound", {*overdue, event});
       }
-      AttemptState& state = attempts[{event.job, event.attempt}];
+      AttemptMembers& state = attempts[{event.job, event.attempt}];
       if (event.kind == Kind::kGangPlanned) state.planned = event.tasks;
       if (!IsMemberEvent(event.kind)) continue;
       any = true;
-      Follow(event, &state);
+      ApplyMemberEvent(event, &state);
       const bool partial = state.running > 0 && state.running < state.planned;
       if (!partial) state.partial_since = nullptr;
       if (partial && state.partial_since == nullptr) state.partial_since = &event;
@@ -72,7 +72,7 @@
   }
 
  private:
-  static std::optional<HistoryEvent> FirstLate(const Attempts& attempts, int64_t limit_ms) {
+  static std::optional<HistoryEvent> FirstOverdue(const Attempts& attempts, int64_t limit_ms) {
     for (const auto& [name, state] : attempts) {
       if (state.partial_since != nullptr && state.partial_since->time_ms < limit_ms) {
         return *state.partial_since;
@@ -82,23 +82,23 @@
   }
 };
 
-// Two tries of one job never run at the same time: the work would be done twice.
+// Two attempts of a job never run at the same time, as the work would be done twice.
 class NoTwoAttemptsAtOnce : public HistoryCheck {
  public:
   const char* name() const override { return "no_two_attempts_at_once"; }
 
   CheckResult Check(const History& history, const HistoryBounds& /*bounds*/) const override {
-    std::map<std::string, std::map<int64_t, AttemptState>> jobs;
-    std::map<AttemptName, const HistoryEvent*> first_release;
+    std::map<std::string, std::map<int64_t, AttemptMembers>> jobs;
+    std::map<AttemptId, const HistoryEvent*> first_release;
     bool any = false;
     for (const HistoryEvent& event : history.events) {
       if (!IsMemberEvent(event.kind)) continue;
       any = true;
-      std::map<int64_t, AttemptState>& attempts = jobs[event.job];
-      Follow(event, &attempts[event.attempt]);
+      std::map<int64_t, AttemptMembers>& attempts = jobs[event.job];
+      ApplyMemberEvent(event, &attempts[event.attempt]);
       if (attempts[event.attempt].running == 0) attempts.erase(event.attempt);
       if (event.kind != Kind::kGangReleased) continue;
-      first_release.emplace(AttemptName{event.job, event.attempt}, &event);
+      first_release.emplace(AttemptId{event.job, event.attempt}, &event);
       for (const auto& [attempt, state] : attempts) {
         if (attempt == event.attempt) continue;
         return Violated("two attempts of one job run at once",
--- a/servers/history/history_check.cc
+++ b/servers/history/history_check.cc
@@ -44,7 +44,7 @@
     if (wanted) results.push_back(check->Check(history, bounds));
   }
   if (!names.empty() && results.size() != names.size()) {
-    throw Error(ErrorKind::kInvalidInput, "no check of that name, or named twice");
+    throw Error(ErrorKind::kInvalidInput, "unknown or repeated name of a check");
   }
   return results;
 }
--- a/servers/history/history_check.h
+++ b/servers/history/history_check.h
@@ -1,5 +1,5 @@
-// Checks of a history against the promises. Each names the promise it serves, and says what in the
-// log contradicts it.
+// Checks that a history keeps the guarantees of the system. Each check is named after its guarantee
+// and reports the log lines that contradict the guarantee.
 #pragma once
 
 #include <memory>
@@ -14,34 +14,35 @@
 enum class CheckVerdict { kHeld, kViolated, kNotChecked };
 const char* CheckVerdictName(CheckVerdict verdict);
 
-// What the checks allow. The defaults are the document's defaults with room for late log lines.
+// Limits for the checks. The defaults are those of the environment document plus a margin for
+// delayed log lines.
 struct HistoryBounds {
-  // No start in a zone later than this after it was taken out.
+  // Time after a zone was taken out of use in which tasks may still start in the zone.
   Duration zone_out = std::chrono::seconds(3);
-  // A gang may run with some members for no longer than this, while the others stop.
+  // Longest time for which a gang may run with only some of its members, while the others stop.
   Duration partial_gang = std::chrono::seconds(10);
-  // A job within its guarantee has started within this time.
+  // Longest time until a job that is covered by its workspace's guarantee starts.
   Duration reclaim = std::chrono::seconds(30);
-  // An accepted job that has not ended is forgotten when nothing was said of it for this long
-  // before the history's end; zero: it must have ended.
+  // An accepted job that has not ended counts as forgotten if no event names the job in this time
+  // before the end of the history. Zero: every accepted job must have ended.
   Duration job_silence = std::chrono::hours(24);
 };
 
 struct CheckResult {
   std::string check;
   CheckVerdict verdict = CheckVerdict::kHeld;
-  // Why it is violated, or what the history lacks for the check.
+  // Why the check is violated, or which events are missing for the check.
   std::string message;
-  // The events that contradict the promise, in order of time.
+  // The events that contradict the guarantee, ordered by time.
   std::vector<HistoryEvent> evidence;
 };
 
 class HistoryCheck {
  public:
   virtual ~HistoryCheck() = default;
-  // The promise, in snake_case.
+  // The name of the guarantee, in snake_case.
   virtual const char* name() const = 0;
-  // `history` is in order of time. Reports the first contradiction.
+  // Checks `history`, which must be ordered by time, and reports the first violation.
   virtual CheckResult Check(const History& history, const HistoryBounds& bounds) const = 0;
 
  protected:
@@ -50,26 +51,27 @@
   CheckResult NotChecked(const std::string& message) const;
 };
 
-// Requests: at_most_once, answer_matches_request, not_run_is_true.
+// Checks of requests: at_most_once, answer_matches_request, not_run_is_true.
 std::vector<std::unique_ptr<HistoryCheck>> RequestChecks();
-// Documents and zones: config_never_reverts, no_start_after_zone_exit.
+// Checks of documents and zones: config_never_reverts, no_start_after_zone_exit.
 std::vector<std::unique_ptr<HistoryCheck>> ConfigChecks();
-// Gangs: no_partial_gang, no_two_attempts_at_once.
+// Checks of gangs: no_partial_gang, no_two_attempts_at_once.
 std::vector<std::unique_ptr<HistoryCheck>> GangChecks();
-// Jobs: job_done_at_most_once, no_job_forgotten, guarantee_reclaimed_within_bound.
+// Checks of jobs: job_done_at_most_once, no_job_forgotten, guarantee_reclaimed_within_bound.
 std::vector<std::unique_ptr<HistoryCheck>> JobChecks();
 
-// Runs all checks, or only those named. Throws Error(kInvalidInput) for an unknown name.
+// Runs the checks in `names`, or all checks if `names` is empty. Throws Error(kInvalidInput) for an
+// unknown or repeated name.
 std::vector<CheckResult> CheckHistory(const History& history, const HistoryBounds& bounds,
                                       const std::vector<std::string>& names = {});
 
-// Names of all checks.
+// Returns the names of all checks.
 std::vector<std::string> HistoryCheckNames();
 
-// No result says kViolated.
+// Returns whether no result is kViolated.
 bool AllHeld(const std::vector<CheckResult>& results);
 
-// The results for people, with the evidence of each violation.
+// Formats the results as text, with the evidence of each violation.
 std::string DescribeResults(const std::vector<CheckResult>& results);
 
 }  // namespace turmericshift
--- a/servers/history/history_check_test.cc
+++ b/servers/history/history_check_test.cc
@@ -34,9 +34,9 @@
 constexpr auto kViolated = CheckVerdict::kViolated;
 constexpr auto kNotChecked = CheckVerdict::kNotChecked;
 
-// A label run was sent to a second agent after the first one's answer was lost. The household is
+// A request was sent to a second agent after the first agent's answer was lost, so a customer is
 // charged twice.
-TEST(HistoryCheckTest, ARequestThatRanTwiceIsCaught) {
+TEST(HistoryCheckTest, DetectsRequestThatRanTwice) {
   const std::string once = R"({"event":"request_run","time_ms":1,"request":"a","key_tag":"k"}
 )";
   const std::string twice = R"({"event":"request_run","time_ms":9,"request":"b","key_tag":"k"}
@@ -46,33 +46,33 @@
   ExpectVerdict("at_most_once", kNotChecked, R"({"event":"entry_leaving","time_ms":1})");
 }
 
-// Two answers crossed on a connection. A parent reads another child's allergies.
-TEST(HistoryCheckTest, ACrossedAnswerIsCaught) {
+// Two answers on a connection were swapped, so a caller reads the data of another.
+TEST(HistoryCheckTest, DetectsAnswerOfAnotherRequest) {
   const std::string ran =
       R"({"event":"request_run","time_ms":1,"request":"a","key_tag":""}
 {"event":"request_ran","time_ms":2,"request":"a","key_tag":"","answer_digest":"x"}
 )";
-  const std::string told =
+  const std::string answered =
       R"({"event":"request_answered","time_ms":3,"request":"a","outcome":"ran","answer_digest":)";
-  ExpectVerdict("answer_matches_request", kHeld, ran + told + "\"x\"}");
-  ExpectVerdict("answer_matches_request", kViolated, ran + told + "\"y\"}");
+  ExpectVerdict("answer_matches_request", kHeld, ran + answered + "\"x\"}");
+  ExpectVerdict("answer_matches_request", kViolated, ran + answered + "\"y\"}");
 }
 
-// An entry gave up on a target and said "not run" while the target worked on. The shop sends the
-// order again and gets two.
-TEST(HistoryCheckTest, AFalseNotRunIsCaught) {
-  const std::string told =
+// An entry gave up on a target and answered "not run" while the target went on. The caller sends
+// the order again, and the order is carried out twice.
+TEST(HistoryCheckTest, DetectsFalseNotRun) {
+  const std::string answered =
       R"({"event":"request_answered","time_ms":3,"request":"a","outcome":"not_run"}
 )";
   ExpectVerdict("not_run_is_true", kHeld,
-                told + R"({"event":"request_run","time_ms":4,"request":"b"})");
+                answered + R"({"event":"request_run","time_ms":4,"request":"b"})");
   ExpectVerdict("not_run_is_true", kViolated,
-                told + R"({"event":"request_run","time_ms":4,"request":"a"})");
+                answered + R"({"event":"request_run","time_ms":4,"request":"a"})");
 }
 
-// An agent took over an older document from an entry that was behind. Operators see a zone that
-// they took out come back.
-TEST(HistoryCheckTest, ADocumentThatRevertsIsCaught) {
+// An agent accepted an older document from an entry that lagged behind, so a zone that operators
+// took out comes back into use.
+TEST(HistoryCheckTest, DetectsRevertedDocument) {
   const std::string second =
       R"({"event":"config_in_force","time_ms":1,"agent":"w","version":2,"digest":"b"}
 )";
@@ -85,8 +85,8 @@
       second + R"({"event":"config_in_force","time_ms":5,"agent":"v","version":2,"digest":"c"})");
 }
 
-// A worker that had lost touch started a task in a zone that was being powered down.
-TEST(HistoryCheckTest, AStartInAZoneThatIsOutIsCaught) {
+// A worker that had lost its connection started a task in a zone that was being powered down.
+TEST(HistoryCheckTest, DetectsStartInZoneOutOfUse) {
   const std::string out =
       R"({"event":"config_accepted","time_ms":1000,"version":1,"digest":"a","zones_out":["z"]}
 )";
@@ -108,9 +108,9 @@
 {"event":"gang_stopped","time_ms":4,"job":"j","attempt":1,"worker":"a","tasks":1}
 )";
 
-// One member's worker died and the others were never told. They hold accelerators for hours and
-// compute nothing.
-TEST(HistoryCheckTest, AGangThatRunsInPartIsCaught) {
+// A member's worker died and the other members were not stopped. They hold accelerators for hours
+// without making progress.
+TEST(HistoryCheckTest, DetectsPartialGang) {
   const std::string stops =
       R"({"event":"gang_stopped","time_ms":9000,"job":"j","attempt":1,"worker":"b","tasks":1}
 )";
@@ -120,8 +120,8 @@
   ExpectVerdict("no_partial_gang", kViolated, kGang + later);
 }
 
-// A planner that came back from a pause started a job that its successor had started elsewhere.
-TEST(HistoryCheckTest, TwoAttemptsAtOnceAreCaught) {
+// A planner that resumed after a pause started a job that its successor had started elsewhere.
+TEST(HistoryCheckTest, DetectsConcurrentAttempts) {
   const std::string second =
       R"({"event":"gang_released","time_ms":8,"job":"j","attempt":2,"worker":"c","tasks":1})";
   const std::string stop =
@@ -131,7 +131,7 @@
   ExpectVerdict("no_two_attempts_at_once", kViolated, kGang + second);
 }
 
-TEST(HistoryCheckTest, AJobDoneTwiceIsCaught) {
+TEST(HistoryCheckTest, DetectsJobDoneTwice) {
   const std::string done =
       R"({"event":"job_ended","time_ms":1,"job":"j","attempt":1,"state":"done"}
 )";
@@ -140,9 +140,9 @@
                 done + R"({"event":"job_ended","time_ms":2,"job":"j","attempt":2,"state":"done"})");
 }
 
-// The zone's planner was replaced and its successor did not take all jobs over. The caller polls a
-// job that nobody will ever run.
-TEST(HistoryCheckTest, AForgottenJobIsCaught) {
+// The zone's planner was replaced and its successor did not take over all jobs, so a caller polls a
+// job that will never run.
+TEST(HistoryCheckTest, DetectsForgottenJob) {
   const std::string accepted = R"({"event":"job_accepted","time_ms":1,"job":"j"}
 )";
   const auto other = [](int time_ms) {
@@ -155,7 +155,7 @@
 )" + other(90000));
 }
 
-TEST(HistoryCheckTest, ALateReclaimIsCaught) {
+TEST(HistoryCheckTest, DetectsLateReclaim) {
   const std::string claim = R"({"event":"guarantee_claimed","time_ms":1,"job":"j"}
 )";
   const auto start = [](int time_ms) {
@@ -165,21 +165,21 @@
   ExpectVerdict("guarantee_reclaimed_within_bound", kViolated, claim + start(30002));
 }
 
-// A daemon was killed in the middle of a line. The rest of the log still counts, and the cut line
-// is not taken for an event.
-TEST(HistoryCheckTest, CutLinesAreCountedAndDamagedEventsRefused) {
+// A daemon was killed while it wrote a line. The rest of the log must still be read, and the
+// truncated line must not be taken for an event.
+TEST(HistoryCheckTest, CountsTruncatedLinesAndRejectsInvalidEvents) {
   const History history = Read("{\"event\":\"request_run\",\"time_m\nnot json\n");
   EXPECT_EQ(history.unreadable, 2);
   EXPECT_THROW(Read(R"({"event":"request_run","time_ms":1})"), Error);
   EXPECT_THROW(Read(R"({"event":"request_run","time_ms":"soon","request":"a"})"), Error);
 }
 
-TEST(HistoryRecorderTest, RecordsTheLinesOfThisProcess) {
+TEST(HistoryRecorderTest, RecordsEventsOfThisProcess) {
   const HistoryRecorder recorder;
   LogEvent(LogLevel::kInfo, "job_accepted", {{"job", "w/one"}});
   LogEvent(LogLevel::kInfo, "entry_leaving");
-  ASSERT_EQ(recorder.Take().events.size(), 1U);
-  EXPECT_EQ(recorder.Take().events.front().job, "w/one");
+  ASSERT_EQ(recorder.Recorded().events.size(), 1U);
+  EXPECT_EQ(recorder.Recorded().events.front().job, "w/one");
 }
 
 }  // namespace
--- a/servers/history/history_event.cc
+++ b/servers/history/history_event.cc
@@ -29,7 +29,7 @@
   return json.value(field, std::string());
 }
 
-// The first of the fields that name a process.
+// Returns the value of the first field that names a process.
 std::string ProcessOf(const nlohmann::json& json) {
   for (const char* field : {"worker", "agent", "process"}) {
     if (json.contains(field)) return json.at(field).get<std::string>();
--- a/servers/history/history_event.h
+++ b/servers/history/history_event.h
@@ -1,5 +1,5 @@
-// Events of a run as the daemons' JSON log lines tell them. Lines of other events are left out, so
-// a whole production log can be read as it is.
+// Events of a run, read from the daemons' JSON log lines. Lines with other events are ignored, so
+// that a complete production log can be read.
 #pragma once
 
 #include <cstdint>
@@ -30,23 +30,23 @@
 };
 const char* HistoryEventName(HistoryEventKind kind);
 
-// Fields that a kind does not have stay empty.
+// An event of the log. Fields that an event of this kind does not have are empty.
 struct HistoryEvent {
   HistoryEventKind kind = HistoryEventKind::kRequestRun;
-  // Milliseconds since 1970, by the writer's clock.
+  // Milliseconds since 1970, by the clock of the process that logged the event.
   int64_t time_ms = 0;
-  // The agent, worker or other process that the event is about.
+  // The worker, agent or other process that the event is about.
   std::string process;
   std::string incarnation;
   std::string zone;
   std::string workspace;
   std::string request;
-  // Digest of workspace and idempotency key; empty for a repeatable request.
+  // Digest of workspace and idempotency key; empty for a request that may be repeated.
   std::string key_tag;
-  // Of the answer or of the document.
+  // Digest of the answer or of the document.
   std::string digest;
   std::string outcome;
-  // Error kind of a refusal.
+  // Error kind of a failed or refused request.
   std::string error;
   int status = 0;
   std::string job;
@@ -60,27 +60,30 @@
   double waited_ms = 0;
   double declared_ms = 0;
   std::vector<std::string> zones_out;
-  // Where it was read, "FILE:LINE", and the line itself, for reports.
+  // Source of the log line, "FILE:LINE", for reports.
   std::string place;
+  // The log line itself, for reports.
   std::string text;
 };
 
 struct History {
-  // In order of time; events of the same millisecond in the order in which they were read.
+  // Ordered by time; events of the same millisecond keep the order in which they were read.
   std::vector<HistoryEvent> events;
-  // Lines that are not JSON: cut or foreign. They are counted, not trusted.
+  // Number of lines that are not JSON objects, such as truncated lines, and were ignored.
   int unreadable = 0;
 };
 
-// Adds the events of one log. `name` stands in their places.
-// Throws Error(kInvalidInput), with the line's number, when a known event lacks a field or has one
-// of the wrong type.
+// Adds the events of a log to `history`. `name` is used as FILE in the events' `place`.
+// Throws Error(kInvalidInput), with the line number, if a known event lacks a required field or a
+// field has the wrong type.
 void ReadHistory(const std::string& name, std::istream* lines, History* history);
 
-// The same from files, sorted. Throws Error(kInvalidInput) for a file that can't be read.
+// Reads log files and sorts their events by time. Throws Error(kInvalidInput) if a file can't be
+// read.
 History ReadHistoryFiles(const std::vector<std::string>& files);
 
-// One line; adds nothing if it is not one of our events.
+// Adds the event of a log line to `history`; ignores lines with other events. Throws
+// Error(kInvalidInput) as ReadHistory does.
 void AddHistoryLine(const std::string& place, std::string_view line, History* history);
 
 void SortHistory(History* history);
--- a/servers/history/history_recorder.cc
+++ b/servers/history/history_recorder.cc
@@ -8,7 +8,7 @@
 
 HistoryRecorder::~HistoryRecorder() { google::RemoveLogSink(this); }
 
-History HistoryRecorder::Take() const {
+History HistoryRecorder::Recorded() const {
   const std::lock_guard<std::mutex> lock(mutex_);
   History history = history_;
   SortHistory(&history);
--- a/servers/history/history_recorder.h
+++ b/servers/history/history_recorder.h
@@ -1,5 +1,5 @@
-// Records the log lines of this process while it lives: concurrent tests check the very lines that
-// an operator would read.
+// Records the events that this process logs during the recorder's lifetime, so that concurrent
+// tests check the same lines that an operator would read.
 #pragma once
 
 #include <glog/logging.h>
@@ -17,8 +17,8 @@
   HistoryRecorder(const HistoryRecorder&) = delete;
   HistoryRecorder& operator=(const HistoryRecorder&) = delete;
 
-  // What was recorded so far, in order of time.
-  History Take() const;
+  // Returns the events recorded so far, ordered by time.
+  History Recorded() const;
 
   // Called by glog, from any thread.
   void send(google::LogSeverity severity, const char* full_filename,  // NOLINT: the library's name
--- a/servers/history/job_checks.cc
+++ b/servers/history/job_checks.cc
@@ -8,7 +8,7 @@
 
 using Kind = HistoryEventKind;
 
-// A job has one end. Two "done" of different attempts mean that its work was done twice.
+// A job ends once. Two attempts of a job with state "done" mean that its work was done twice.
 class JobDoneAtMostOnce : public HistoryCheck {
  public:
   const char* name() const override { return "job_done_at_most_once"; }
@@ -17,16 +17,17 @@
     std::map<std::string, const HistoryEvent*> done;
     for (const HistoryEvent& event : history.events) {
       if (event.kind != Kind::kJobEnded || event.state != "done") continue;
-      const auto [first, fresh] = done.emplace(event.job, &event);
-      // The same attempt's end may be told by the planner that saw it and by its successor.
-      if (fresh || first->second->attempt == event.attempt) continue;
+      const auto [first, inserted] = done.emplace(event.job, &event);
+      // The end of an attempt may be logged both by the planner that received it and by its
+      // successor.
+      if (inserted || first->second->attempt == event.attempt) continue;
       return Violated("two attempts of one job were done", {*first->second, event});
     }
     return Held();
   }
 };
 
-// Every accepted job has ended, or is still spoken of.
+// Every accepted job has ended or is still named by recent events.
 class NoJobForgotten : public HistoryCheck {
  public:
   const char* name() const override { return "no_job_forgotten"; }
@@ -58,8 +59,8 @@
   }
 };
 
-// A job that its workspace's guarantee covers starts within the reclaim bound, whoever has
-// borrowed the room.
+// A job that is covered by its workspace's guarantee starts within the reclaim bound, even if other
+// workspaces have borrowed the room.
 class GuaranteeReclaimedWithinBound : public HistoryCheck {
  public:
   const char* name() const override { return "guarantee_reclaimed_within_bound"; }
--- a/servers/history/request_checks.cc
+++ b/servers/history/request_checks.cc
@@ -16,7 +16,7 @@
 
 constexpr const char* kNoRuns = "no request_run lines: add the agents' logs";
 
-// A request with an idempotency key ran at one target, once.
+// A request with an idempotency key runs at most once, at one target.
 class AtMostOnce : public HistoryCheck {
  public:
   const char* name() const override { return "at_most_once"; }
@@ -26,8 +26,8 @@
     std::map<std::string, const HistoryEvent*> runs;
     for (const HistoryEvent& event : history.events) {
       if (event.kind != Kind::kRequestRun || event.key_tag.empty()) continue;
-      const auto [first, fresh] = runs.emplace(event.key_tag, &event);
-      if (!fresh) {
+      const auto [first, inserted] = runs.emplace(event.key_tag, &event);
+      if (!inserted) {
         return Violated("a request that may not be repeated ran twice", {*first->second, event});
       }
     }
@@ -35,8 +35,8 @@
   }
 };
 
-// What a caller received is what a target answered to that request or, for a repeated key, to the
-// first request of the key.
+// The answer that a caller received is a target's answer to that request or, for a repeated key, to
+// the first request with the key.
 class AnswerMatchesRequest : public HistoryCheck {
  public:
   const char* name() const override { return "answer_matches_request"; }
@@ -45,11 +45,11 @@
     if (!HasRuns(history)) return NotChecked(kNoRuns);
     std::multimap<std::string, const HistoryEvent*> answers;
     for (const HistoryEvent& event : history.events) {
-      if (event.kind == Kind::kRequestRan) answers.emplace(NameOf(event), &event);
+      if (event.kind == Kind::kRequestRan) answers.emplace(KeyOf(event), &event);
     }
     for (const HistoryEvent& event : history.events) {
       if (event.kind != Kind::kRequestAnswered || event.digest.empty()) continue;
-      const auto [first, last] = answers.equal_range(NameOf(event));
+      const auto [first, last] = answers.equal_range(KeyOf(event));
       bool same = false;
       std::vector<HistoryEvent> evidence;
       for (auto answer = first; answer != last; ++answer) {
@@ -64,13 +64,13 @@
   }
 
  private:
-  static std::string NameOf(const HistoryEvent& event) {
+  static std::string KeyOf(const HistoryEvent& event) {
     return event.key_tag.empty() ? event.request : event.key_tag;
   }
 };
 
-// A caller that was told "not run" may safely send again: no target ran that request, before or
-// after it was told.
+// A request that was answered with "not run" was not run by any target, before or after the answer,
+// so the caller can safely send the request again.
 class NotRunIsTrue : public HistoryCheck {
  public:
   const char* name() const override { return "not_run_is_true"; }
