--- a/servers/burn/burn_format.cc
+++ b/servers/burn/burn_format.cc
@@ -56,7 +56,7 @@
 constexpr double kPlotWidth = 480;
 constexpr double kPlotHeight = 90;
 
-// One line of a plot; values are cut to [low, high].
+// Returns the SVG element of a line in a plot. Values are clamped to [low, high].
 template <typename Value>
 std::string Polyline(const std::vector<BurnPoint>& points, const char* colour, double low,
                      double high, Value value) {
@@ -161,7 +161,7 @@
       "#f5b7b1}.key{font-size:12px}b{color:#b03a2e}</style><h1>Service-level burn: " +
       Escape(report.deployment) + "</h1>\n";
   for (const BurnRow& row : report.rows) html += RowHtml(row);
-  if (report.rows.empty()) html += "<p>The logs hold nothing that an objective counts.</p>";
+  if (report.rows.empty()) html += "<p>The logs hold nothing that is counted by an objective.</p>";
   return html + "</html>\n";
 }
 
--- a/servers/burn/burn_format.h
+++ b/servers/burn/burn_format.h
@@ -1,4 +1,4 @@
-// The burn report as text, JSON, and one HTML page that needs nothing else.
+// Formats a burn report as text, JSON or a self-contained HTML page.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -10,7 +10,7 @@
 
 std::string BurnText(const BurnReport& report);
 nlohmann::json BurnJson(const BurnReport& report);
-// Plots are inline SVG; no script, no other file.
+// The plots are inline SVG; the page has no scripts and refers to no other files.
 std::string BurnHtml(const BurnReport& report);
 
 }  // namespace turmericshift
--- a/servers/burn/burn_report.cc
+++ b/servers/burn/burn_report.cc
@@ -7,14 +7,14 @@
 
 constexpr std::array<const char*, kObjectiveCount> kObjectiveNames = {
     "plans_on_time", "requests_answered", "starts_within_bound"};
-constexpr int kPoints = 96;
-constexpr Duration kPointWindow = std::chrono::hours(1);
+constexpr int kPlotIntervals = 96;
+constexpr Duration kPlotWindow = std::chrono::hours(1);
 
 int64_t Millis(Duration duration) {
   return duration_cast<std::chrono::milliseconds>(duration).count();
 }
 
-// Samples of one row, in order of time, with running counts of bad ones.
+// Samples of a row, ordered by time, with cumulative counts of bad samples.
 class Series {
  public:
   void Add(const BurnSample& sample) {
@@ -22,17 +22,17 @@
     bad_.push_back((bad_.empty() ? 0 : bad_.back()) + (sample.good ? 0 : 1));
   }
 
-  // Share of bad ones with from < time <= to; 0 without a sample.
+  // Returns the share of bad samples with from < time <= to, or 0 if there are no samples.
   double BadShare(int64_t from, int64_t to) const {
-    const size_t begin = Rank(from);
-    const size_t end = Rank(to);
+    const size_t begin = CountUntil(from);
+    const size_t end = CountUntil(to);
     if (begin == end) return 0;
     const int64_t bad = bad_[end - 1] - (begin == 0 ? 0 : bad_[begin - 1]);
     return static_cast<double>(bad) / static_cast<double>(end - begin);
   }
 
  private:
-  size_t Rank(int64_t time) const {
+  size_t CountUntil(int64_t time) const {
     return std::upper_bound(times_.begin(), times_.end(), time) - times_.begin();
   }
 
@@ -40,8 +40,8 @@
   std::vector<int64_t> bad_;
 };
 
-// Bad share over what the objective allows. An objective of 1 allows nothing: any bad one is a
-// burn beyond all thresholds.
+// Returns the bad share divided by the share that the objective allows. An objective of 1 allows no
+// bad samples, so a single bad sample exceeds all thresholds.
 double Rate(double bad_share, double wanted_share) {
   constexpr double kSmallestBudget = 1e-9;
   return bad_share / std::max(1 - wanted_share, kSmallestBudget);
@@ -62,9 +62,9 @@
     burn.alert = burn.short_rate >= pair.threshold && burn.long_rate >= pair.threshold;
   }
   const int64_t span = report.now_ms - report.from_ms;
-  for (int point = 0; point <= kPoints; ++point) {
-    const int64_t at = report.from_ms + span * point / kPoints;
-    row->points.push_back({at, rate(kPointWindow, at), budget_left(at)});
+  for (int point = 0; point <= kPlotIntervals; ++point) {
+    const int64_t at = report.from_ms + span * point / kPlotIntervals;
+    row->points.push_back({at, rate(kPlotWindow, at), budget_left(at)});
   }
 }
 
@@ -103,7 +103,7 @@
   report.now_ms = options.now_ms != 0 ? options.now_ms : history.events.back().time_ms;
   std::map<std::pair<std::string, Objective>, BurnRow> rows;
   std::map<std::pair<std::string, Objective>, Series> series;
-  for (const BurnSample& sample : SamplesOf(history, environment, options)) {
+  for (const BurnSample& sample : CollectSamples(history, environment, options)) {
     const WorkspaceSpec* workspace = environment.FindWorkspace(sample.workspace);
     if (workspace == nullptr || sample.time_ms > report.now_ms) continue;
     const auto key = std::make_pair(sample.workspace, sample.objective);
--- a/servers/burn/burn_report.h
+++ b/servers/burn/burn_report.h
@@ -1,6 +1,7 @@
-// How fast each workspace uses up its error budgets, from the daemons' own log lines. Windows count
-// events, not hours: a quiet night and a busy one are judged alike, whenever they fall. Burn rates
-// over pairs of a long and a short window as in the Site Reliability Workbook, chapter 5.
+// Computes from the daemons' log lines how fast each workspace uses up its error budgets. The rate
+// in a window is the share of bad events, so quiet and busy times are treated alike, whatever the
+// hour. Burn rates use pairs of a long and a short window, as in the Site Reliability Workbook,
+// chapter 5.
 #pragma once
 
 #include <array>
@@ -17,33 +18,33 @@
 enum class Objective { kPlansOnTime, kRequestsAnswered, kStartsWithinBound };
 inline constexpr int kObjectiveCount = 3;
 const char* ObjectiveName(Objective objective);
-// The share that must be good, from 0 to 1.
+// Returns the share of events that must be good, from 0 to 1.
 double ObjectiveShare(Objective objective, const ServiceLevelObjectives& objectives);
 
 struct BurnOptions {
-  // A plan is on time when it is done within this many times its declared run time, and the
-  // reclaim bound.
+  // A plan is on time if it is done within its declared run time multiplied by this factor, plus
+  // the reclaim bound.
   double on_time_factor = 2;
-  // The budget is what may go wrong in this time.
+  // Period for which the error budget is granted.
   Duration budget_period = std::chrono::hours(24 * 30);
-  // Milliseconds since 1970; 0: the history's last event.
+  // Time of the report in milliseconds since 1970. 0: the time of the history's last event.
   int64_t now_ms = 0;
 };
 
-// One thing that an objective counts.
+// An event that an objective counts.
 struct BurnSample {
   int64_t time_ms = 0;
   std::string workspace;
   Objective objective = Objective::kPlansOnTime;
   bool good = true;
-  // Why it is bad, in snake_case.
+  // Why the event is bad, in snake_case; empty if the event is good.
   std::string cause;
 };
 
 struct WindowPair {
   Duration short_window;
   Duration long_window;
-  // Both windows at this burn rate or above: someone must look.
+  // An alert is raised if the burn rate in both windows reaches this threshold.
   double threshold;
 };
 inline constexpr std::array<WindowPair, 3> kWindowPairs = {{
@@ -52,7 +53,7 @@
     {std::chrono::hours(6), std::chrono::hours(24 * 3), 1},
 }};
 
-// 1: the budget lasts exactly its period.
+// Burn rates over a pair of windows. At a rate of 1 the budget lasts exactly its period.
 struct PairBurn {
   double short_rate = 0;
   double long_rate = 0;
@@ -71,12 +72,12 @@
   double wanted_share = 0;
   int64_t total = 0;
   int64_t bad = 0;
-  // Share of the budget that is left; below 0 when it is overdrawn.
+  // Share of the budget that is left; negative if the budget is exceeded.
   double budget_left = 1;
   std::array<PairBurn, kWindowPairs.size()> pairs;
-  // Bad ones by cause.
+  // Number of bad events by cause.
   std::map<std::string, int64_t> causes;
-  // Burn rate over the hour before each point, and the budget left then.
+  // For plots: at each point the burn rate over the hour before, and the budget left.
   std::vector<BurnPoint> points;
 
   bool alert() const;
@@ -86,15 +87,16 @@
   std::string deployment;
   int64_t from_ms = 0;
   int64_t now_ms = 0;
-  // By workspace and objective; only those with a sample.
+  // Ordered by workspace and objective. Pairs without samples are left out.
   std::vector<BurnRow> rows;
 
   bool alert() const;
 };
 
-// What the objectives count in the history. Faults of the caller's own count for nobody.
-std::vector<BurnSample> SamplesOf(const History& history, const Environment& environment,
-                                  const BurnOptions& options);
+// Returns the events of the history that objectives count. Errors that the caller can fix are not
+// counted.
+std::vector<BurnSample> CollectSamples(const History& history, const Environment& environment,
+                                       const BurnOptions& options);
 
 BurnReport MakeBurnReport(const History& history, const Environment& environment,
                           const BurnOptions& options);
--- a/servers/burn/burn_report_test.cc
+++ b/servers/burn/burn_report_test.cc
@@ -40,9 +40,8 @@
   return MakeBurnReport(Read(lines), TestEnvironment(), BurnOptions());
 }
 
-// Every fifth request of the last hour is shed. A page must go out while most of the budget is
-// still there, and say what burns it.
-TEST(BurnReportTest, AFastBurnAlertsAndNamesItsCause) {
+// Every fifth request of the last hour is shed. The report must raise an alert and name the cause.
+TEST(BurnReportTest, FastBurnRaisesAlertWithCause) {
   std::string lines;
   for (int minute = 0; minute < 600; ++minute) lines += Answered(minute, "ran", "");
   for (int minute = 600; minute < 660; ++minute) {
@@ -59,8 +58,8 @@
   EXPECT_NEAR(row.budget_left, 1 - (12.0 / 660) / 0.01, 1e-9);
 }
 
-// The same trouble, but over since half an hour: nobody is to be woken for it.
-TEST(BurnReportTest, ABurnThatIsOverDoesNotAlert) {
+// A burst of failures that ended hours ago must not raise an alert.
+TEST(BurnReportTest, PastBurnRaisesNoAlert) {
   std::string lines;
   for (int minute = 0; minute < 30; ++minute) lines += Answered(minute, "unknown", "unavailable");
   for (int minute = 30; minute < 400; ++minute) lines += Answered(minute, "ran", "");
@@ -70,8 +69,8 @@
   EXPECT_LT(report.rows.front().budget_left, 0);
 }
 
-// The busy hours move. The same events at another hour of the day must give the same report.
-TEST(BurnReportTest, TheHourOfTheDayDoesNotMatter) {
+// Busy hours change, so the same events at another hour of the day must give the same report.
+TEST(BurnReportTest, IsIndependentOfTheHourOfTheDay) {
   std::string evening;
   std::string morning;
   for (int minute = 0; minute < 200; ++minute) {
@@ -83,11 +82,11 @@
   EXPECT_EQ(BurnJson(Report(evening))["objectives"], BurnJson(Report(morning))["objectives"]);
 }
 
-TEST(BurnReportTest, CallersFaultsCountForNobody) {
+TEST(BurnReportTest, IgnoresCallerErrors) {
   EXPECT_TRUE(Report(Answered(1, "not_run", "invalid_input")).rows.empty());
 }
 
-TEST(BurnReportTest, PlansAndStartsAreJudgedByTheirBounds) {
+TEST(BurnReportTest, CountsPlansAndStartsAgainstTheirBounds) {
   const std::string lines =
       R"({"event":"job_started","job":"w/a","workspace":"w","time_ms":1,"waited_ms":40000,"borrowed":false}
 {"event":"job_started","job":"w/b","workspace":"w","time_ms":2,"waited_ms":1000,"borrowed":false}
@@ -110,8 +109,9 @@
   EXPECT_EQ(report.rows[1].bad, 1);
 }
 
-// A workspace waits for its own work, which fills its guarantee. That is no broken promise.
-TEST(BurnReportTest, WaitingForOnesOwnWorkDoesNotBurn) {
+// A workspace whose job waits for its own work, which uses up the guarantee, has no claim to an
+// earlier start.
+TEST(BurnReportTest, WaitingForOwnWorkIsNotCountedAsBad) {
   const std::string own =
       R"({"event":"job_ended","job":"w/a","workspace":"w","time_ms":90000,"state":"cancelled"}
 {"event":"job_started","job":"w/b","workspace":"w","time_ms":95000,"waited_ms":90000,"borrowed":false}
@@ -125,7 +125,7 @@
   EXPECT_EQ(Report(own + claimed).rows.front().bad, 1);
 }
 
-TEST(BurnReportTest, ThePageStandsAloneAndEscapesNames) {
+TEST(BurnReportTest, HtmlIsSelfContainedAndEscapesNames) {
   const std::string html = BurnHtml(Report(Answered(1, "ran", "") + Answered(9, "ran", "")));
   EXPECT_NE(html.find("small &lt;test&gt;"), std::string::npos);
   EXPECT_NE(html.find("<polyline"), std::string::npos);
