--- a/servers/explain/job_explainer.cc
+++ b/servers/explain/job_explainer.cc
@@ -1,11 +1,11 @@
+#include "servers/explain/job_explainer.h"
+
 #include <algorithm>
 #include <array>
 #include <istream>
 #include <nlohmann/json.hpp>
 #include <set>
 
-#include "servers/explain/job_explainer.h"
-
 namespace turmericshift {
 namespace {
 
@@ -26,13 +26,13 @@
     {JobOutcome::kNotSeen, "not seen"},
 }};
 
-// A job waits for room for longer than this before the story mentions it.
+// Waiting for room is given as the cause only if the job waited for longer than this.
 constexpr int64_t kLongWaitMs = 1000;
 
 constexpr const char* kWithdrawn =
-    "its record was withdrawn before it left, since the store did not answer";
+    "its record was withdrawn before it was sent, since the store did not answer";
 
-// Fields that every line has, or that the story shows apart.
+// Returns whether the field is in every line or is shown separately from the details.
 bool IsCommon(const std::string& field) {
   static const std::set<std::string> common = {"time_ms", "level", "event", "role",
                                                "process", "zone",  "job"};
@@ -59,7 +59,7 @@
   return details;
 }
 
-std::string Times(int count, const char* what) {
+std::string Counted(int count, const char* what) {
   return std::to_string(count) + " " + what + (count == 1 ? "" : "s");
 }
 
@@ -105,20 +105,20 @@
   JobExplanation explanation;
   explanation.job = job;
   bool accepted = false;
-  bool told_unknown = false;
+  bool unknown_to_caller = false;
   int64_t accepted_at = 0;
   int64_t first_placed = 0;
   std::string ended;
   std::string refusal;
-  std::vector<const Entry*> mine;
+  std::vector<const Entry*> entries;
   for (const Entry& entry : entries_) {
-    if (entry.job == job) mine.push_back(&entry);
+    if (entry.job == job) entries.push_back(&entry);
   }
-  // VMs' clocks differ by little; lines of one process keep their order.
-  std::stable_sort(mine.begin(), mine.end(), [](const Entry* left, const Entry* right) {
+  // Lines of one process keep their order; between VMs the clocks differ only a little.
+  std::stable_sort(entries.begin(), entries.end(), [](const Entry* left, const Entry* right) {
     return left->line.time_ms < right->line.time_ms;
   });
-  for (const Entry* entry : mine) {
+  for (const Entry* entry : entries) {
     explanation.lines.push_back(entry->line);
     const std::string& event = entry->line.event;
     if (event == "job_accepted" && !accepted) {
@@ -126,7 +126,7 @@
       accepted_at = entry->line.time_ms;
     } else if (event == "job_not_accepted" || event == "job_refused") {
       ++explanation.refusals;
-      if (event == "job_not_accepted" && !entry->not_run) told_unknown = true;
+      if (event == "job_not_accepted" && !entry->not_run) unknown_to_caller = true;
       if (!entry->reason.empty()) refusal = entry->reason;
     } else if (event == "submission_withdrawn") {
       ++explanation.withdrawals;
@@ -142,8 +142,8 @@
       ended = entry->state;
     }
   }
-  if (mine.empty()) {
-    explanation.cause = "no line names the job: it never reached an entry whose lines these are";
+  if (entries.empty()) {
+    explanation.cause = "no line names the job; it never reached an entry whose log was read";
     return explanation;
   }
   if (ended == "completed") explanation.outcome = JobOutcome::kCompleted;
@@ -151,7 +151,7 @@
   if (ended == "cancelled") explanation.outcome = JobOutcome::kCancelled;
   if (ended.empty()) {
     explanation.outcome = accepted || explanation.runs > 0 ? JobOutcome::kUnfinished
-                          : told_unknown                   ? JobOutcome::kUnknownToCaller
+                          : unknown_to_caller              ? JobOutcome::kUnknownToCaller
                                                            : JobOutcome::kRefused;
   }
   const int64_t waited = first_placed - accepted_at;
@@ -161,12 +161,12 @@
     case JobOutcome::kUnknownToCaller:
       explanation.cause = withdrawn ? kWithdrawn
                           : refusal.empty()
-                              ? "the caller's time was over before a planner could be asked"
-                              : "the planner could not keep it: " + refusal;
+                              ? "the caller's deadline passed before a planner could be reached"
+                              : "the planner did not accept it: " + refusal;
       break;
     case JobOutcome::kFailed:
       explanation.cause =
-          Times(explanation.failed_runs, "run") + " failed, as many as its queue allows one task";
+          Counted(explanation.failed_runs, "run") + " failed, the limit of its queue for one task";
       break;
     case JobOutcome::kCancelled:
       explanation.cause = "its caller cancelled it";
@@ -174,8 +174,8 @@
     case JobOutcome::kCompleted:
     case JobOutcome::kUnfinished:
       if (explanation.stopped_runs + explanation.lost_runs + explanation.failed_runs > 0) {
-        explanation.cause = "it lost time by " + Times(explanation.stopped_runs, "run") +
-                            " stopped for others, " + std::to_string(explanation.lost_runs) +
+        explanation.cause = "it was delayed by " + Counted(explanation.stopped_runs, "run") +
+                            " stopped by preemption, " + std::to_string(explanation.lost_runs) +
                             " lost with their worker or gang, " +
                             std::to_string(explanation.failed_runs) + " failed";
       } else if (accepted && first_placed > 0 && waited > kLongWaitMs) {
@@ -183,9 +183,9 @@
       } else if (withdrawn) {
         explanation.cause = kWithdrawn;
       } else if (accepted && first_placed == 0) {
-        explanation.cause = "it was never given room while these lines were written";
+        explanation.cause = "it got no room within the time of these lines";
       } else {
-        explanation.cause = "nothing held it up but its own work";
+        explanation.cause = "it was not delayed";
       }
       break;
     case JobOutcome::kNotSeen:
--- a/servers/explain/job_explainer.h
+++ b/servers/explain/job_explainer.h
@@ -1,4 +1,4 @@
-// What became of one job, told from the log lines of several processes.
+// Explains the outcome of a job from the log lines of several processes.
 #pragma once
 
 #include <cstdint>
@@ -8,17 +8,18 @@
 
 namespace turmericshift {
 
-// How a job came out, by what the lines show.
+// Outcome of a job, as far as the log lines show it.
 enum class JobOutcome {
   kCompleted,
   kFailed,
   kCancelled,
-  // Never taken in, and whoever handed it in was told so.
+  // Not accepted, and the caller was told that the job was not run.
   kRefused,
-  // Whether it was taken in could not be told at the time.
+  // The caller was told that it is unknown whether the job was accepted.
   kUnknownToCaller,
-  // Taken in, and the lines end before it does.
+  // Accepted, but no line shows the end of the job.
   kUnfinished,
+  // No line names the job.
   kNotSeen,
 };
 const char* JobOutcomeName(JobOutcome outcome);
@@ -27,14 +28,14 @@
   int64_t time_ms = 0;
   std::string process;
   std::string event;
-  // The line's other fields, "name=value".
+  // The other fields of the line as "name=value", separated by spaces.
   std::string details;
 };
 
 struct JobExplanation {
   std::string job;
   JobOutcome outcome = JobOutcome::kNotSeen;
-  // One sentence: what decided the outcome, or what held the job up most.
+  // What decided the outcome, or what delayed the job most, in one sentence.
   std::string cause;
   std::vector<JobLogLine> lines;
   int runs = 0;
@@ -42,17 +43,18 @@
   int stopped_runs = 0;
   int lost_runs = 0;
   int refusals = 0;
-  // Times that its record was taken back unsent because the store did not answer.
+  // Number of times that the job's record was withdrawn unsent because the store did not answer.
   int withdrawals = 0;
 };
 
-// Reads lines of JSON, which may stand behind a prefix such as a time or a name; others are passed
-// over. `lines` of all processes in any order.
+// Reads the JSON log lines of all processes, in any order, and explains jobs. A line may have a
+// prefix, such as a time or a name, before the JSON object; lines without a JSON object are
+// ignored.
 class JobExplainer {
  public:
   void Read(std::istream& lines);
   JobExplanation Explain(const std::string& job) const;
-  // All jobs that any line names.
+  // Returns all jobs that are named in the lines, sorted.
   std::vector<std::string> jobs() const;
 
  private:
--- a/servers/explain/job_explainer_test.cc
+++ b/servers/explain/job_explainer_test.cc
@@ -1,21 +1,21 @@
+#include "servers/explain/job_explainer.h"
+
 #include <gtest/gtest.h>
 
 #include <sstream>
 
-#include "servers/explain/job_explainer.h"
-
 namespace turmericshift {
 namespace {
 
-JobExplanation Told(const std::string& lines, const std::string& job = "j") {
+JobExplanation ExplainJob(const std::string& lines, const std::string& job = "j") {
   std::istringstream in(lines);
   JobExplainer explainer;
   explainer.Read(in);
   return explainer.Explain(job);
 }
 
-TEST(JobExplainer, PutsTheLinesOfSeveralProcessesInOrder) {
-  const JobExplanation explanation = Told(
+TEST(JobExplainer, SortsLinesOfSeveralProcesses) {
+  const JobExplanation explanation = ExplainJob(
       "  3.1 agent-1 "
       "{\"time_ms\":30,\"event\":\"start_answered\",\"job\":\"j\",\"process\":\"a\"}\n"
       "{\"time_ms\":10,\"event\":\"job_accepted\",\"job\":\"j\",\"process\":\"e\"}\n"
@@ -30,33 +30,34 @@
   EXPECT_EQ(explanation.runs, 1);
 }
 
-// A job whose record never left must not be told as one that waited for room.
-TEST(JobExplainer, NamesTheWithdrawalOfARecord) {
+// A job whose record was never sent must not be explained as one that waited for room.
+TEST(JobExplainer, ReportsWithdrawnRecord) {
   const std::string withdrawn =
       "{\"time_ms\":10,\"event\":\"submission_withdrawn\",\"job\":\"j\",\"callers\":2}\n";
-  const JobExplanation refused =
-      Told(withdrawn +
-           "{\"time_ms\":11,\"event\":\"job_not_accepted\",\"job\":\"j\",\"not_run\":true}\n");
+  const JobExplanation refused = ExplainJob(
+      withdrawn +
+      "{\"time_ms\":11,\"event\":\"job_not_accepted\",\"job\":\"j\",\"not_run\":true}\n");
   EXPECT_EQ(refused.outcome, JobOutcome::kRefused);
   EXPECT_NE(refused.cause.find("withdrawn"), std::string::npos);
   const JobExplanation lost =
-      Told(withdrawn + "{\"time_ms\":12,\"event\":\"job_accepted\",\"job\":\"j\"}\n");
+      ExplainJob(withdrawn + "{\"time_ms\":12,\"event\":\"job_accepted\",\"job\":\"j\"}\n");
   EXPECT_EQ(lost.outcome, JobOutcome::kUnfinished);
   EXPECT_NE(lost.cause.find("withdrawn"), std::string::npos);
 }
 
-TEST(JobExplainer, TellsARefusalFromAnUnknownOutcome) {
-  EXPECT_EQ(Told(R"({"event":"job_not_accepted","job":"j","not_run":true,"reason":"no planner"})")
-                .outcome,
-            JobOutcome::kRefused);
+TEST(JobExplainer, DistinguishesRefusalFromUnknownOutcome) {
+  EXPECT_EQ(
+      ExplainJob(R"({"event":"job_not_accepted","job":"j","not_run":true,"reason":"no planner"})")
+          .outcome,
+      JobOutcome::kRefused);
   const JobExplanation unknown =
-      Told(R"({"event":"job_not_accepted","job":"j","not_run":false,"reason":"timed out"})");
+      ExplainJob(R"({"event":"job_not_accepted","job":"j","not_run":false,"reason":"timed out"})");
   EXPECT_EQ(unknown.outcome, JobOutcome::kUnknownToCaller);
   EXPECT_NE(unknown.cause.find("timed out"), std::string::npos);
 }
 
-TEST(JobExplainer, NamesWhatHeldAJobUp) {
-  const JobExplanation explanation = Told(R"({"time_ms":1,"event":"job_accepted","job":"j"}
+TEST(JobExplainer, ReportsCauseOfDelay) {
+  const JobExplanation explanation = ExplainJob(R"({"time_ms":1,"event":"job_accepted","job":"j"}
 {"time_ms":2,"event":"run_placed","job":"j"}
 {"time_ms":3,"event":"run_ended","job":"j","how":"stopped","asked":true}
 {"time_ms":4,"event":"run_placed","job":"j"}
@@ -65,8 +66,8 @@
   EXPECT_NE(explanation.cause.find("1 run stopped"), std::string::npos);
 }
 
-TEST(JobExplainer, SaysSoWhenNothingIsKnown) {
-  EXPECT_EQ(Told("").outcome, JobOutcome::kNotSeen);
+TEST(JobExplainer, ReportsUnknownJobAsNotSeen) {
+  EXPECT_EQ(ExplainJob("").outcome, JobOutcome::kNotSeen);
 }
 
 }  // namespace
