--- a/servers/agent/gang_host_test.cc
+++ b/servers/agent/gang_host_test.cc
@@ -56,7 +56,7 @@
   }
 
   void DeliverDocument() {
-    HeartbeatReply reply;
+    EntryBeat reply;
     reply.config_version = 1;
     reply.config_text = kDocument;
     reply.freshness.age = Duration::zero();
@@ -71,7 +71,7 @@
   }
 
   void DeliverReply(Sequence epoch, const std::string& entry = kEntry, bool failing = false) {
-    HeartbeatReply reply;
+    EntryBeat reply;
     reply.planner_epoch = epoch;
     reply.planner_active = true;
     reply.jobs_freshness = {failing ? Duration(seconds(60)) : Duration::zero(), failing};
@@ -87,7 +87,7 @@
     reserve.attempt = attempt;
     reserve.shape = {1, int64_t{1} << 30, 1};
     reserve.tasks = {{0, accelerators}};
-    reserve.hold_timeout = seconds(5);
+    reserve.hold = seconds(5);
     reserve.checkpoints = true;
     return reserve;
   }
@@ -145,20 +145,20 @@
   EXPECT_EQ(ParseDuration(worker_.Report().at(0).checkpoint), milliseconds(9100));
 }
 
-// The planner dies after it released one member of a gang but not the others. The released member
-// must not run alone for a whole lease.
+// The planner dies after it released (allowed to run) the held tasks of one member of a gang but
+// not those of the others. The released member must not run alone for a whole lease.
 TEST_F(GangHostTest, ReleasedMemberStopsAfterFirstLeaseUnlessRenewed) {
   Run(1, seconds(2));
   AdvanceTime(seconds(2));
   EXPECT_EQ(phase(), TaskPhase::kStopped);
 }
 
-// A renewal is delayed for longer than the lease. The planner has started the gang elsewhere, so
-// the delayed renewal must not keep the old one running.
+// A renewal is delayed for longer than the lease. The planner has started a new attempt of the gang
+// elsewhere, so the delayed renewal must not keep the old attempt running.
 TEST_F(GangHostTest, DelayedRenewalDoesNotExtendLease) {
   Run(1);
   GangAction renewal = Action(kOldEpoch, 1);
-  renewal.heartbeat_sent_at = clock_.Now().time_since_epoch().count();
+  renewal.beat_sent_at = clock_.Now().time_since_epoch().count();
   AdvanceTime(seconds(8));
   DeliverReply(kOldEpoch);
   host_->Renew(renewal, clock_.Now());
@@ -167,9 +167,9 @@
   EXPECT_EQ(KindOf([&] { host_->Renew(renewal, clock_.Now()); }), ErrorKind::kConflict);
 }
 
-// A planner's machine is cut off together with one agent: it reaches the agent but not the log. Its
-// successor, which the agent can't reach, starts the job elsewhere. An agent that still obeyed the
-// old planner would run the job twice.
+// A planner's entry is partitioned together with one agent: the entry reaches the agent but not the
+// log. The successor, which the agent can't reach, starts the job elsewhere. If the agent still
+// obeyed the old planner, the job would run twice.
 TEST_F(GangHostTest, OneEntryWithoutLogIsNotEnoughToObeyPlanner) {
   Run(1);
   AdvanceTime(seconds(6));
@@ -199,7 +199,7 @@
   Run(1);
   AdvanceTime(seconds(3));
   StartAgent();
-  AgentHeartbeat heartbeat;
+  AgentBeat heartbeat;
   host_->FillHeartbeat(&heartbeat, clock_.Now());
   ASSERT_EQ(heartbeat.tasks.size(), 1U);
   EXPECT_EQ(heartbeat.planner_epoch, kOldEpoch);
--- a/servers/entry/agent_directory.h
+++ b/servers/entry/agent_directory.h
@@ -16,9 +16,9 @@
 struct AgentState {
   AgentHello hello;
   std::shared_ptr<AgentPort> port;
-  AgentHeartbeat beat;
+  AgentBeat beat;
   // When the last heartbeat arrived, or the session was opened.
-  Time heard{};
+  Time last_contact_at{};
   // Requests that this entry has sent and that are not yet answered.
   int outstanding = 0;
   bool leaving = false;
@@ -28,11 +28,12 @@
 
 class AgentDirectory {
  public:
-  // Registers a session. It replaces an earlier session of the same process, whose calls in flight
-  // fail immediately: an agent opens a second connection when it takes the first one for dead.
+  // Registers a session. The session replaces an earlier session of the same process, whose calls
+  // in flight fail immediately: an agent opens a second connection only if it considers the first
+  // connection lost.
   void Open(const AgentHello& hello, std::shared_ptr<AgentPort> port, Time now);
   // Stores a heartbeat. Ignored unless it comes from the agent's registered incarnation.
-  void RecordHeartbeat(const AgentHello& hello, const AgentHeartbeat& beat, Time now);
+  void RecordHeartbeat(const AgentHello& hello, const AgentBeat& beat, Time now);
   // Stores the load that an answer of the agent reported.
   void RecordLoad(const std::string& agent, const TargetLoad& load);
   void AddOutstanding(const std::string& agent, int change);
--- a/servers/planner/zone_planner_service_attempts.cc
+++ b/servers/planner/zone_planner_service_attempts.cc
@@ -31,12 +31,12 @@
 
 bool ZonePlannerService::ResolvePreviousAttempt(const JobRecord& job, const ReportTable& table,
                                                 Time now) {
-  // An earlier planner reads this planner's claim before it reads a later job, so it can't have
-  // started the job.
+  // An earlier planner reads this planner's claim before it reads a job that was submitted after
+  // the claim, so the earlier planner can't have started the job.
   if (job.sequence > epoch_) return true;
   const ReportedAttempt* found = table.Newest(job.id);
-  // If a whole attempt runs or is done, no other attempt can exist. If it was stopped, a newer
-  // attempt may run at an agent that has not reported yet.
+  // If all tasks of an attempt run or are done, no other attempt can exist. If the attempt was
+  // stopped, a newer attempt may run at an agent that has not reported yet.
   const bool conclusive =
       found != nullptr && found->running() + found->Count(TaskPhase::kDone) == job.spec.tasks;
   if (!conclusive && !all_agents_reported_) return false;
@@ -73,8 +73,8 @@
   const bool all_reported = static_cast<int>(found.tasks.size()) == job.spec.tasks;
   const int held = found.Count(TaskPhase::kHeld);
   if (all_reported && held == 0) return;
-  // Some tasks were never released or are gone. All reporting agents reject calls of the previous
-  // planner, so a gang that is held at every member will never be released.
+  // Some tasks were never released or no longer exist. All reporting agents reject calls of the
+  // previous planner, so a gang whose tasks are all held will never be released.
   adopted.may_have_run = !(all_reported && held == job.spec.tasks);
   BeginEnding(&adopted, adopted.may_have_run ? AttemptEnd::kWorkerLost : AttemptEnd::kNotStarted,
               now);
@@ -251,7 +251,7 @@
 
 void ZonePlannerService::QueueRecord(const std::string& job, const Record& record,
                                      const GangAttempt& attempt_to_forget) {
-  planner_->JobGone(job);
+  planner_->RemoveJob(job);
   PendingRecord pending;
   pending.record = record;
   pending.attempt_to_forget = attempt_to_forget;
--- a/servers/requests/target_sender.cc
+++ b/servers/requests/target_sender.cc
@@ -15,8 +15,8 @@
 constexpr Duration kSilenceWatchInterval = std::chrono::milliseconds(250);
 constexpr Duration kMinQuestionInterval = std::chrono::milliseconds(5);
 constexpr Duration kMaxQuestionInterval = std::chrono::milliseconds(100);
-// A question gets at least this long even when the deadline is closer, as its answer tells the
-// caller whether the request ran.
+// The minimum time-out of a question about an attempt's outcome, even when the deadline is closer,
+// as the answer tells the caller whether the request ran.
 constexpr Duration kMinQuestionTimeout = std::chrono::milliseconds(200);
 constexpr Duration kMaxQuestionTimeout = std::chrono::seconds(1);
 constexpr Duration kMinRetryAfter = std::chrono::milliseconds(100);
@@ -49,12 +49,12 @@
 }
 
 // Returns the attempt's answer, or throws the Error that matches its state.
-ServiceAnswer TakeResolved(RequestStatusReply seen) {
-  if (seen.state == RequestRunState::kNeverWillRun) {
+ServiceAnswer AnswerOrThrow(SeenAnswer seen) {
+  if (seen.state == SeenState::kNeverWillRun) {
     throw Error(ErrorKind::kConnectionLost, Outcome::kNotRun,
                 "the request did not reach the target and will not run");
   }
-  if (seen.state == RequestRunState::kUnknown) {
+  if (seen.state == SeenState::kUnknown) {
     throw Error(ErrorKind::kConnectionLost, Outcome::kUnknown,
                 "the target's agent does not know whether the request ran");
   }
@@ -67,8 +67,8 @@
 
 }  // namespace
 
-RequestStatusQuery MakeQuestion(const ServiceRequest& request) {
-  RequestStatusQuery question;
+SeenQuestion MakeQuestion(const ServiceRequest& request) {
+  SeenQuestion question;
   question.workspace = request.workspace;
   question.idempotency_key = request.idempotency_key;
   question.attempt = request.attempt;
@@ -170,14 +170,14 @@
   } catch (const Error& error) {
     if (error.outcome() != Outcome::kUnknown) throw;
     unknown_->Add();
-    // The error of the delivery says more about the cause than that of the question.
+    // The error of the delivery says more about the cause than the error of the question to the
+    // agent.
     throw *delivery_error;
   }
 }
 
-ServiceAnswer TargetSender::ResolveOutcome(const std::string& agent,
-                                           const RequestStatusQuery& question, Time sent,
-                                           Time deadline) {
+ServiceAnswer TargetSender::ResolveOutcome(const std::string& agent, const SeenQuestion& question,
+                                           Time sent, Time deadline) {
   Time last_reached = DefaultClock().Now();
   for (Duration pause = kMinQuestionInterval;; pause = std::min(pause * 2, kMaxQuestionInterval)) {
     const Time now = DefaultClock().Now();
@@ -186,8 +186,8 @@
       throw Error(ErrorKind::kConnectionLost, Outcome::kUnknown,
                   "the target's agent has restarted since the request was sent");
     }
-    std::optional<RequestStatusReply> seen = QueryAgent(state, question, sent, now, deadline);
-    if (seen && seen->state != RequestRunState::kRunning) return TakeResolved(std::move(*seen));
+    std::optional<SeenAnswer> seen = QueryAgent(state, question, sent, now, deadline);
+    if (seen && seen->state != SeenState::kRunning) return AnswerOrThrow(std::move(*seen));
     const Time asked = DefaultClock().Now();
     if (seen) last_reached = asked;
     RequireTimeLeft(deadline, asked, Outcome::kUnknown);
@@ -199,9 +199,8 @@
   }
 }
 
-std::optional<RequestStatusReply> TargetSender::QueryAgent(const AgentState& agent,
-                                                           RequestStatusQuery question, Time sent,
-                                                           Time now, Time deadline) const {
+std::optional<SeenAnswer> TargetSender::QueryAgent(const AgentState& agent, SeenQuestion question,
+                                                   Time sent, Time now, Time deadline) const {
   if (!agent.port) return std::nullopt;
   question.age = now - sent;
   const Duration timeout =
