--- a/rpc/pool_session.cc
+++ b/rpc/pool_session.cc
@@ -26,9 +26,9 @@
 // Fulfils a promise from any thread; may be called once. The fulfiller is shared, because
 // std::function must be copyable.
 template <typename Value>
-class Answer {
+class ResultCallback {
  public:
-  explicit Answer(kj::Own<kj::CrossThreadPromiseFulfiller<Result<Value>>> fulfiller)
+  explicit ResultCallback(kj::Own<kj::CrossThreadPromiseFulfiller<Result<Value>>> fulfiller)
       : fulfiller_(std::make_shared<kj::Own<kj::CrossThreadPromiseFulfiller<Result<Value>>>>(
             kj::mv(fulfiller))) {}
 
@@ -57,9 +57,9 @@
 
   kj::Promise<void> exchange(ExchangeContext context) override {
     auto pair = kj::newPromiseAndCrossThreadFulfiller<Result<pool::AgentOrders>>();
-    const Answer<pool::AgentOrders> answer(kj::mv(pair.fulfiller));
+    const ResultCallback<pool::AgentOrders> done(kj::mv(pair.fulfiller));
     try {
-      gate_->Exchange(Read(context.getParams().getReport()), answer);
+      gate_->Exchange(Read(context.getParams().getReport()), done);
     } catch (const Error& error) {
       Write(error, context.getResults().initFailure());
       return kj::READY_NOW;
@@ -73,10 +73,10 @@
 
   kj::Promise<void> submit(SubmitContext context) override {
     auto pair = kj::newPromiseAndCrossThreadFulfiller<Result<pool::Done>>();
-    const Answer<pool::Done> answer(kj::mv(pair.fulfiller));
+    const ResultCallback<pool::Done> done(kj::mv(pair.fulfiller));
     try {
       auto params = context.getParams();
-      gate_->Submit(pool::DecodeSpec(params.getId().cStr(), params.getSpec().cStr()), answer);
+      gate_->Submit(pool::DecodeSpec(params.getId().cStr(), params.getSpec().cStr()), done);
     } catch (const Error& error) {
       Write(error, context.getResults().initFailure());
       return kj::READY_NOW;
@@ -88,7 +88,8 @@
 
   kj::Promise<void> cancel(CancelContext context) override {
     auto pair = kj::newPromiseAndCrossThreadFulfiller<Result<pool::Done>>();
-    gate_->Cancel(context.getParams().getId().cStr(), Answer<pool::Done>(kj::mv(pair.fulfiller)));
+    gate_->Cancel(context.getParams().getId().cStr(),
+                  ResultCallback<pool::Done>(kj::mv(pair.fulfiller)));
     return pair.promise.then([context](Result<pool::Done>&& result) mutable {
       if (result.error) Write(*result.error, context.getResults().initFailure());
     });
@@ -96,7 +97,7 @@
 
   kj::Promise<void> offer(OfferContext context) override {
     auto pair = kj::newPromiseAndCrossThreadFulfiller<Result<pool::Done>>();
-    gate_->Offer(Answer<pool::Done>(kj::mv(pair.fulfiller)));
+    gate_->Offer(ResultCallback<pool::Done>(kj::mv(pair.fulfiller)));
     return pair.promise.then([context](Result<pool::Done>&& result) mutable {
       if (result.error) Write(*result.error, context.getResults().initFailure());
     });
@@ -106,7 +107,7 @@
     auto pair = kj::newPromiseAndCrossThreadFulfiller<Result<pool::Done>>();
     auto params = context.getParams();
     gate_->Yield({params.getEpoch(), params.getNode().cStr(), params.getAddress().cStr()},
-                 Answer<pool::Done>(kj::mv(pair.fulfiller)));
+                 ResultCallback<pool::Done>(kj::mv(pair.fulfiller)));
     return pair.promise.then([context](Result<pool::Done>&& result) mutable {
       if (result.error) Write(*result.error, context.getResults().initFailure());
     });
--- a/rpc/rpc_agent_port.cc
+++ b/rpc/rpc_agent_port.cc
@@ -12,7 +12,7 @@
 // Time after the caller's deadline in which the agent's own deadline error may still arrive.
 constexpr Duration kServeGracePeriod = std::chrono::milliseconds(500);
 
-// Sends `request` and converts the response with `read`. Errors are returned as an Result, because
+// Sends `request` and converts the response with `read`. Errors are returned as a Result, because
 // the library would turn an Error thrown inside a promise into a kj::Exception.
 template <typename Value, typename Request, typename ReadAnswer>
 kj::Promise<Result<Value>> Send(Request&& request, ReadAnswer read) {
