--- a/servers/pool/advice_fetcher.cc
+++ b/servers/pool/advice_fetcher.cc
@@ -21,7 +21,7 @@
 
 void AdviceFetcher::Run() {
   while (!stopping_.load()) {
-    const std::optional<AdviceRequest> request = planner_->NextQuestion(kStopCheckInterval);
+    const std::optional<AdviceRequest> request = planner_->NextAdviceRequest(kStopCheckInterval);
     if (!request) continue;
     const Time asked_at = LeaseClock().Now();
     try {
--- a/servers/pool/job_api.cc
+++ b/servers/pool/job_api.cc
@@ -49,7 +49,7 @@
   JobAnswer answer = HandleCall(call, now);
   if (call.kind != JobCall::Kind::kSubmit) return answer;
   const std::string name = call.host + call.path;
-  if (answer.kind == JobAnswerKind::kUnknown) unresolved_.Note(name, LeaseClock().Now());
+  if (answer.kind == JobAnswerKind::kUnknown) unresolved_.Record(name, LeaseClock().Now());
   if (answer.kind == JobAnswerKind::kNotAccepted && unresolved_.Contains(name, now)) {
     LogEvent(LogLevel::kWarning, "refusal_withheld",
              {{"path", call.path}, {"reason", answer.message}});
--- a/servers/pool/job_api_test.cc
+++ b/servers/pool/job_api_test.cc
@@ -156,7 +156,7 @@
 TEST(UnresolvedCalls, ExpireAfterAMinute) {
   UnresolvedCalls calls;
   const Time now = Time(std::chrono::hours(1));
-  calls.Note("a", now);
+  calls.Record("a", now);
   EXPECT_TRUE(calls.Contains("a", now + std::chrono::seconds(59)));
   EXPECT_FALSE(calls.Contains("a", now + std::chrono::seconds(61)));
 }
--- a/servers/pool/job_estimator.cc
+++ b/servers/pool/job_estimator.cc
@@ -33,7 +33,7 @@
 }
 
 void JobEstimator::RecordRun(const std::string& queue, Duration estimate, Duration actual) {
-  run_times_.Note(queue, estimate, actual);
+  run_times_.Record(queue, estimate, actual);
 }
 
 void JobEstimator::ResetJobs() { work_by_queue_.clear(); }
--- a/servers/pool/job_estimator_test.cc
+++ b/servers/pool/job_estimator_test.cc
@@ -29,24 +29,24 @@
 }
 
 JobEstimator EstimatorForPool(const DisabledMechanisms& disabled_mechanisms) {
-  JobEstimator appraiser(disabled_mechanisms);
-  appraiser.SetCapacity({{"plans", {640'000, 1'310'720, 80}}});
-  return appraiser;
+  JobEstimator estimator(disabled_mechanisms);
+  estimator.SetCapacity({{"plans", {640'000, 1'310'720, 80}}});
+  return estimator;
 }
 
-Duration CriticalPathOf(const JobEstimator& appraiser, const JobSpec& spec) {
-  return appraiser.TimingOf(spec, Terms(), {0, 0}, kAcceptedMs).critical_path;
+Duration CriticalPathOf(const JobEstimator& estimator, const JobSpec& spec) {
+  return estimator.TimingOf(spec, Terms(), {0, 0}, kAcceptedMs).critical_path;
 }
 
 // A caller may expect at most a quarter of the pool at a time, here twenty accelerators.
 TEST(JobEstimator, WideStepTakesSeveralWaves) {
-  const JobEstimator appraiser = EstimatorForPool({});
-  EXPECT_EQ(CriticalPathOf(appraiser, OneStep(2, 8)), seconds(2));
-  EXPECT_EQ(CriticalPathOf(appraiser, OneStep(3, 8)), seconds(4));
-  EXPECT_EQ(CriticalPathOf(appraiser, OneStep(16, 8)), seconds(14));
+  const JobEstimator estimator = EstimatorForPool({});
+  EXPECT_EQ(CriticalPathOf(estimator, OneStep(2, 8)), seconds(2));
+  EXPECT_EQ(CriticalPathOf(estimator, OneStep(3, 8)), seconds(4));
+  EXPECT_EQ(CriticalPathOf(estimator, OneStep(16, 8)), seconds(14));
   JobSpec gang = OneStep(16, 8);
   gang.steps[0].gang = true;
-  EXPECT_EQ(CriticalPathOf(appraiser, gang), seconds(2));
+  EXPECT_EQ(CriticalPathOf(estimator, gang), seconds(2));
   EXPECT_EQ(CriticalPathOf(EstimatorForPool({Mechanism::kWideInWaves}), OneStep(16, 8)),
             seconds(2));
 }
@@ -60,13 +60,13 @@
 // The value depends on a job's size relative to the queue's mean, so that a deployment with larger
 // jobs does not overvalue all of them.
 TEST(JobEstimator, ValueIsRelativeToTheMeanJobOfTheQueue) {
-  JobEstimator appraiser = EstimatorForPool({});
-  const double alone = appraiser.ValueOf(OneStep(4, 1), Terms());
-  appraiser.ResetJobs();
-  for (int i = 0; i < 3; ++i) appraiser.RecordJob(OneStep(1, 1));
-  const double among_small = appraiser.ValueOf(OneStep(4, 1), Terms());
+  JobEstimator estimator = EstimatorForPool({});
+  const double alone = estimator.ValueOf(OneStep(4, 1), Terms());
+  estimator.ResetJobs();
+  for (int i = 0; i < 3; ++i) estimator.RecordJob(OneStep(1, 1));
+  const double among_small = estimator.ValueOf(OneStep(4, 1), Terms());
   EXPECT_LT(among_small, alone);
-  EXPECT_GT(among_small, appraiser.ValueOf(OneStep(1, 1), Terms()));
+  EXPECT_GT(among_small, estimator.ValueOf(OneStep(1, 1), Terms()));
 }
 
 }  // namespace
--- a/servers/pool/job_value.cc
+++ b/servers/pool/job_value.cc
@@ -8,7 +8,7 @@
 
 // Share of its value that a job brings when it finishes past its due time, but early enough to be
 // useful.
-constexpr double kLateShare = 0.25;
+constexpr double kPastDueShare = 0.25;
 // Run times are never known exactly; a minimum spread also keeps the probability a smooth function.
 constexpr double kMinSpread = 0.05;
 
@@ -36,17 +36,17 @@
   // that is, if F slack >= lag, where both may be negative.
   const double slack =
       factor * timing.stretch * Seconds(timing.critical_path) - Seconds(timing.remaining);
-  const double lag = Seconds(timing.elapsed + wait) - factor * Seconds(timing.target_latency);
-  if (slack >= 0 && lag <= 0) return 1;
-  if (slack <= 0 && lag >= 0) return 0;
-  const double deviations = std::log(lag / slack) / std::max(timing.spread, kMinSpread);
+  const double overdue = Seconds(timing.elapsed + wait) - factor * Seconds(timing.target_latency);
+  if (slack >= 0 && overdue <= 0) return 1;
+  if (slack <= 0 && overdue >= 0) return 0;
+  const double deviations = std::log(overdue / slack) / std::max(timing.spread, kMinSpread);
   return slack > 0 ? NormalCdf(-deviations) : NormalCdf(deviations);
 }
 
 double ExpectedValueShare(const JobTiming& timing, Duration wait) {
   const double on_time = CompletionProbability(timing, 1, wait);
   const double useful = std::max(on_time, CompletionProbability(timing, kUselessFactor, wait));
-  return on_time + kLateShare * (useful - on_time);
+  return on_time + kPastDueShare * (useful - on_time);
 }
 
 double CoreEquivalent(const Room& room) {
--- a/servers/pool/placer.cc
+++ b/servers/pool/placer.cc
@@ -25,7 +25,7 @@
 // grouped with similar ones: resumable tasks share workers, which can then be cleared for a gang at
 // little cost, and tasks that cannot be resumed go where clearing is expensive already.
 bool ComesFirst(const StepSpec& step, const WorkerRoom* left, const WorkerRoom* right) {
-  if (left->doubtful != right->doubtful) return !left->doubtful;
+  if (left->suspect != right->suspect) return !left->suspect;
   const int left_rank = step.gang ? 0 : SimilarityRank(step, left->occupancy);
   const int right_rank = step.gang ? 0 : SimilarityRank(step, right->occupancy);
   if (left_rank != right_rank) return left_rank < right_rank;
@@ -67,7 +67,7 @@
 
 bool HasDoubtful(const Group& group, const Placement& placement) {
   return std::any_of(group.begin(), group.end(), [&](const WorkerRoom* worker) {
-    return worker->doubtful &&
+    return worker->suspect &&
            std::find(placement.begin(), placement.end(), worker->node) != placement.end();
   });
 }
--- a/servers/pool/placer.h
+++ b/servers/pool/placer.h
@@ -33,7 +33,7 @@
   int max_tasks = 0;
   Occupancy occupancy = Occupancy::kNone;
   // The worker seems slow or unhealthy and is chosen last.
-  bool doubtful = false;
+  bool suspect = false;
 };
 
 struct PlacementRequest {
--- a/servers/pool/planner_elector.cc
+++ b/servers/pool/planner_elector.cc
@@ -168,12 +168,12 @@
 
 void PlannerElector::Claim(Time now) {
   LeadershipView basis;
-  const JobTable book = work_->book(&basis);
+  const JobTable table = work_->table(&basis);
   // Another entry's claim may have been read since the last check. A claim on top of it would
   // succeed, being based on the newest view, and depose a planner that has just started. The
   // symptom is two planners within one tick, and callers that are told "unknown" twice.
   if (!ShouldClaimNow(basis, now)) return;
-  const int64_t epoch = std::max(book.planner().epoch, rejected_epoch_) + 1;
+  const int64_t epoch = std::max(table.planner().epoch, rejected_epoch_) + 1;
   const int64_t sequence = RandomSequence();
   std::set<std::string> agents;
   try {
@@ -189,9 +189,9 @@
     return;
   }
   active_since_ = now;
-  predecessor_ = book.planner();
+  predecessor_ = table.planner();
   unreachable_logged_ = false;
-  service_->BecomeActive(epoch, sequence, book, agents, now);
+  service_->BecomeActive(epoch, sequence, table, agents, now);
 }
 
 // Agents are read again after the claim, because an entry that has just started may know the jobs
--- a/servers/pool/planner_router_test.cc
+++ b/servers/pool/planner_router_test.cc
@@ -87,29 +87,29 @@
   MemoryKeyedLog log_;
   MembersView members_{&log_, milliseconds(200)};
   UnreachablePlannerConnector connector_;
-  PlannerRouter reach_{"agent", "c", &members_, &connector_};
+  PlannerRouter router_{"agent", "c", &members_, &connector_};
 };
 
 TEST_F(PlannerRouterTest, ConnectsDirectlyIfPossible) {
   connector_.direct_path_cut = false;
-  reach_.Connect(kPlanner, milliseconds(700), kNow);
+  router_.Connect(kPlanner, milliseconds(700), kNow);
   EXPECT_TRUE(connector_.relays_tried.empty());
 }
 
 // Two zones can't reach each other but a third zone reaches both. Without a relay the leases of a
 // whole zone expired although a path existed.
 TEST_F(PlannerRouterTest, RelaysThroughThirdZoneIfDirectPathTimesOut) {
-  reach_.Connect(kPlanner, milliseconds(700), kNow);
+  router_.Connect(kPlanner, milliseconds(700), kNow);
   ASSERT_EQ(connector_.relays_tried.size(), 1U);
   EXPECT_EQ(connector_.relays_tried[0][0], 'b');
 }
 
 // Otherwise each new connection, and the callers behind it, would first wait for the broken path.
 TEST_F(PlannerRouterTest, RetriesDirectPathOnlyAfterInterval) {
-  reach_.Connect(kPlanner, milliseconds(700), kNow);
-  reach_.Connect(kPlanner, milliseconds(700), kNow + std::chrono::seconds(1));
+  router_.Connect(kPlanner, milliseconds(700), kNow);
+  router_.Connect(kPlanner, milliseconds(700), kNow + std::chrono::seconds(1));
   EXPECT_EQ(connector_.direct_attempts, 1);
-  reach_.Connect(kPlanner, milliseconds(700), kNow + std::chrono::seconds(10));
+  router_.Connect(kPlanner, milliseconds(700), kNow + std::chrono::seconds(10));
   EXPECT_EQ(connector_.direct_attempts, 2);
 }
 
@@ -117,11 +117,11 @@
 // through them to the planner when it was back.
 TEST_F(PlannerRouterTest, UsesNoRelayIfConnectionIsRefused) {
   connector_.refuses = true;
-  EXPECT_THROW(reach_.Connect(kPlanner, milliseconds(700), kNow), Error);
+  EXPECT_THROW(router_.Connect(kPlanner, milliseconds(700), kNow), Error);
   EXPECT_TRUE(connector_.relays_tried.empty());
   connector_.refuses = false;
   connector_.direct_path_cut = false;
-  reach_.Connect({kPlanner.epoch + 1, "a1", "a1:1"}, milliseconds(700), kNow);
+  router_.Connect({kPlanner.epoch + 1, "a1", "a1:1"}, milliseconds(700), kNow);
   EXPECT_TRUE(connector_.relays_tried.empty());
 }
 
@@ -131,13 +131,13 @@
   log_.Append(kMembersTopic, {{kPlannerKey, EncodePlanner(successor), kNoOffset}}, {},
               std::chrono::seconds(1));
   while (members_.planner().epoch != successor.epoch) std::this_thread::yield();
-  EXPECT_THROW(reach_.Connect(kPlanner, milliseconds(700), kNow), Error);
+  EXPECT_THROW(router_.Connect(kPlanner, milliseconds(700), kNow), Error);
   EXPECT_TRUE(connector_.relays_tried.empty());
 }
 
 TEST_F(PlannerRouterTest, ThrowsIfNoRelayReachesPlanner) {
   connector_.relays_cut = true;
-  EXPECT_THROW(reach_.Connect(kPlanner, milliseconds(700), kNow), Error);
+  EXPECT_THROW(router_.Connect(kPlanner, milliseconds(700), kNow), Error);
   EXPECT_EQ(connector_.relays_tried.size(), 2U);
 }
 
--- a/servers/pool/planner_service.cc
+++ b/servers/pool/planner_service.cc
@@ -54,12 +54,12 @@
           "this process is not the active planner of the pool"};
 }
 
-void PlannerService::BecomeActive(int64_t epoch, int64_t sequence, const JobTable& book,
+void PlannerService::BecomeActive(int64_t epoch, int64_t sequence, const JobTable& table,
                                   const std::set<std::string>& agents, Time requested_at) {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     planner_ =
-        std::make_unique<PoolPlanner>(options_.planner, epoch, book, agents, LeaseClock().Now());
+        std::make_unique<PoolPlanner>(options_.planner, epoch, table, agents, LeaseClock().Now());
     planner_->ConfirmLeadership(requested_at);
     epoch_gauge_.Set(static_cast<double>(epoch));
     sequence_ = sequence;
@@ -69,7 +69,7 @@
     replan_needed_ = true;
   }
   LogEvent(LogLevel::kInfo, "duty_taken",
-           {{"epoch", epoch}, {"jobs", book.jobs().size()}, {"agents", agents.size()}});
+           {{"epoch", epoch}, {"jobs", table.jobs().size()}, {"agents", agents.size()}});
   changed_.notify_all();
   write_ready_.notify_all();
 }
@@ -129,22 +129,22 @@
   return unresponsive;
 }
 
-std::optional<AdviceRequest> PlannerService::NextQuestion(Duration limit) {
+std::optional<AdviceRequest> PlannerService::NextAdviceRequest(Duration limit) {
   std::unique_lock<std::mutex> lock(mutex_);
-  std::optional<AdviceRequest> question;
+  std::optional<AdviceRequest> request;
   advice_ready_.wait_for(lock, limit, [&] {
-    if (planner_) question = planner_->advice().Next(LeaseClock().Now());
-    return question.has_value() || stopping_;
+    if (planner_) request = planner_->advice().Next(LeaseClock().Now());
+    return request.has_value() || stopping_;
   });
-  return question;
+  return request;
 }
 
-void PlannerService::HandleAdvice(const AdviceRequest& question, const AdviceResponse& answer,
+void PlannerService::HandleAdvice(const AdviceRequest& request, const AdviceResponse& response,
                                   Time requested_at) {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     if (!planner_) return;
-    planner_->advice().Take(question, answer, requested_at);
+    planner_->advice().Take(request, response, requested_at);
     planner_->NoteAdvice();
     replan_needed_ = true;
   }
@@ -337,12 +337,14 @@
     int64_t sequence = 0;
     {
       std::unique_lock<std::mutex> lock(mutex_);
-      write_ready_.wait_for(lock, options_.beat / 2, [this] {
+      write_ready_.wait_for(lock, options_.heartbeat_interval / 2, [this] {
         return stopping_ || (planner_ && !planner_->outbox().empty());
       });
       if (stopping_) return;
       const Time now = LeaseClock().Now();
-      if (!planner_ || (planner_->outbox().empty() && now - last_write_ < options_.beat)) continue;
+      if (!planner_ ||
+          (planner_->outbox().empty() && now - last_write_ < options_.heartbeat_interval))
+        continue;
       records = planner_->outbox().Take();
       if (records.empty()) records.push_back({kHeartbeatKey, "1", kNoOffset});
       epoch = planner_->epoch();
--- a/servers/pool/planner_service.h
+++ b/servers/pool/planner_service.h
@@ -28,7 +28,7 @@
   PlannerOptions planner;
   // Heartbeat interval: a heartbeat record is written after this long without another record. Other
   // entries wait several times this long before they take over.
-  Duration beat = std::chrono::milliseconds(250);
+  Duration heartbeat_interval = std::chrono::milliseconds(250);
   // Time-out of an append; afterwards the append is sent again with the same sequence number.
   Duration append_timeout = std::chrono::milliseconds(600);
   // When the newest append has been unanswered for this long, new work is rejected immediately: it
@@ -47,7 +47,7 @@
 
   // Becomes the active planner. The claim was written under `sequence`; `book` contains everything
   // before the claim. `requested_at` is when the claim was sent.
-  void BecomeActive(int64_t epoch, int64_t sequence, const JobTable& book,
+  void BecomeActive(int64_t epoch, int64_t sequence, const JobTable& table,
                     const std::set<std::string>& agents, Time requested_at);
   // Called when the previous planner is known to have stepped down.
   void PredecessorGone();
@@ -57,8 +57,9 @@
   // not wait for the silence time-out. Waits up to `limit`.
   void Release(Duration limit);
   // Waits up to `limit` for a request to the advice service.
-  std::optional<AdviceRequest> NextQuestion(Duration limit);
-  void HandleAdvice(const AdviceRequest& question, const AdviceResponse& answer, Time requested_at);
+  std::optional<AdviceRequest> NextAdviceRequest(Duration limit);
+  void HandleAdvice(const AdviceRequest& request, const AdviceResponse& response,
+                    Time requested_at);
   void AdviceFailed(Time now);
   // Sets the newest planner read from the store, and whether this entry would claim the leadership
   // if it were vacant.
--- a/servers/pool/pool_agent.cc
+++ b/servers/pool/pool_agent.cc
@@ -144,39 +144,40 @@
   int64_t connected_epoch = 0;
   Time connected_at{};
   while (true) {
-    std::shared_ptr<PlannerClient> port;
+    std::shared_ptr<PlannerClient> client;
     {
       const std::lock_guard<std::mutex> lock(mutex_);
       if (stopping_) return;
-      port = port_;
+      client = client_;
     }
     EnsureMember(LeaseClock().Now());
     const PlannerRecord planner = NewestPlanner();
     try {
       const Time now = LeaseClock().Now();
-      if (port && planner.epoch > connected_epoch) port.reset();
-      if (port && port->relayed() && now - connected_at > kDirectRetryInterval) port.reset();
-      if (!port) {
+      if (client && planner.epoch > connected_epoch) client.reset();
+      if (client && client->relayed() && now - connected_at > kDirectRetryInterval) client.reset();
+      if (!client) {
         if (planner.address.empty()) throw Error(ErrorKind::kUnavailable, "no planner is known");
-        port = router_.Connect(planner, kConnectTimeout, now);
+        client = router_.Connect(planner, kConnectTimeout, now);
         connected_at = now;
         connected_epoch = planner.epoch;
         const std::lock_guard<std::mutex> lock(mutex_);
-        port_ = port;
+        client_ = client;
         state_.RaiseEpoch(planner.epoch);
-        LogEvent(
-            LogLevel::kInfo, "planner_connected",
-            {{"epoch", planner.epoch}, {"address", planner.address}, {"relayed", port->relayed()}});
+        LogEvent(LogLevel::kInfo, "planner_connected",
+                 {{"epoch", planner.epoch},
+                  {"address", planner.address},
+                  {"relayed", client->relayed()}});
       }
-      ExchangeOnce(port.get(), options_.poll_wait);
+      ExchangeOnce(client.get(), options_.poll_wait);
     } catch (const Error& error) {
-      bool had_port = false;
+      bool was_connected = false;
       {
         const std::lock_guard<std::mutex> lock(mutex_);
-        had_port = port_ != nullptr;
-        port_.reset();
+        was_connected = client_ != nullptr;
+        client_.reset();
       }
-      if (had_port) {
+      if (was_connected) {
         LogEvent(LogLevel::kWarning, "planner_lost",
                  {{"epoch", connected_epoch}, {"error", error.what()}});
       }
@@ -193,18 +194,18 @@
 
 void PoolAgent::RunUpdateLoop() {
   while (true) {
-    std::shared_ptr<PlannerClient> port;
+    std::shared_ptr<PlannerClient> client;
     {
       std::unique_lock<std::mutex> lock(mutex_);
       changed_.wait(lock, [this] { return stopping_ || update_requested_; });
       if (stopping_) return;
       update_requested_ = false;
-      port = port_;
+      client = client_;
     }
     // Without a connection to a planner, the update is sent with the first poll.
-    if (!port) continue;
+    if (!client) continue;
     try {
-      ExchangeOnce(port.get(), Duration::zero());
+      ExchangeOnce(client.get(), Duration::zero());
     } catch (const Error& error) {
       // The next poll includes the same information.
       LogEvent(LogLevel::kWarning, "news_not_sent", {{"error", error.what()}});
@@ -212,7 +213,7 @@
   }
 }
 
-void PoolAgent::ExchangeOnce(PlannerClient* port, Duration wait) {
+void PoolAgent::ExchangeOnce(PlannerClient* client, Duration wait) {
   AgentReport report;
   Time sent{};
   {
@@ -220,7 +221,7 @@
     sent = LeaseClock().Now();
     report = state_.Report(wait, sent);
   }
-  const AgentOrders orders = port->Exchange(report, ExchangeTimeout(wait));
+  const AgentOrders orders = client->Exchange(report, ExchangeTimeout(wait));
   if (!orders.planner_address.empty()) {
     const std::lock_guard<std::mutex> lock(mutex_);
     if (orders.planner_epoch > redirected_planner_.epoch) {
--- a/servers/pool/pool_agent.h
+++ b/servers/pool/pool_agent.h
@@ -59,7 +59,7 @@
   bool HoldOnce(Duration wait);
   // The newest planner known from the store or from a redirect.
   PlannerRecord NewestPlanner() const;
-  void ExchangeOnce(PlannerClient* port, Duration wait);
+  void ExchangeOnce(PlannerClient* client, Duration wait);
   // Time-out of an exchange whose answer the planner may hold back for `wait`.
   Duration ExchangeTimeout(Duration wait) const;
   void ExecuteOrders(const AgentOrders& new_orders, Time until);
@@ -85,7 +85,7 @@
   mutable std::mutex mutex_;
   std::condition_variable changed_;
   AgentState state_;
-  std::shared_ptr<PlannerClient> port_;
+  std::shared_ptr<PlannerClient> client_;
   // Newest planner that a previous planner has redirected this agent to. Needed when the store is
   // out of reach.
   PlannerRecord redirected_planner_;
--- a/servers/pool/pool_bounds.cc
+++ b/servers/pool/pool_bounds.cc
@@ -67,9 +67,10 @@
 
 PlannerOptions PlannerOptionsFor(const PoolBounds& bounds) {
   PlannerOptions options;
-  options.lease = CheckedLimit(
+  options.lease_duration = CheckedLimit(
       "the longest lease", std::min(kMaxLease, bounds.longest_lease - kLeaseReserve), kMinLimit);
-  options.lease_margin = Scaled(options.lease, kClockSlack) + bounds.stop + kLeaseExpiryMargin;
+  options.lease_margin =
+      Scaled(options.lease_duration, kClockSlack) + bounds.stop + kLeaseExpiryMargin;
   const Duration cancel = bounds.cancel - kStartReserve;
   const Duration zone_out = bounds.zone_out - kStartReserve;
   options.start_window =
@@ -91,9 +92,9 @@
       std::max(Duration::zero(), spare - kReclaimInterval - kRetryReserve);
   options.guaranteed_wait_limit =
       std::max(Duration::zero(), spare - kReclaimInterval - kForecastError - kStartLatency);
-  options.stop = bounds.stop;
+  options.max_stop_time = bounds.stop;
   options.reservation_limit = bounds.stop + kReservationMargin;
-  options.restore = bounds.restore;
+  options.restore_time = bounds.restore;
   options.ended_job_retention = bounds.status_kept + kStatusReserve;
   options.off_rack_slowdown = bounds.off_rack_slowdown;
   return options;
--- a/servers/pool/pool_bounds_test.cc
+++ b/servers/pool/pool_bounds_test.cc
@@ -47,12 +47,12 @@
   for (int i = 0; i < kRounds; ++i) {
     const PoolBounds bounds = generator.Next();
     const PlannerOptions options = PlannerOptionsFor(bounds);
-    EXPECT_LT(options.lease, bounds.longest_lease);
+    EXPECT_LT(options.lease_duration, bounds.longest_lease);
     EXPECT_LT(options.confirm_age_limit + options.start_window, bounds.cancel);
     EXPECT_LT(options.document_age_limit + options.start_window, bounds.zone_out);
     EXPECT_LT(options.gang_start_timeout + bounds.stop, bounds.gang_wait);
     // The lease's clock skew on the slowest clock, plus the stop time.
-    EXPECT_GT(options.lease_margin, bounds.stop + options.lease / 50);
+    EXPECT_GT(options.lease_margin, bounds.stop + options.lease_duration / 50);
     EXPECT_LT(options.guaranteed_off_rack_delay, bounds.reclaim);
     EXPECT_LT(options.guaranteed_wait_limit, bounds.reclaim);
     EXPECT_GT(options.reservation_limit, bounds.stop);
--- a/servers/pool/pool_entry.cc
+++ b/servers/pool/pool_entry.cc
@@ -26,9 +26,9 @@
       members_(log, options.members_wait),
       router_(options.node, options.zone, &members_, connector),
       service_(options.planner, log, &operators_, metrics),
-      front_(options.job_api, &work_, &operators_, &service_, &router_, metrics) {
+      job_api_(options.job_api, &work_, &operators_, &service_, &router_, metrics) {
   callers_ = std::make_unique<HttpServer>(options.callers, [this](const HttpRequest& request) {
-    return endpoint_->Handle(request, &front_, LeaseClock().Now());
+    return endpoint_->Handle(request, &job_api_, LeaseClock().Now());
   });
   readiness_ = std::make_unique<HttpServer>(
       options.readiness, [this](const HttpRequest& request) { return AnswerReadiness(request); });
@@ -52,14 +52,14 @@
 HttpResponse PoolEntry::AnswerReadiness(const HttpRequest& request) const {
   if (request.path == "/metrics") return {200, metrics_->Expose(), {}};
   if (request.path != endpoint_->ready_path()) return JsonResponse("{}", 404);
-  const bool ready = !leaving_.load() && front_.Ready(LeaseClock().Now());
+  const bool ready = !leaving_.load() && job_api_.Ready(LeaseClock().Now());
   return JsonResponse(ready ? R"({"ready":true})" : R"({"ready":false})", ready ? 200 : 503);
 }
 
 bool PoolEntry::Leave(Duration limit) {
   const Time until = LeaseClock().Now() + limit;
   leaving_.store(true);
-  front_.SetAnswerDeadline(until - kAnswerReserve);
+  job_api_.SetAnswerDeadline(until - kAnswerReserve);
   LogEvent(LogLevel::kInfo, "leaving", {{"epoch", service_.epoch()}});
   if (elector_) elector_->Leave();
   service_.Release(kReleaseLimit);
--- a/servers/pool/pool_entry.h
+++ b/servers/pool/pool_entry.h
@@ -67,7 +67,7 @@
   PlannerRouter router_;
   PlannerService service_;
   std::unique_ptr<PlannerElector> elector_;
-  JobApi front_;
+  JobApi job_api_;
   std::unique_ptr<HttpServer> callers_;
   std::unique_ptr<HttpServer> readiness_;
 };
--- a/servers/pool/pool_planner.cc
+++ b/servers/pool/pool_planner.cc
@@ -7,7 +7,7 @@
 
 namespace turmericshift::pool {
 
-PoolPlanner::PoolPlanner(const PlannerOptions& options, int64_t epoch, const JobTable& book,
+PoolPlanner::PoolPlanner(const PlannerOptions& options, int64_t epoch, const JobTable& table,
                          const std::set<std::string>& nodes, Time now)
     : options_(options),
       epoch_(epoch),
@@ -15,9 +15,9 @@
       started_at_(now),
       listed_agents_(nodes.size()),
       unreported_agents_(nodes),
-      appraiser_(options.disabled_mechanisms),
-      mean_stop_time_(options.stop) {
-  for (const auto& [id, entry] : book.jobs()) {
+      estimator_(options.disabled_mechanisms),
+      mean_stop_time_(options.max_stop_time) {
+  for (const auto& [id, entry] : table.jobs()) {
     Job& job = jobs_[id];
     job.spec = entry.spec;
     job.progress = entry.progress;
@@ -28,25 +28,28 @@
   }
   // The previous planner may not know yet that it has been replaced. It may grant leases to agents
   // that are partitioned together with it, as long as they accept an unconfirmed planner.
-  inherited_start_time_ = now + options.unconfirmed_limit + options.lease + options.lease_margin;
+  inherited_start_time_ =
+      now + options.unconfirmed_limit + options.lease_duration + options.lease_margin;
 }
 
-void PoolPlanner::ConfirmLeadership(Time asked) {
-  if (!leadership_confirmed_ || asked > *leadership_confirmed_) leadership_confirmed_ = asked;
+void PoolPlanner::ConfirmLeadership(Time requested_at) {
+  if (!leadership_confirmed_ || requested_at > *leadership_confirmed_)
+    leadership_confirmed_ = requested_at;
 }
 
-void PoolPlanner::SetOperatorState(std::shared_ptr<const OperatorState> state, Time asked) {
+void PoolPlanner::SetOperatorState(std::shared_ptr<const OperatorState> state, Time requested_at) {
   if (state != operator_state_) {
     needs_planning_ = true;
     operator_state_ = std::move(state);
     for (auto& [id, job] : jobs_) RefreshTerms(&job);
   }
-  if (!operator_state_read_ || asked > *operator_state_read_) operator_state_read_ = asked;
+  if (!operator_state_read_ || requested_at > *operator_state_read_)
+    operator_state_read_ = requested_at;
 }
 
 void PoolPlanner::PredecessorGone(Time now) {
   inherited_start_time_ =
-      std::min(inherited_start_time_, now + options_.lease + options_.lease_margin);
+      std::min(inherited_start_time_, now + options_.lease_duration + options_.lease_margin);
 }
 
 Ticket PoolPlanner::Submit(const JobSpec& spec) {
@@ -84,7 +87,7 @@
 
 bool PoolPlanner::HasPendingOrders(const std::string& node) const {
   const auto found = workers_.find(node);
-  return found != workers_.end() && found->second.version > found->second.version_seen;
+  return found != workers_.end() && found->second.version > found->second.acked_version;
 }
 
 AgentOrders PoolPlanner::Orders(const std::string& node, Time now) {
@@ -96,7 +99,7 @@
   orders.worker_start_time_ms = worker.facts.start_time_ms;
   orders.lag = planner_lag_.lag();
   if (leadership_confirmed_ && now - *leadership_confirmed_ < options_.unconfirmed_limit) {
-    orders.lease = options_.lease;
+    orders.lease = options_.lease_duration;
   }
   if (MayStart(now)) orders.start_window = options_.start_window;
   for (const auto& [id, run] : worker.live) {
--- a/servers/pool/pool_planner.h
+++ b/servers/pool/pool_planner.h
@@ -40,7 +40,7 @@
   // longest lease that workers grant, and above the time in which a successor takes over and
   // reaches the agents (1.4 s of silence at most, a claim, and a poll of 0.5 s with a timeout of
   // 0.7 s).
-  Duration lease = std::chrono::milliseconds(4000);
+  Duration lease_duration = std::chrono::milliseconds(4000);
   // Added to a lease before it counts as expired: workers' clocks may run slow, and the stop itself
   // takes time.
   Duration lease_margin = std::chrono::milliseconds(600);
@@ -70,11 +70,11 @@
   // even where a guarantee applies.
   Duration guaranteed_wait_limit = std::chrono::milliseconds(800);
   // Longest time that stopping a run takes.
-  Duration stop = std::chrono::milliseconds(400);
+  Duration max_stop_time = std::chrono::milliseconds(400);
   // How long room freed by preemption stays reserved for the unit that it was freed for.
   Duration reservation_limit = std::chrono::milliseconds(1500);
   // Time to resume a task from a checkpoint.
-  Duration restore = std::chrono::milliseconds(600);
+  Duration restore_time = std::chrono::milliseconds(600);
   // How long an ended job is retained.
   Duration ended_job_retention = std::chrono::seconds(130);
   // Factor on the run time of tasks outside their data's rack and of gangs that want one rack but
@@ -97,17 +97,17 @@
  public:
   // `book`: the contents of the work topic when this planner became the active one. `nodes`: agents
   // that may have tasks running.
-  PoolPlanner(const PlannerOptions& options, int64_t epoch, const JobTable& book,
+  PoolPlanner(const PlannerOptions& options, int64_t epoch, const JobTable& table,
               const std::set<std::string>& nodes, Time now);
 
   int64_t epoch() const { return epoch_; }
   Outbox& outbox() { return outbox_; }
 
   // The store has confirmed this planner's leadership in its answer to a request sent at `asked`.
-  void ConfirmLeadership(Time asked);
+  void ConfirmLeadership(Time requested_at);
   // Whether leadership was confirmed so recently that no other planner can have taken over since.
   bool LeadershipConfirmed(Time now) const;
-  void SetOperatorState(std::shared_ptr<const OperatorState> state, Time asked);
+  void SetOperatorState(std::shared_ptr<const OperatorState> state, Time requested_at);
   // The previous planner has reported that it no longer plans, so it grants no leases from `now`
   // on.
   void PredecessorGone(Time now);
@@ -336,8 +336,8 @@
   std::shared_ptr<const OperatorState> operator_state_ = std::make_shared<OperatorState>();
   std::optional<Time> operator_state_read_;
   std::optional<Time> leadership_confirmed_;
-  WorkerHealthTracker judge_;
-  JobEstimator appraiser_;
+  WorkerHealthTracker health_tracker_;
+  JobEstimator estimator_;
   std::map<UnitKey, ReclaimReservation> reclaim_reservations_;
   int64_t start_count_ = 0;
   // Something that affects placement has changed since the last round.
--- a/servers/pool/pool_planner_planning.cc
+++ b/servers/pool/pool_planner_planning.cc
@@ -96,11 +96,11 @@
   Room free;
   int usable = 0;
   for (const auto& [node, worker] : workers_) {
-    if (!worker.usable(now) || judge_.IsQuarantined(node, now)) continue;
+    if (!worker.usable(now) || health_tracker_.IsQuarantined(node, now)) continue;
     if (operator_state_->zones_out.count(worker.zone) > 0) continue;
     ++usable;
     total += worker.facts.capacity;
-    free += worker.left;
+    free += worker.remaining_room;
   }
   std::map<int, int> waiting;
   for (const Unit& unit : units) ++waiting[unit.priority];
@@ -128,9 +128,9 @@
 
 Occupancy PoolPlanner::OccupancyOf(const WorkerState& worker) {
   if (worker.live.empty()) return Occupancy::kNone;
-  const bool saved = std::all_of(worker.live.begin(), worker.live.end(),
-                                 [](const auto& row) { return row.second.saved; });
-  return saved ? Occupancy::kResumable : Occupancy::kNotResumable;
+  const bool resumable = std::all_of(worker.live.begin(), worker.live.end(),
+                                     [](const auto& row) { return row.second.resumable; });
+  return resumable ? Occupancy::kResumable : Occupancy::kNotResumable;
 }
 
 void PoolPlanner::BeginRound(Time now) {
@@ -149,14 +149,14 @@
     for (const auto& [id, run] : worker.live) {
       starts_in_flight_ += run.phase == RunPhase::kOrdered;
     }
-    worker.left = worker.free();
+    worker.remaining_room = worker.free();
     worker.occupancy = OccupancyOf(worker);
     capacity[worker.facts.service] += worker.facts.capacity;
     all += worker.facts.capacity;
-    all_left += worker.left;
+    all_left += worker.remaining_room;
     if (!worker.usable(now)) continue;
     pool_room_.total += worker.facts.capacity;
-    pool_room_.free += worker.left;
+    pool_room_.free += worker.remaining_room;
   }
   mostly_idle_ = FreeShare(pool_room_.free, pool_room_.total) > kMostlyIdleShare;
   if (FreeShare(all_left, all) <= kHalfIdleShare) {
@@ -164,9 +164,9 @@
   } else if (!half_idle_since_) {
     half_idle_since_ = now;
   }
-  appraiser_.SetCapacity(capacity);
-  appraiser_.ResetJobs();
-  for (const auto& [id, job] : jobs_) appraiser_.RecordJob(job.spec);
+  estimator_.SetCapacity(capacity);
+  estimator_.ResetJobs();
+  for (const auto& [id, job] : jobs_) estimator_.RecordJob(job.spec);
   urgent_use_.clear();
   urgent_need_.clear();
   Room demand;
@@ -187,8 +187,8 @@
   for (auto& [node, worker] : workers_) {
     // Reports that a lagging planner has not read yet do not mean that the agent is silent.
     const bool expired = now > worker.lease_until + options_.lease_margin + planner_lag_.lag();
-    if (!worker.known || !expired) continue;
-    worker.known = false;
+    if (!worker.lists_received || !expired) continue;
+    worker.lists_received = false;
     DropLostRuns(&worker, "no report from the agent within its lease", now);
   }
 }
@@ -213,7 +213,7 @@
                 {"node", node},
                 {"unheard_s", Seconds(now - worker.last_report)},
                 {"planner_late_s", Seconds(planner_lag_.lag())}});
-      if (planner_lag_.lag() == Duration::zero()) judge_.OrderFailed(node, now);
+      if (planner_lag_.lag() == Duration::zero()) health_tracker_.OrderFailed(node, now);
       StopRun(&worker, &run);
       if (gang) StopGang(*job, id);
     }
@@ -274,8 +274,8 @@
   unit.place = place;
   unit.priority = terms.priority;
   unit.start_ms = ReleaseMs(job->spec, place.occurrence);
-  unit.timing = appraiser_.TimingOf(job->spec, terms, place, wall_ms);
-  unit.expected = appraiser_.ExpectedTime(job->spec, step);
+  unit.timing = estimator_.TimingOf(job->spec, terms, place, wall_ms);
+  unit.expected = estimator_.ExpectedTime(job->spec, step);
   unit.due_ms = unit.start_ms + Millis(terms.target_latency) +
                 Millis(Scaled(unit.timing.critical_path, terms.stretch));
   unit.prospect = ProspectOf(unit, wall_ms);
@@ -305,17 +305,17 @@
     if (!worker.usable(now) || worker.facts.service != service) continue;
     if (operator_state_->zones_out.count(worker.zone) > 0) continue;
     if (!step.label.empty() && !Contains(worker.facts.labels, step.label)) continue;
-    if (!empty && judge_.IsQuarantined(node, now)) continue;
+    if (!empty && health_tracker_.IsQuarantined(node, now)) continue;
     if (Terms(*unit.job).advised &&
         !advice_.MayRun({unit.job->spec.id, unit.place}, AdvisedWorkerOf(worker))) {
       continue;
     }
-    if (only_healthy && judge_.IsSuspect(node, now)) continue;
+    if (only_healthy && health_tracker_.IsSuspect(node, now)) continue;
     WorkerRoom room;
     room.node = node;
     room.rack = worker.facts.rack;
-    room.free = empty ? worker.facts.capacity : worker.left;
-    room.doubtful = judge_.IsSuspect(node, now);
+    room.free = empty ? worker.facts.capacity : worker.remaining_room;
+    room.suspect = health_tracker_.IsSuspect(node, now);
     room.occupancy =
         empty || !IsEnabled(Mechanism::kGroupSimilarTasks) ? Occupancy::kNone : worker.occupancy;
     room.max_tasks = static_cast<int>(unit.waiting.size());
@@ -455,15 +455,15 @@
     const auto saved =
         job->progress.checkpoints.find({place.occurrence, place.step, step.gang ? 0 : index});
     if (saved != job->progress.checkpoints.end()) run.checkpoint = saved->second;
-    run.saved = step.checkpoints;
+    run.resumable = step.checkpoints;
     if (worker.occupancy != Occupancy::kNotResumable) {
       worker.occupancy = step.checkpoints ? Occupancy::kResumable : Occupancy::kNotResumable;
     }
     run.representative = run.checkpoint.empty() && !over_racks && !away_from_data;
     worker.live[run.run] = run;
-    worker.left -= run.need;
+    worker.remaining_room -= run.need;
     pool_room_.free -= run.need;
-    if (run.best_effort) worker.left.processor_millis += run.need.processor_millis;
+    if (run.best_effort) worker.remaining_room.processor_millis += run.need.processor_millis;
     if (run.start_after > outbox_.durable()) {
       pending_starts_.emplace(run.start_after, worker.node);
     } else {
--- a/servers/pool/pool_planner_reclaiming.cc
+++ b/servers/pool/pool_planner_reclaiming.cc
@@ -46,7 +46,7 @@
     return frees_up_anyway ? 0 : kUnlimitedCost;
   }
   return IsEnabled(Mechanism::kPreemptForBorrowedRoom)
-             ? gain * appraiser_.ValueOf(unit.job->spec, Terms(*unit.job))
+             ? gain * estimator_.ValueOf(unit.job->spec, Terms(*unit.job))
              : 0;
 }
 
@@ -54,19 +54,19 @@
                                    int64_t wall_ms, Time now) const {
   const StepPlace place = {run.run.task.occurrence, run.run.task.step};
   const StepSpec& step = job.spec.steps[static_cast<size_t>(place.step)];
-  JobTiming timing = appraiser_.TimingOf(job.spec, Terms(job), place, wall_ms);
-  const Duration whole = appraiser_.ExpectedTime(job.spec, step);
+  JobTiming timing = estimator_.TimingOf(job.spec, Terms(job), place, wall_ms);
+  const Duration whole = estimator_.ExpectedTime(job.spec, step);
   const Duration left = run.progress.RemainingTime(run.estimate, run.since, now);
   const Duration rest_after = timing.remaining - whole;
   timing.remaining = rest_after + left;
   const double share_now = ExpectedValueShare(timing, Duration::zero());
-  timing.remaining = rest_after + (step.checkpoints ? left + options_.restore : whole);
+  timing.remaining = rest_after + (step.checkpoints ? left + options_.restore_time : whole);
   const double share_then = ExpectedValueShare(timing, mean_stop_time_ + room_taken_for);
-  double loss = std::max(0.0, share_now - share_then) * appraiser_.ValueOf(job.spec, Terms(job));
+  double loss = std::max(0.0, share_now - share_then) * estimator_.ValueOf(job.spec, Terms(job));
   if (!IsEnabled(Mechanism::kVictimLoss)) loss = 0;
   // The members of a gang are stopped together and share the loss.
   if (step.gang) loss /= step.tasks;
-  double lost_work = CoreEquivalent(run.need) * LostSeconds(run, step, options_.restore, now);
+  double lost_work = CoreEquivalent(run.need) * LostSeconds(run, step, options_.restore_time, now);
   const auto state = job.steps.find(place);
   if (state != job.steps.end() && IsEnabled(Mechanism::kRepeatPreemptionCost)) {
     lost_work *= 1 + kRepeatCostFactor * state->second.preemptions;
--- a/servers/pool/pool_planner_reports.cc
+++ b/servers/pool/pool_planner_reports.cc
@@ -34,13 +34,13 @@
   worker.last_report = now;
   // The answer will grant a lease that counts from now, and a previous planner may just have
   // granted one.
-  worker.lease_until = std::max(worker.lease_until, now + options_.lease);
-  worker.version_seen = report.orders_seen;
+  worker.lease_until = std::max(worker.lease_until, now + options_.lease_duration);
+  worker.acked_version = report.orders_seen;
   ApplyWorkerFacts(report, &worker, now);
   if (report.epoch != epoch_ || report.worker.start_time_ms != worker.facts.start_time_ms) return;
   unreported_agents_.erase(report.node);
-  if (!worker.known) {
-    worker.known = true;
+  if (!worker.lists_received) {
+    worker.lists_received = true;
     needs_planning_ = true;
     LogEvent(LogLevel::kInfo, "worker_known",
              {{"node", report.node},
@@ -50,7 +50,8 @@
               {"epoch", epoch_}});
   }
   // A new process of the agent does not know the leases that its predecessor has passed on.
-  const bool leases_known = now > worker.incarnation_since + options_.lease + options_.lease_margin;
+  const bool leases_known =
+      now > worker.incarnation_since + options_.lease_duration + options_.lease_margin;
   const bool runs_over =
       !worker.facts.reachable && leases_known && report.lease_left <= Duration::zero();
   // The list of a worker that is gone is outdated. If it were applied, each report would stop the
@@ -97,7 +98,7 @@
     worker->ends_seen = 0;
     worker->acked_ends = 0;
     NotePendingOrders(worker);
-    judge_.Forget(worker->node);
+    health_tracker_.Forget(worker->node);
     LogEvent(LogLevel::kInfo, "worker_reported",
              {{"node", report.node},
               {"worker", facts.id},
@@ -147,7 +148,7 @@
     if (!run.progress.IsStalled(run.estimate, now)) return;
   }
   if (running > 0 && IsEnabled(Mechanism::kExcludeStalledWorkers))
-    judge_.StandsStill(worker.node, now);
+    health_tracker_.RunsStalled(worker.node, now);
 }
 
 // A run that the worker lists neither as running nor as ended may still begin: the call sent by the
@@ -179,7 +180,7 @@
     live.need = step->need;
     live.best_effort = step->best_effort;
     live.estimate = step->estimate;
-    live.saved = step->checkpoints;
+    live.resumable = step->checkpoints;
   }
   live.phase = wanted ? RunPhase::kRunning : RunPhase::kStopping;
   if (wanted) {
@@ -216,7 +217,7 @@
   if (result.outcome == StartOutcome::kTicketRefused) {
     advice_.TicketRefused({task.job, {task.occurrence, task.step}}, AdvisedWorkerOf(*worker));
   }
-  if (result.outcome == StartOutcome::kNotRun) judge_.OrderFailed(worker->node, now);
+  if (result.outcome == StartOutcome::kNotRun) health_tracker_.OrderFailed(worker->node, now);
   job->steps[{task.occurrence, task.step}].retry_after = now + kStartRetryDelay;
   if (step != nullptr && step->gang) StopGang(*job, result.run);
   LogEvent(LogLevel::kWarning, "start_not_taken",
@@ -249,13 +250,13 @@
     const bool replaced = current != job->runs.end() && current->second.number != end.run.number;
     RemoveRun(end.run, job);
     if (end.kind == EndKind::kDone) {
-      judge_.RunDone(worker->node);
-      if (clean_time) appraiser_.RecordRun(job->spec.queue, step->estimate, *clean_time);
+      health_tracker_.RunDone(worker->node);
+      if (clean_time) estimator_.RecordRun(job->spec.queue, step->estimate, *clean_time);
       // Skips a run that was given up when its lease expired; another run has been started since.
       if (!replaced) ApplyDone(end, job, wall_ms);
     } else if (end.kind == EndKind::kFailed) {
       if (IsEnabled(Mechanism::kExcludeFailingWorkers))
-        judge_.RunFailed(worker->node, task.job, now);
+        health_tracker_.RunFailed(worker->node, task.job, now);
       SaveCheckpoint(end.run, end.checkpoint, job);
       ApplyFailure(end, job, wall_ms);
     } else {
--- a/servers/pool/pool_planner_test.cc
+++ b/servers/pool/pool_planner_test.cc
@@ -44,13 +44,13 @@
 }
 
 // The stored records of job "j", which is running: one task of `estimate`.
-JobTable BookOfRunningJob(Duration estimate) {
-  JobTable book;
-  book.Apply({"j/j", EncodeSpec(BedJob("j", "batch", "one", BedStep(1, 1, estimate))), 1});
+JobTable TableOfRunningJob(Duration estimate) {
+  JobTable table;
+  table.Apply({"j/j", EncodeSpec(BedJob("j", "batch", "one", BedStep(1, 1, estimate))), 1});
   JobProgress progress;
   progress.state = JobState::kRunning;
-  book.Apply({"p/j", EncodeProgress(progress), 2});
-  return book;
+  table.Apply({"p/j", EncodeProgress(progress), 2});
+  return table;
 }
 
 TEST(PoolPlanner, RunsStepsInTheirOrder) {
@@ -130,9 +130,9 @@
 // depends on whether the previous planner is known to grant no more leases.
 TEST(PoolPlanner, WaitsLessForAMissingAgentOnceThePredecessorIsGone) {
   const PlannerOptions options;
-  const JobTable book = BookOfRunningJob(seconds(2));
+  const JobTable table = TableOfRunningJob(seconds(2));
   const Time now = Time(std::chrono::hours(1));
-  PoolPlanner planner(options, 1, book, {"n", "missing"}, now);
+  PoolPlanner planner(options, 1, table, {"n", "missing"}, now);
   const auto placed_after = [&](Duration waited) {
     const Time then = now + waited;
     planner.ConfirmLeadership(then);
@@ -334,9 +334,9 @@
 // failure is durable. Its successor receives the later failure first. If the earlier one were taken
 // for a repeat, the task would run once more than its queue allows.
 TEST(PoolPlanner, CountsFailuresReportedInAnyOrder) {
-  const JobTable book = BookOfRunningJob(seconds(1));
+  const JobTable table = TableOfRunningJob(seconds(1));
   const Time now = Time(std::chrono::hours(1));
-  PoolPlanner planner(PlannerOptions(), 1, book, {"n", "m"}, now);
+  PoolPlanner planner(PlannerOptions(), 1, table, {"n", "m"}, now);
   planner.SetOperatorState(std::make_shared<OperatorState>(BedOperators(0)), now);
   const auto fails = [&](const std::string& node, int64_t sequence, int64_t run) {
     AgentReport report = Report("first", sequence);
--- a/servers/pool/pool_view.cc
+++ b/servers/pool/pool_view.cc
@@ -52,7 +52,7 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   newest_record_at_ = LeaseClock().Now();
   try {
-    (rebuilding_ ? *rebuilding_ : book_).Apply(record);
+    (rebuilding_ ? *rebuilding_ : table_).Apply(record);
   } catch (const Error& error) {
     LogSkippedRecord(kWorkTopic, record, error);
   }
@@ -61,7 +61,7 @@
 void WorkView::CaughtUp(Offset end, Time requested_at) {
   const std::lock_guard<std::mutex> lock(mutex_);
   if (rebuilding_) {
-    book_ = std::move(*rebuilding_);
+    table_ = std::move(*rebuilding_);
     rebuilding_.reset();
     // An empty topic has no record that tells when a planner was last active.
     newest_record_at_ = LeaseClock().Now();
@@ -76,25 +76,25 @@
 }
 
 LeadershipView WorkView::LeadershipLocked() const {
-  return {book_.planner(), end_, freshness_, newest_record_at_};
+  return {table_.planner(), end_, freshness_, newest_record_at_};
 }
 
-JobTable WorkView::book(LeadershipView* leadership) const {
+JobTable WorkView::table(LeadershipView* leadership) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   *leadership = LeadershipLocked();
-  return book_;
+  return table_;
 }
 
 std::optional<JobState> WorkView::StateOf(const std::string& id) const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  const StoredJob* entry = book_.Find(id);
+  const StoredJob* entry = table_.Find(id);
   if (entry == nullptr) return std::nullopt;
   return entry->progress.state;
 }
 
 int WorkView::Waiting(const std::string& queue) const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return book_.Waiting(queue);
+  return table_.Waiting(queue);
 }
 
 Freshness WorkView::freshness() const {
--- a/servers/pool/pool_view.h
+++ b/servers/pool/pool_view.h
@@ -54,7 +54,7 @@
 
   LeadershipView leadership() const;
   // Returns a copy of all jobs, and sets `leadership` to the state at the same moment.
-  JobTable book(LeadershipView* leadership) const;
+  JobTable table(LeadershipView* leadership) const;
   // Empty if the view does not contain the job.
   std::optional<JobState> StateOf(const std::string& id) const;
   int Waiting(const std::string& queue) const;
@@ -70,7 +70,7 @@
   LeadershipView LeadershipLocked() const;
 
   mutable std::mutex mutex_;
-  JobTable book_;
+  JobTable table_;
   // Filled while the topic is read anew after a restart, so that readers never see a partial table.
   std::optional<JobTable> rebuilding_;
   Offset end_ = 0;
--- a/servers/pool/run_times.cc
+++ b/servers/pool/run_times.cc
@@ -27,7 +27,7 @@
   variance = (1 - weight) * (variance + weight * step * step);
 }
 
-void RunTimes::Note(const std::string& queue, Duration estimate, Duration actual) {
+void RunTimes::Record(const std::string& queue, Duration estimate, Duration actual) {
   Queue& known = queues_[queue];
   ++known.count;
   const double seconds = std::max(kMinSeconds, Seconds(actual));
--- a/servers/pool/run_times.h
+++ b/servers/pool/run_times.h
@@ -14,7 +14,7 @@
  public:
   // A task that was estimated to take `estimate` took `actual`, at full speed and without
   // interruption.
-  void Note(const std::string& queue, Duration estimate, Duration actual);
+  void Record(const std::string& queue, Duration estimate, Duration actual);
 
   // Expected run time of a task of the queue: by the queue's mean or by the task's estimate,
   // whichever has predicted better; the estimate while little is known.
--- a/servers/pool/run_times_test.cc
+++ b/servers/pool/run_times_test.cc
@@ -10,7 +10,7 @@
 
 TEST(RunTimes, UsesTheEstimateWithFewRuns) {
   RunTimes times;
-  times.Note("q", seconds(1), seconds(9));
+  times.Record("q", seconds(1), seconds(9));
   EXPECT_EQ(times.ExpectedTime("q", seconds(2)), seconds(2));
   EXPECT_EQ(times.ExpectedTime("other", seconds(2)), seconds(2));
 }
@@ -20,7 +20,7 @@
 TEST(RunTimes, UsesTheQueueMeanWhereEstimatesAreUnrelated) {
   RunTimes times;
   for (int i = 0; i < 12; ++i) {
-    times.Note("q", milliseconds(900 + 1400 * i), seconds(8) + milliseconds(100 * i));
+    times.Record("q", milliseconds(900 + 1400 * i), seconds(8) + milliseconds(100 * i));
   }
   EXPECT_NEAR(Seconds(times.ExpectedTime("q", seconds(1))), 8.5, 0.3);
   EXPECT_NEAR(Seconds(times.ExpectedTime("q", seconds(17))), 8.5, 0.3);
@@ -29,7 +29,7 @@
 // Run times differ by ten times as callers say, but all tasks take half as long again as estimated.
 TEST(RunTimes, ScalesTheEstimateWhereItPredictsBetter) {
   RunTimes times;
-  for (int i = 1; i <= 12; ++i) times.Note("q", seconds(i), milliseconds(1500 * i));
+  for (int i = 1; i <= 12; ++i) times.Record("q", seconds(i), milliseconds(1500 * i));
   EXPECT_NEAR(Seconds(times.ExpectedTime("q", seconds(2))), 3.0, 0.1);
   EXPECT_NEAR(Seconds(times.ExpectedTime("q", seconds(10))), 15.0, 0.1);
 }
--- a/servers/pool/unresolved_calls.cc
+++ b/servers/pool/unresolved_calls.cc
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-void UnresolvedCalls::Note(const std::string& call, Time now) {
+void UnresolvedCalls::Record(const std::string& call, Time now) {
   const std::lock_guard<std::mutex> lock(mutex_);
   std::erase_if(noted_at_, [now](const auto& row) { return now - row.second > kRetention; });
   noted_at_[call] = now;
--- a/servers/pool/unresolved_calls.h
+++ b/servers/pool/unresolved_calls.h
@@ -14,7 +14,7 @@
 class UnresolvedCalls {
  public:
   // `call`: host and path of the submission.
-  void Note(const std::string& call, Time now);
+  void Record(const std::string& call, Time now);
   bool Contains(const std::string& call, Time now) const;
 
  private:
--- a/servers/pool/worker_health_tracker.cc
+++ b/servers/pool/worker_health_tracker.cc
@@ -73,7 +73,7 @@
   QuarantineUntil(worker, now + kOrderFailureQuarantine);
 }
 
-void WorkerHealthTracker::StandsStill(const std::string& worker, Time now) {
+void WorkerHealthTracker::RunsStalled(const std::string& worker, Time now) {
   QuarantineUntil(worker, now + kStallQuarantine);
 }
 
--- a/servers/pool/worker_health_tracker.h
+++ b/servers/pool/worker_health_tracker.h
@@ -19,7 +19,7 @@
   // The worker refused an order or did not answer it.
   void OrderFailed(const std::string& worker, Time now);
   // None of the worker's runs makes progress.
-  void StandsStill(const std::string& worker, Time now);
+  void RunsStalled(const std::string& worker, Time now);
   // Clears the worker's history when a new incarnation of the worker starts.
   void Forget(const std::string& worker);
 
--- a/servers/pool/worker_state.cc
+++ b/servers/pool/worker_state.cc
@@ -19,7 +19,7 @@
 }
 
 bool WorkerState::usable(Time now) const {
-  return known && !facts.id.empty() && facts.reachable && !facts.draining &&
+  return lists_received && !facts.id.empty() && facts.reachable && !facts.draining &&
          now - last_report < kReportTimeout;
 }
 
--- a/servers/pool/worker_state.h
+++ b/servers/pool/worker_state.h
@@ -36,7 +36,7 @@
   // Expected run time with its placement.
   Duration estimate{};
   // The run can be stopped and later continue from a checkpoint.
-  bool saved = false;
+  bool resumable = false;
   // The run began without a checkpoint and with a placement that does not slow it down, so its run
   // time is a valid sample for other estimates.
   bool representative = false;
@@ -68,7 +68,7 @@
   WorkerFacts facts;
   // The agent's task lists under this planner's epoch have been received, so no order of an older
   // planner can start anything on the worker.
-  bool known = false;
+  bool lists_received = false;
   // Time of the last report.
   Time last_report{};
   // All live runs have ended by this time unless a lease is renewed.
@@ -80,10 +80,10 @@
   int64_t acked_ends = 0;
   // Version of the newest orders for the agent, and the newest version that it has acknowledged.
   int64_t version = 0;
-  int64_t version_seen = 0;
+  int64_t acked_version = 0;
 
   // Free room in the current planning round; see PoolPlanner::Plan.
-  Room left;
+  Room remaining_room;
   // Which kind of runs occupies the worker in the current planning round.
   Occupancy occupancy = Occupancy::kNone;
 
