--- a/servers/pool/advice_cache.h
+++ b/servers/pool/advice_cache.h
@@ -19,11 +19,12 @@
 
 class AdviceCache {
  public:
-  // Returns a ticket for a start on the worker that stays valid long enough to reach it; empty if
-  // there is none.
+  // Returns a ticket for a start on the worker that will still be valid when the start arrives
+  // there; empty if there is none.
   std::optional<std::string> TicketFor(const AdvisedStep& step, const AdvisedWorker& worker,
                                        Time now) const;
-  // Whether the worker may run the step; true if that is not known yet.
+  // Whether the worker may run the step; true also while the service has not answered for this
+  // worker.
   bool MayRun(const AdvisedStep& step, const AdvisedWorker& worker) const;
 
   // Clears the pending requests. They are added again in each planning round, most important first.
@@ -44,8 +45,8 @@
   void Forget(const std::string& job);
 
  private:
-  // Workers without a verdict are unknown. `may_run` does not change over time, but the ticket
-  // expires.
+  // The service's answer for one worker; a worker has no verdict until the service has answered for
+  // it. `may_run` does not change over time, but the ticket expires.
   struct Verdict {
     bool may_run = false;
     std::string ticket;
--- a/servers/pool/advice_fetcher.h
+++ b/servers/pool/advice_fetcher.h
@@ -1,5 +1,5 @@
 // Sends the requests of this process's planner to the advice service, one at a time: the service
-// answers a VM's calls in turn, so a second call would only wait there.
+// answers a VM's calls in turn, so a second call would only wait at the service.
 #pragma once
 
 #include <atomic>
@@ -12,7 +12,7 @@
 
 class AdviceFetcher {
  public:
-  // Both must outlive the fetcher.
+  // `advice` and `planner` must outlive the fetcher.
   AdviceFetcher(AdviceService* advice, PlannerService* planner);
   ~AdviceFetcher();
   AdviceFetcher(const AdviceFetcher&) = delete;
--- a/servers/pool/advice_service.h
+++ b/servers/pool/advice_service.h
@@ -53,7 +53,7 @@
   virtual AdviceResponse Ask(const AdviceRequest& request, Duration timeout) = 0;
 };
 
-// Clients by name; the argument is the service's address, such as "10.0.0.1:8080".
+// Registry of the clients by name; the argument is the service's address, such as "10.0.0.1:8080".
 using AdviceServiceRegistry = PluginRegistry<AdviceService, const std::string&>;
 
 }  // namespace turmericshift::pool
--- a/servers/pool/agent_state.cc
+++ b/servers/pool/agent_state.cc
@@ -9,7 +9,7 @@
 
 // A worker's monotonic clock may run 2% slow, so a lease may last that much longer than stated.
 constexpr double kClockDriftFactor = 1.02;
-// Further ends are sent with the next report.
+// Limits the size of a report; further ends are sent with the next report.
 constexpr size_t kMaxEndsPerReport = 200;
 // The planner repeats an order until it knows the outcome, which takes seconds at most. An order
 // forgotten earlier could be carried out twice.
@@ -19,8 +19,9 @@
   return duration_cast<std::chrono::milliseconds>(duration).count();
 }
 
-// Limits the lease of a start, so that a worker which processes the start seconds late (at least 2
-// s) finds it expired and refuses it. Holds, sent every second, extend leases further.
+// Limits the lease of a start, so that a worker which leaves the start unanswered and processes it
+// later, at least 2 s after it was sent, finds the lease expired and refuses the start. Holds, sent
+// every second, extend leases further.
 constexpr Duration kStartValidity = std::chrono::milliseconds(1600);
 
 bool Contains(const std::vector<RunningTask>& running, const RunId& run) {
@@ -80,8 +81,8 @@
 bool AgentState::HandleLists(const WorkerLists& lists, int64_t fence, Time sent, Time now) {
   if (lists.start_time_ms < facts_.start_time_ms) return false;
   if (lists.start_time_ms > facts_.start_time_ms) ResetForIncarnation(lists.start_time_ms);
-  // Two answers may be read out of order. The worker had seen the highest fence before it made the
-  // later one, so the maximum counts.
+  // Two answers may be read out of order. The worker does not forget the highest fencing token that
+  // it has seen, so the higher of the two epochs is kept.
   const int64_t lists_epoch = std::max(lists_epoch_, fence);
   bool report_needed = lists_epoch_ != lists_epoch || !facts_.reachable;
   facts_.reachable = true;
@@ -212,8 +213,8 @@
 
 std::optional<WorkerMillis> AgentState::LeaseUntil(Time now) const {
   if (!worker_clock_ || lease_until_ <= now) return std::nullopt;
-  // The worker's clock showed `worker_clock_` no later than `worker_clock_read_at_`, so this
-  // expires no later than `lease_until_`, except for the drift of the worker's clock.
+  // The worker's clock showed `worker_clock_` no later than `worker_clock_read_at_`, so the
+  // returned time is no later than `lease_until_`, except for the drift of the worker's clock.
   return WorkerClock(now) + Millis(lease_until_ - now);
 }
 
--- a/servers/pool/agent_state.h
+++ b/servers/pool/agent_state.h
@@ -17,15 +17,15 @@
  public:
   AgentState(const std::string& node, const std::string& zone, const std::string& incarnation);
 
-  // Calls and announcements of the worker.
+  // Handle a worker's periodic announcement, and its message that it leaves for good.
   void HandleAnnouncement(const WorkerAnnouncement& announcement);
   void HandleDeparture(const std::string& worker_id);
-  // Handles the answer to a hold that was sent at `sent` under `fence`. The worker no longer
-  // executes orders with a lower fencing token after that answer. Returns whether the planner
-  // should be informed immediately.
+  // Handles the lists in the answer to a hold call (see HoldCall) that was sent at `sent` with the
+  // fencing token `fence`. After that answer the worker no longer executes orders with a lower
+  // token. Returns whether the planner should be informed immediately.
   bool HandleLists(const WorkerLists& lists, int64_t fence, Time sent, Time now);
-  // Called when the worker did not answer, or another incarnation answered. Marks the worker as
-  // unreachable.
+  // Called when the worker did not answer a call, or another incarnation of the worker answered.
+  // Marks the worker as unreachable.
   void WorkerFailed(OrderAnswer answer);
 
   // Handles the orders in the answer to a report that was sent at `sent`, and returns those that
@@ -42,11 +42,11 @@
 
   // Returns the next hold, which acknowledges ends and renews the lease.
   HoldCall NextHold(Duration wait, Time now) const;
-  // A call that grants a lease until `lease_until` is about to be sent. The worker may have the
-  // lease from now on, long before an answer arrives.
+  // Called before a call to the worker that grants a lease until `lease_until`. The worker may have
+  // the lease from then on, long before its answer arrives.
   void NoteLeaseSent(std::optional<WorkerMillis> lease_until);
-  // A call that grants a lease until `lease_until` has returned `answer`. A worker that refused the
-  // connection has not received the lease.
+  // Called when a call that grants a lease until `lease_until` has returned `answer`. A worker that
+  // refused the connection has not received the lease.
   void NoteLeaseAnswered(std::optional<WorkerMillis> lease_until, OrderAnswer answer, Time now);
 
   // Returns the call for an ordered start, including its lease, if it may be carried out now;
@@ -56,20 +56,20 @@
   void HandleStartAnswer(const RunId& run, OrderAnswer answer);
   // Records that a start was not sent to the worker, and why.
   void StartNotSent(const RunId& run, const std::string& reason);
-  // The worker answered a stop. If it accepted, the run is over or will appear among the ends.
+  // Handles the worker's answer to a stop. If the worker accepted the stop, the run is over, or its
+  // end will appear in the worker's lists.
   void HandleStopAnswer(const RunId& run, OrderAnswer answer, Time now);
-  // Runs whose start was not answered and which have not appeared in the worker's lists. They have
-  // to be stopped.
+  // Runs whose start was not answered and which have not appeared in the worker's lists. The agent
+  // has to stop these runs, since they may still begin.
   std::vector<RunId> UncertainRuns() const;
 
   const WorkerFacts& worker() const { return facts_; }
-  // Whether something may run on the worker, so that a new planner has to wait for this agent's
-  // report.
+  // Whether the worker may have runs, so that a new planner has to wait for this agent's report.
   bool may_host_runs() const { return !running_.empty() || (!facts_.id.empty() && !departed_); }
   // Whether the worker has left for good and nothing runs on it.
   bool is_gone() const { return departed_ && running_.empty(); }
   // Sets whether the agent is registered in the members topic. Until then its reports name no
-  // worker, so that the planner uses none here.
+  // worker, so that the planner starts nothing on its worker.
   void SetMember(bool member) { member_ = member; }
 
  private:
@@ -107,7 +107,7 @@
   Time lease_until_{};
   // Time by which every lease granted by this agent has expired.
   Time granted_lease_expiry_{};
-  // Leases granted by calls that have not been answered yet.
+  // Expiry times of the leases granted by calls that have not been answered yet.
   std::multiset<WorkerMillis> leases_in_flight_;
   // The worker's clock in its newest answer, and when that answer arrived.
   std::optional<WorkerMillis> worker_clock_;
@@ -119,7 +119,8 @@
 
   std::map<RunId, StartState> starts_;
   std::set<RunId> stops_;
-  // When stops were answered. A hold sent after that shows whether the run existed.
+  // When each stop was answered. The answer to a hold sent after that time shows whether the run
+  // existed.
   std::map<RunId, Time> stopped_at_;
   std::map<RunId, StartResult> results_;
 };
--- a/servers/pool/agent_state_test.cc
+++ b/servers/pool/agent_state_test.cc
@@ -81,8 +81,8 @@
   EXPECT_TRUE(agent.state.Report(Duration::zero(), agent.now).running.empty());
 }
 
-// Both answers carry the same millisecond of the worker's clock, which doesn't tell which one is
-// older. The reported end does.
+// Both answers carry the same millisecond of the worker's clock, so the clock does not show which
+// answer is older. The list with the reported end must be preferred.
 TEST(AgentState, PrefersEndOverListWithSameClockValue) {
   Agent agent;
   WorkerLists newer = agent.Lists({});
@@ -92,9 +92,9 @@
   EXPECT_TRUE(agent.state.Report(Duration::zero(), agent.now).running.empty());
 }
 
-// An answer under the previous planner's epoch is read after one under the new epoch. If it
-// counted, the planner would consider the agent unread until the next hold, a second later, and
-// start nothing that may still run there.
+// An answer under the previous planner's epoch is read after one under the new epoch. If the older
+// epoch replaced the newer one, the planner would consider the agent unread until the next hold, a
+// second later, and start nothing that may still run there.
 TEST(AgentState, KeepsEpochWhenAnswerUnderPreviousEpochArrivesLate) {
   Agent agent;
   agent.state.RaiseEpoch(2);
@@ -105,7 +105,8 @@
 
 // The planner withdraws a start before the agent knows of it and repeats the stop with every answer
 // until it knows the result. Holds take longer than the planner's polls; if each repetition counted
-// as a new stop, no hold would be late enough to settle it, and the task would never start again.
+// as a new stop, no hold would be sent after the newest stop and settle it, and the task would
+// never start again.
 TEST(AgentState, SettlesStopRepeatedFasterThanHoldsAreAnswered) {
   Agent agent;
   AgentOrders orders = agent.Orders();
@@ -197,7 +198,7 @@
   EXPECT_GT(agent.state.Report(Duration::zero(), agent.now).lease_left, milliseconds(3900));
 }
 
-// An announcement of a previous incarnation arrives late.
+// An announcement of a previous incarnation arrives after one of the current incarnation.
 TEST(AgentState, IgnoresAnnouncementOfPreviousIncarnation) {
   Agent agent;
   WorkerAnnouncement restarted;
@@ -215,7 +216,7 @@
 
 // A worker leaves a start unanswered and processes it at least two seconds later, when the task may
 // have been given to another worker. By then the start's own lease has expired, so the worker
-// refuses it; the leases of holds reach further.
+// refuses it; leases granted by holds last longer than that.
 TEST(AgentState, LimitsLeaseOfStartSoThatLateStartIsRefused) {
   Agent agent;
   const StartCall call = agent.PrepareCall(kRun);
--- a/servers/pool/job_api.cc
+++ b/servers/pool/job_api.cc
@@ -59,7 +59,8 @@
 }
 
 JobAnswer JobApi::HandleCall(const JobCall& call, Time now) {
-  // Read before the document, which is therefore at least as new as this freshness says.
+  // The freshness is read before the document, so the document is at least as recent as the
+  // freshness says.
   const Freshness freshness = operators_->freshness();
   const std::shared_ptr<const OperatorState> state = operators_->state();
   if (state->config.version == 0) return NotAccepted("no configuration has been read yet");
@@ -115,8 +116,8 @@
 
 JobAnswer JobApi::State(const std::string& id, Time now) const {
   JobAnswer answer;
-  // Read before the state: if the view caught up in between, its freshness would not apply to the
-  // state read earlier.
+  // The freshness is read before the state. In the other order, the view could catch up in between,
+  // and the newer freshness would not apply to the older state.
   const Freshness freshness = work_->freshness();
   const std::optional<JobState> state = work_->StateOf(id);
   if (state) {
@@ -124,7 +125,8 @@
     answer.state = *state;
     return answer;
   }
-  // Only a view that is recent enough to contain every job may report that there is none.
+  // A job that is missing from an outdated view may exist, so "no such job" is answered only from a
+  // recent view.
   if (!freshness.within(options_.view_age_limit, now)) {
     return NotAccepted("the store does not answer");
   }
@@ -201,8 +203,8 @@
 }
 
 std::shared_ptr<PlannerClient> JobApi::ConnectToPlanner(Duration limit) {
-  // This entry may have lost the store and have been told of a newer planner that it cannot read
-  // about.
+  // If this entry has lost contact with the store, it can't read the record of a newer planner but
+  // may have been notified by that planner.
   const PlannerRecord recorded = work_->leadership().planner;
   const PlannerRecord announced = local_->Successor();
   const PlannerRecord& planner = announced.epoch > recorded.epoch ? announced : recorded;
--- a/servers/pool/job_api.h
+++ b/servers/pool/job_api.h
@@ -22,7 +22,7 @@
 
 namespace turmericshift::pool {
 
-// A caller's call, decoded by an adapter.
+// A call to the job API, decoded from the platform's HTTP request by a CallerEndpoint.
 struct JobCall {
   enum class Kind { kSubmit, kState, kCancel };
   Kind kind = Kind::kState;
@@ -65,11 +65,11 @@
 
 struct JobApiOptions {
   std::string node;
-  // Oldest operator view for which keys are accepted: with an older one, a withdrawn key might
-  // still be in it.
+  // Oldest operator view for which keys are accepted: an older view might still contain a withdrawn
+  // key.
   Duration key_age_limit = std::chrono::milliseconds(4000);
-  // Oldest view of the work topic that counts as complete: an older one may lack jobs accepted by
-  // other entries that must be visible by now.
+  // Oldest view of the work topic that counts as complete: an older view may lack jobs that other
+  // entries accepted and that must be visible by now.
   Duration view_age_limit = std::chrono::milliseconds(2000);
   // Part of the caller's timeout that is reserved for sending the answer.
   Duration response_margin = std::chrono::milliseconds(250);
--- a/servers/pool/job_api_test.cc
+++ b/servers/pool/job_api_test.cc
@@ -46,7 +46,7 @@
   std::atomic<int> submissions_{0};
 };
 
-// A planner that has lost the store and been told of its successor.
+// A planner that has lost contact with the store and has been notified by its successor.
 class SupersededGate : public UnresponsiveGate {
  public:
   PlannerRecord Successor() const override { return {2, "e2", "there"}; }
--- a/servers/pool/job_estimator.h
+++ b/servers/pool/job_estimator.h
@@ -34,7 +34,8 @@
   // milliseconds since 1970.
   JobTiming TimingOf(const JobSpec& spec, const QueueTerms& terms, const StepPlace& place,
                      int64_t wall_ms) const;
-  // Value of finishing the job on time, in core-seconds of other work.
+  // Value of finishing the job on time, expressed as the core-seconds of other jobs' work that may
+  // be given up for it.
   double ValueOf(const JobSpec& spec, const QueueTerms& terms) const;
 
  private:
--- a/servers/pool/job_estimator_test.cc
+++ b/servers/pool/job_estimator_test.cc
@@ -38,7 +38,7 @@
   return estimator.TimingOf(spec, Terms(), {0, 0}, kAcceptedMs).critical_path;
 }
 
-// A caller may expect at most a quarter of the pool at a time, here twenty accelerators.
+// A step is expected to get at most a quarter of the pool at a time, here twenty accelerators.
 TEST(JobEstimator, WideStepTakesSeveralWaves) {
   const JobEstimator estimator = EstimatorForPool({});
   EXPECT_EQ(CriticalPathOf(estimator, OneStep(2, 8)), seconds(2));
--- a/servers/pool/job_intake.cc
+++ b/servers/pool/job_intake.cc
@@ -37,8 +37,8 @@
                        Time now, Replies* replies) {
   const CancelResult result = planner->Cancel(id, wall_ms);
   if (!result.job_exists) {
-    // While the store is unresponsive, a successor may have accepted the job unknown to this
-    // planner.
+    // While the store is unresponsive, a successor may have accepted the job without this planner's
+    // knowledge.
     const Error unknown(ErrorKind::kNotFound, Outcome::kNotRun, "no such job");
     replies->push_back(
         Failed(std::move(done), planner->LeadershipConfirmed(now) ? unknown : StoreUnavailable()));
@@ -63,7 +63,7 @@
   for (Waiter& waiter : waiters_) {
     replies->push_back(Failed(std::move(waiter.done),
                               Error(ErrorKind::kConnectionLost, Outcome::kUnknown,
-                                    "the planner's duty ended before the record was kept")));
+                                    "the planner stepped down before the record was durable")));
   }
   waiters_.clear();
 }
--- a/servers/pool/job_intake.h
+++ b/servers/pool/job_intake.h
@@ -1,6 +1,6 @@
 // Accepts submissions and cancellations for the planner, and answers each caller once the outcome
-// of its own call is known. It has neither threads nor store: the time is passed in, and
-// PlannerService owns both.
+// of its own call is known. JobIntake has neither threads nor access to the store, which
+// PlannerService owns; the time is passed in.
 #pragma once
 
 #include <functional>
--- a/servers/pool/job_intake_test.cc
+++ b/servers/pool/job_intake_test.cc
@@ -28,7 +28,7 @@
   std::vector<Outcome> cancelled(const std::string& id) const { return At(cancelled_, id); }
   // The stored job; null if there is none.
   const StoredJob* Find(const std::string& id) const { return table_.Find(id); }
-  // False once a job that the store does not have was reported as accepted.
+  // Whether every job that was reported as accepted is stored.
   bool answers_consistent() const { return answers_consistent_; }
 
   void Submit(const std::string& id) {
@@ -91,7 +91,8 @@
     sent_.reset();
   }
 
-  // The store applies the append in flight, once.
+  // Applies the records of the append in flight to the stored state. A repeated call applies
+  // nothing.
   void ApplyAppend() {
     for (KeyedRecord& record : in_flight_) {
       record.offset = offset_++;
--- a/servers/pool/job_model.h
+++ b/servers/pool/job_model.h
@@ -28,7 +28,8 @@
   // The caller's estimate of a task's run time. Estimates are often far off, so no guarantee rests
   // on them.
   Duration estimate{};
-  // Numbers of the earlier steps that this step depends on: all their tasks must be done first.
+  // Numbers of the earlier steps that this step depends on: all tasks of those steps must be done
+  // first.
   std::vector<int> after;
   // The tasks of a gang make progress only while all of them run.
   bool gang = false;
@@ -85,8 +86,8 @@
   std::string payload;
   std::vector<StepSpec> steps;
   Schedule schedule;
-  // Milliseconds since 1970 when an entry accepted the job. Used to order jobs; safety does not
-  // depend on it.
+  // Milliseconds since 1970 when an entry accepted the job. Used to order jobs; no guarantee
+  // depends on the accuracy of this time.
   int64_t accepted_ms = 0;
 
   int occurrences() const { return schedule.occurrences > 0 ? schedule.occurrences : 1; }
--- a/servers/pool/job_progress.h
+++ b/servers/pool/job_progress.h
@@ -34,14 +34,14 @@
   // Numbers of the runs that failed; a gang's are stored at index 0. The set is at most as large as
   // the number of attempts that the queue allows.
   //
-  // Ends are reported until they are known to be durable, so a new planner may receive some that
-  // are already counted and others for the first time, in any order. A counter with the newest
-  // number would miss an older failure that is reported later, and the task would run more often
-  // than its queue allows.
+  // Ends are reported until they are known to be durable, so a new planner may receive ends that
+  // are already counted and ends that are new, in any order. A counter with the newest number would
+  // miss an older failure that is reported later, and the task would run more often than its queue
+  // allows.
   std::map<TaskPlace, std::set<int64_t>> failures;
   // Newest checkpoints of interrupted tasks; a gang's is stored at index 0.
   std::map<TaskPlace, std::string> checkpoints;
-  // Milliseconds since 1970 when the job ended; 0 if it has not.
+  // Milliseconds since 1970 when the job ended; 0 if the job has not ended.
   int64_t ended_ms = 0;
 
   int done_count(const StepPlace& place) const;
--- a/servers/pool/job_table.cc
+++ b/servers/pool/job_table.cc
@@ -8,7 +8,8 @@
 bool JobTable::UpdateOffsetIfNewer(const KeyedRecord& record) {
   const auto known = offsets_.find(record.key);
   if (known != offsets_.end() && known->second >= record.offset) return false;
-  // A deleted key's offset need not be stored: its older records are read before this one.
+  // A deleted key's offset need not be stored: the key's older records are read before the
+  // deletion.
   if (record.value.empty()) {
     offsets_.erase(record.key);
   } else {
--- a/servers/pool/job_value.cc
+++ b/servers/pool/job_value.cc
@@ -12,11 +12,12 @@
 // Run times are never known exactly; a minimum spread also keeps the probability a smooth function.
 constexpr double kMinSpread = 0.05;
 
-// Value of a core-second of a priority 0 job that finishes on time, in core-seconds of other work.
+// Value of each core-second of work of a priority 0 job that finishes on time: this many
+// core-seconds of other jobs' work may be given up for it.
 constexpr double kValuePerCoreSecond = 4;
-// Factor of that value for each lower priority level.
+// Each lower priority level multiplies kValuePerCoreSecond by this factor.
 constexpr double kPriorityFactor = 0.25;
-// Part of a job's value that does not depend on its size.
+// Share of a job's value that does not depend on the job's size.
 constexpr double kFixedValueShare = 0.3;
 // Largest size that counts, in units of the queue's mean work.
 constexpr double kMaxRelativeSize = 4;
@@ -33,7 +34,7 @@
 double CompletionProbability(const JobTiming& timing, double factor, Duration wait) {
   // If actual times are F times the expected ones, the job finishes on time if
   //   elapsed + wait + remaining F <= factor (target_latency + stretch critical_path F),
-  // that is, if F slack >= lag, where both may be negative.
+  // that is, if F slack >= overdue. `slack` and `overdue` may both be negative.
   const double slack =
       factor * timing.stretch * Seconds(timing.critical_path) - Seconds(timing.remaining);
   const double overdue = Seconds(timing.elapsed + wait) - factor * Seconds(timing.target_latency);
@@ -45,7 +46,7 @@
 
 double ExpectedValueShare(const JobTiming& timing, Duration wait) {
   const double on_time = CompletionProbability(timing, 1, wait);
-  const double useful = std::max(on_time, CompletionProbability(timing, kUselessFactor, wait));
+  const double useful = std::max(on_time, CompletionProbability(timing, kWorthlessFactor, wait));
   return on_time + kPastDueShare * (useful - on_time);
 }
 
--- a/servers/pool/job_value.h
+++ b/servers/pool/job_value.h
@@ -1,8 +1,8 @@
-// Value of finishing a job by a given time, and the probability of finishing it by then.
+// Value of finishing a job by a given time, and the probability of finishing it by that time.
 //
-// Load pattern: the pool is overloaded, so some jobs finish past their due time. Which jobs do is
-// decided by what each start, delay and preemption gains or costs. Run times are known only as
-// distributions, so finishing on time is a probability.
+// Load pattern: the pool is overloaded, so some jobs finish past their due time. The planner weighs
+// what each start, delay and preemption gains or costs. Run times are known only as distributions,
+// so finishing on time is a probability.
 #pragma once
 
 #include "core/clock.h"
@@ -26,7 +26,7 @@
 };
 
 // A job that takes this many times its due time has no value left for its caller.
-inline constexpr int kUselessFactor = 3;
+inline constexpr int kWorthlessFactor = 3;
 
 // Probability that the job finishes within `factor` times its due time if its remaining steps begin
 // after `wait`.
@@ -39,8 +39,9 @@
 // Converts room to processor cores; an accelerator counts as several cores.
 double CoreEquivalent(const Room& room);
 
-// Value of a job that finishes on time, in core-seconds of other work. `work`: the job's work in
-// core-seconds; `mean_work`: the mean work of its queue's jobs.
+// Value of a job that finishes on time, expressed as the core-seconds of other jobs' work that may
+// be given up for it. `work`: the job's work in core-seconds; `mean_work`: the mean work of its
+// queue's jobs.
 double ValueOnTime(int priority, double work, double mean_work);
 
 }  // namespace turmericshift::pool
--- a/servers/pool/job_value_test.cc
+++ b/servers/pool/job_value_test.cc
@@ -34,7 +34,8 @@
   EXPECT_LT(before, 0.01);
 }
 
-// With the expected times a wait of 1.25 s is just in time, so half of such jobs finish on time.
+// If the job takes exactly the expected time, a wait of 1.25 s uses up its slack of 3.25 s - 2 s.
+// Run times are as often longer as shorter, so half of such jobs finish on time.
 TEST(JobValue, ProbabilityIsOneHalfAtTheExpectedTime) {
   EXPECT_NEAR(CompletionProbability(ShortJob(), 1, milliseconds(1250)), 0.5, 0.01);
 }
--- a/servers/pool/mechanism.h
+++ b/servers/pool/mechanism.h
@@ -30,8 +30,8 @@
   kVictimLoss,
   // Preempting a step again costs more than the first time.
   kRepeatPreemptionCost,
-  // Room that comes free soon is waited for instead of preempting others, even where a guarantee
-  // applies.
+  // Jobs wait for room that is about to come free instead of preempting others, even where a
+  // guarantee applies.
   kWaitForGuaranteedRoom,
   // Runs are preempted also for jobs beyond their workspace's guarantee.
   kPreemptForBorrowedRoom,
--- a/servers/pool/order_sender.h
+++ b/servers/pool/order_sender.h
@@ -1,8 +1,8 @@
 // Sends orders to a worker and repeats those that are not answered. Some workers leave a few orders
 // in a hundred unanswered and execute them seconds later; without retries every second gang of
 // twenty would be stopped because the start of one member is unknown. Orders are idempotent by run
-// number, so a repeated order gets the answer of the first, and an order that arrives late changes
-// nothing.
+// number, so a repeated order gets the answer of the first, and a duplicate that arrives later
+// changes nothing.
 #pragma once
 
 #include "servers/pool/pool_worker.h"
--- a/servers/pool/placer.cc
+++ b/servers/pool/placer.cc
@@ -65,7 +65,7 @@
   return sum;
 }
 
-bool HasDoubtful(const Group& group, const Placement& placement) {
+bool HasSuspect(const Group& group, const Placement& placement) {
   return std::any_of(group.begin(), group.end(), [&](const WorkerRoom* worker) {
     return worker->suspect &&
            std::find(placement.begin(), placement.end(), worker->node) != placement.end();
@@ -74,14 +74,14 @@
 
 Placement PlaceGangInRack(const PlacementRequest& request, const std::vector<WorkerRoom>& workers) {
   Placement best;
-  // The lowest rank wins: no doubtful workers, the data's own rack, fewest free accelerators.
+  // The lowest rank wins: no suspect workers, the data's own rack, fewest free accelerators.
   std::tuple<bool, bool, int64_t> best_rank;
   for (const auto& [rack, group] : ByRack(workers)) {
     Placement placement = Fill(group, *request.step, request.tasks);
     if (static_cast<int>(placement.size()) < request.tasks) continue;
     const bool elsewhere = !request.step->data_rack.empty() && rack != request.step->data_rack;
     if (elsewhere && !request.allow_off_rack) continue;
-    const std::tuple<bool, bool, int64_t> rank = {HasDoubtful(group, placement), elsewhere,
+    const std::tuple<bool, bool, int64_t> rank = {HasSuspect(group, placement), elsewhere,
                                                   FreeAccelerators(group)};
     if (!best.empty() && rank >= best_rank) continue;
     best = std::move(placement);
--- a/servers/pool/placer.h
+++ b/servers/pool/placer.h
@@ -28,8 +28,8 @@
   std::string_view node;
   std::string_view rack;
   Room free;
-  // How many tasks of the step the worker may take, whatever room it has, by the step's limit per
-  // worker.
+  // How many more tasks of the step the step's limit per worker allows on this worker, regardless
+  // of free room.
   int max_tasks = 0;
   Occupancy occupancy = Occupancy::kNone;
   // The worker seems slow or unhealthy and is chosen last.
--- a/servers/pool/planner_elector.cc
+++ b/servers/pool/planner_elector.cc
@@ -18,8 +18,8 @@
 constexpr Duration kListedCheckInterval = std::chrono::seconds(2);
 // A poll of the members topic takes up to 4 s.
 constexpr Duration kMaxMembersAge = std::chrono::seconds(6);
-// A planner does not hand over its leadership earlier than this. All agents have switched to it by
-// then.
+// A planner does not hand over its leadership earlier than this. All agents have switched to the
+// new planner by then.
 constexpr Duration kMinLeadershipBeforeOffer = std::chrono::seconds(1);
 constexpr Duration kOfferTimeout = std::chrono::milliseconds(150);
 constexpr size_t kMaxOffersPerRound = 2;
@@ -238,8 +238,8 @@
       connector_->Connect(predecessor.address, kCallTimeout)->Yield(self, kCallTimeout);
       stepped_down = true;
     } catch (const Error& error) {
-      // Only the predecessor's own answer counts: a refused connection may also be a network
-      // failure. The call is tried ten times a second but logged only once.
+      // Only the predecessor's own answer proves that it has stepped down: a refused connection may
+      // also be a network failure. The call is tried ten times a second but logged only once.
       if (!unreachable_logged_) {
         LogEvent(
             LogLevel::kInfo, "predecessor_silent",
--- a/servers/pool/planner_elector.h
+++ b/servers/pool/planner_elector.h
@@ -32,7 +32,8 @@
   // Upper bound of the per-entry jitter added to the silence time-out, which makes simultaneous
   // claims unlikely.
   Duration claim_jitter = std::chrono::milliseconds(200);
-  // Additional delay before this entry claims while there are entries with better suited VMs.
+  // Additional delay before this entry claims the leadership while entries with better suited VMs
+  // exist.
   Duration claim_delay = std::chrono::milliseconds(600);
   // How often a planner on a weak VM looks for a better suited entry that can take over.
   Duration offer_interval = std::chrono::seconds(1);
@@ -72,7 +73,8 @@
   void EnsureListed(Time now);
   // Releases the leadership if a better suited entry accepts it.
   void OfferLeadership(Time now);
-  // Reads from the store the agents whose workers may run something. Throws Error(kLogUnavailable).
+  // Reads from the store the nodes of all agents whose workers may have runs. Throws
+  // Error(kLogUnavailable).
   std::set<std::string> ReadAgents() const;
   void Claim(Time now);
   // Writes this planner's address to the members topic, where agents look it up. Repeated until it
@@ -80,9 +82,9 @@
   void Announce();
   void ForgetSilentAgents(Time now);
   // Notifies the previous planner that it has been succeeded, so that it steps down. If it does not
-  // confirm, inherited work has to wait for as long as agents may still follow it, about 15 s. If
-  // it confirms, the wait is one lease (5 s), or ends when all agents have reported to this
-  // planner.
+  // confirm, inherited work has to wait for as long as agents may still follow the previous
+  // planner, about 15 s. If the previous planner confirms, the wait is one lease (5 s), or ends
+  // when all agents have reported to this planner.
   void NotifyPredecessor();
 
   const ElectorOptions options_;
--- a/servers/pool/planner_elector_test.cc
+++ b/servers/pool/planner_elector_test.cc
@@ -82,7 +82,7 @@
 // The parts of an entry that take part in the election.
 struct Candidate {
   Candidate(KeyedLog* log, const std::string& node) : Candidate(log, node, nullptr) {}
-  // `connected_entries`: the entries it can reach; null: none.
+  // `connected_entries`: the entries that this candidate can reach; null: none.
   Candidate(KeyedLog* log, const std::string& node, LocalConnector* connected_entries,
             int capacity = kUnlimitedCapacity)
       : work(log),
@@ -191,7 +191,7 @@
   while (LeaseClock().Now() < end) ASSERT_EQ(weak.service.epoch(), 1);
 }
 
-// Takes the store away from the first planner and waits until `second` has taken over.
+// Makes the store reject the first planner and waits until `second` has taken over.
 void FailOver(FaultyKeyedLog* log_of_first, const Candidate& second) {
   log_of_first->SetFaults({true, false});
   ASSERT_TRUE(Eventually([&] { return second.service.epoch() == 2; }));
@@ -256,9 +256,10 @@
   EXPECT_EQ(second.service.epoch(), 2);
 }
 
-// The store rejects the planner's VM for long, but everyone else still reaches that VM. Until it
-// learned that it had been succeeded, agents that had lost the store too stayed with it, and the
-// new planner could neither use their workers nor restart tasks that they might run.
+// The store rejects the planner's VM for a long time, but agents and entries still reach that VM.
+// Until the planner learned that it had been succeeded, agents that had lost the store too stayed
+// with it, and the new planner could neither use their workers nor restart tasks that they might
+// run.
 TEST(PlannerElector, NotifiesPredecessorThatLostStore) {
   MemoryKeyedLog log;
   FaultyKeyedLog faulty_log(&log);
--- a/servers/pool/planner_gate.h
+++ b/servers/pool/planner_gate.h
@@ -29,15 +29,15 @@
   // Calls `done` when the cancellation is durable or the job was over. Errors: kNotFound and those
   // of Submit.
   virtual void Cancel(const std::string& id, std::function<void(Attempt<Done>)> done) = 0;
-  // Another process has become the active planner. Calls `done` once this process is not active,
-  // whether or not it was before.
+  // Tells this process that another process has become the active planner. Calls `done` once this
+  // process is not active, whether or not it was active before.
   virtual void Yield(const PlannerRecord& successor, std::function<void(Attempt<Done>)> done) = 0;
-  // The planner's VM is too weak for the pool; asks whether this process would take over once the
-  // leadership is vacant. Calls `done` with kConflict if it would not.
+  // Sent by a planner whose VM is too weak for the pool: asks whether this process would take over
+  // once the leadership is vacant. Calls `done` with kConflict if this process would not.
   virtual void Offer(std::function<void(Attempt<Done>)> done) = 0;
-  // The newest planner that this process knows of; epoch 0 if it knows none.
+  // The newest planner that this process knows of; epoch 0 if no planner is known.
   virtual PlannerRecord KnownPlanner() const { return {}; }
-  // The newest planner that has notified this process that it took over; epoch 0 if there is none.
+  // The newest planner that has notified this process of its takeover; epoch 0 if there is none.
   virtual PlannerRecord Successor() const { return {}; }
 };
 
--- a/servers/pool/planner_lag.cc
+++ b/servers/pool/planner_lag.cc
@@ -17,10 +17,11 @@
 constexpr size_t kMinSampleDivisor = 4;
 // Updates are further apart than this only if the planner was stalled.
 constexpr Duration kStallThreshold = std::chrono::milliseconds(300);
-// From this lag on, choosing victims and reserving room are put off.
+// The planner counts as overloaded above this lag, and then postpones choosing victims and
+// reserving room.
 constexpr Duration kOverloadThreshold = std::chrono::milliseconds(300);
-// The limit on starts in flight is halved this often at most while the planner lags, and raised as
-// often once it does not.
+// Interval at which the limit on starts in flight is adjusted: halved while the planner is
+// overloaded, raised otherwise.
 constexpr Duration kLimitAdjustInterval = std::chrono::milliseconds(300);
 constexpr int kMinStartsInFlight = 16;
 constexpr int kStartsInFlightStep = 32;
@@ -51,7 +52,8 @@
 }
 
 void PlannerLag::Update(Time now) {
-  // Prompt reports from before a stall say nothing about the stall.
+  // After a stall, reports that were read promptly before the stall must not lower the measured
+  // lag.
   if (now - updated_ > kStallThreshold) recent_reads_.clear();
   std::vector<Duration> waits;
   waits.reserve(waiting_since_.size());
--- a/servers/pool/planner_lag.h
+++ b/servers/pool/planner_lag.h
@@ -1,10 +1,10 @@
 // Measures the planner's lag behind its agents and limits the starts in flight accordingly.
 //
 // Load pattern: a planner that is stalled or has more to do than its VM can handle. Agents poll
-// again as soon as they are answered, so that the time since the last contact with most of them is
-// the time that their reports have been unread here. Mistaken for silence of the agents, this lag
-// would cause starts to be revoked and valid leases to expire, and placing all that work again
-// would increase the lag further.
+// again as soon as they are answered, so the time since the last contact with most of them is the
+// time for which their reports have been waiting unread in this process. Mistaken for silence of
+// the agents, this lag would cause starts to be revoked and valid leases to expire, and placing all
+// that work again would increase the lag further.
 #pragma once
 
 #include <map>
@@ -16,11 +16,11 @@
 
 class PlannerLag {
  public:
-  // The agent's poll has been answered.
+  // Call when the agent's poll has been answered.
   void NotePollAnswered(const std::string& node, Time now) { waiting_since_[node] = now; }
-  // A report of the agent has been read.
+  // Call when a report of the agent has been read.
   void NoteReportRead(const std::string& node, Time now);
-  // A report of the agent has arrived whose poll will be answered by `answer_by`.
+  // Call when the answer to the agent's poll is held back, until `answer_by` at the latest.
   void NotePollHeld(const std::string& node, Time answer_by) { waiting_since_[node] = answer_by; }
   // Recomputes the lag; call at least every 100 ms.
   void Update(Time now);
--- a/servers/pool/planner_lag_test.cc
+++ b/servers/pool/planner_lag_test.cc
@@ -26,7 +26,7 @@
   EXPECT_FALSE(planner_lag.overloaded());
 }
 
-// After a stall of two seconds the planner would otherwise take every agent for silent.
+// Guards against a planner that was stalled for two seconds and takes every agent for silent.
 TEST(PlannerLag, DetectsAStall) {
   PlannerLag planner_lag = LagWithHeldPolls(20, kNow);
   planner_lag.Update(kNow + seconds(2));
@@ -42,8 +42,8 @@
   EXPECT_EQ(planner_lag.lag(), Duration::zero());
 }
 
-// Half of the pool has gone for good. Counted as lag forever, this would prevent the lost tasks
-// from being started again.
+// Half of the pool has gone for good. If their silence counted as lag forever, it would prevent the
+// lost tasks from being started again.
 TEST(PlannerLag, IgnoresAgentsThatAreGone) {
   PlannerLag planner_lag = LagWithHeldPolls(20, kNow + seconds(60));
   for (int agent = 0; agent < 12; ++agent) planner_lag.NotePollAnswered(Node(agent), kNow);
@@ -117,7 +117,8 @@
   EXPECT_GT(planner_lag.lag(), milliseconds(1700));
 }
 
-// After a stall the reports are read one after the other; the reports read so far came late.
+// After a stall the waiting reports are read one after the other. The reports read so far have
+// waited since the stall, so they must not count as prompt.
 TEST(PlannerLag, KeepsLaggingWhileReportsFromAStallAreRead) {
   PlannerLag planner_lag = LagWithHeldPolls(20, kNow);
   const Time end = kNow + seconds(2);
--- a/servers/pool/planner_router_test.cc
+++ b/servers/pool/planner_router_test.cc
@@ -40,7 +40,7 @@
   }
 }
 
-// Otherwise all agents of a zone would use the same relay.
+// Guards against a single relay that serves all agents of a zone.
 TEST(RelayCandidates, SpreadsCallersOverEntries) {
   std::set<std::string> first;
   for (int agent = 0; agent < 40; ++agent) {
@@ -104,7 +104,8 @@
   EXPECT_EQ(connector_.relays_tried[0][0], 'b');
 }
 
-// Otherwise each new connection, and the callers behind it, would first wait for the broken path.
+// Guards against each new connection, and the callers that need it, first waiting for the time-out
+// of the broken direct path.
 TEST_F(PlannerRouterTest, RetriesDirectPathOnlyAfterInterval) {
   router_.Connect(kPlanner, milliseconds(700), kNow);
   router_.Connect(kPlanner, milliseconds(700), kNow + std::chrono::seconds(1));
@@ -113,8 +114,8 @@
   EXPECT_EQ(connector_.direct_attempts, 2);
 }
 
-// After the planner's process was killed, 240 agents connected to the other entries at once, and
-// through them to the planner when it was back.
+// After the planner's process was killed, 240 agents connected to the other entries at the same
+// moment, and through them to the planner when it was back.
 TEST_F(PlannerRouterTest, UsesNoRelayIfConnectionIsRefused) {
   connector_.refuses = true;
   EXPECT_THROW(router_.Connect(kPlanner, milliseconds(700), kNow), Error);
--- a/servers/pool/planner_service.cc
+++ b/servers/pool/planner_service.cc
@@ -337,14 +337,12 @@
     int64_t sequence = 0;
     {
       std::unique_lock<std::mutex> lock(mutex_);
-      write_ready_.wait_for(lock, options_.heartbeat_interval / 2, [this] {
+      write_ready_.wait_for(lock, options_.beat / 2, [this] {
         return stopping_ || (planner_ && !planner_->outbox().empty());
       });
       if (stopping_) return;
       const Time now = LeaseClock().Now();
-      if (!planner_ ||
-          (planner_->outbox().empty() && now - last_write_ < options_.heartbeat_interval))
-        continue;
+      if (!planner_ || (planner_->outbox().empty() && now - last_write_ < options_.beat)) continue;
       records = planner_->outbox().Take();
       if (records.empty()) records.push_back({kHeartbeatKey, "1", kNoOffset});
       epoch = planner_->epoch();
--- a/servers/pool/planner_service.h
+++ b/servers/pool/planner_service.h
@@ -28,7 +28,7 @@
   PlannerOptions planner;
   // Heartbeat interval: a heartbeat record is written after this long without another record. Other
   // entries wait several times this long before they take over.
-  Duration heartbeat_interval = std::chrono::milliseconds(250);
+  Duration beat = std::chrono::milliseconds(250);
   // Time-out of an append; afterwards the append is sent again with the same sequence number.
   Duration append_timeout = std::chrono::milliseconds(600);
   // When the newest append has been unanswered for this long, new work is rejected immediately: it
@@ -45,7 +45,7 @@
   PlannerService(const PlannerService&) = delete;
   PlannerService& operator=(const PlannerService&) = delete;
 
-  // Becomes the active planner. The claim was written under `sequence`; `book` contains everything
+  // Becomes the active planner. The claim was written under `sequence`; `table` contains everything
   // before the claim. `requested_at` is when the claim was sent.
   void BecomeActive(int64_t epoch, int64_t sequence, const JobTable& table,
                     const std::set<std::string>& agents, Time requested_at);
@@ -56,7 +56,8 @@
   // Writes the remaining records and releases the leadership in the store, so that a successor need
   // not wait for the silence time-out. Waits up to `limit`.
   void Release(Duration limit);
-  // Waits up to `limit` for a request to the advice service.
+  // Returns the next request for the advice service; waits up to `limit` for one to be added, and
+  // returns empty if none is.
   std::optional<AdviceRequest> NextAdviceRequest(Duration limit);
   void HandleAdvice(const AdviceRequest& request, const AdviceResponse& response,
                     Time requested_at);
--- a/servers/pool/planner_service_test.cc
+++ b/servers/pool/planner_service_test.cc
@@ -50,7 +50,7 @@
   static PlannerServiceOptions Options() {
     PlannerServiceOptions options;
     options.append_stall_timeout = kAppendStallTimeout;
-    options.heartbeat_interval = milliseconds(5);
+    options.beat = milliseconds(5);
     return options;
   }
 
--- a/servers/pool/planning_capacity.h
+++ b/servers/pool/planning_capacity.h
@@ -2,7 +2,7 @@
 // another entry.
 //
 // Load pattern: a pool of hundreds of workers, and entry VMs that differ several times in processor
-// and link. If the weakest VM plans the pool, its answers come late and work is repeated.
+// and link. If the weakest VM plans the pool, its answers are delayed and work is repeated.
 #pragma once
 
 #include <limits>
--- a/servers/pool/pool_agent.cc
+++ b/servers/pool/pool_agent.cc
@@ -348,7 +348,8 @@
   if (wanted == registered_.load() && now - member_checked_at_ < kMemberCheckInterval) return;
   member_checked_at_ = now;
   const bool listed = members_.agents().count(options_.node) > 0;
-  // Planners remove agents from which nothing was received for long.
+  // A registered agent may be missing from the list, because planners remove agents from which
+  // nothing has been received for ElectorOptions::agent_silence_limit.
   if (wanted == registered_.load() && wanted == listed) return;
   try {
     log_->Append(kMembersTopic,
--- a/servers/pool/pool_bounds.cc
+++ b/servers/pool/pool_bounds.cc
@@ -22,15 +22,15 @@
 // Margin before the planner treats a lease as expired, in addition to clock skew and the stop time.
 constexpr Duration kLeaseExpiryMargin = milliseconds(120);
 
-// Upper limits; longer ones bring no benefit: a planner polls the store four times a second, and
-// agents poll the planner twice a second.
+// Upper limits of the derived limits. Larger values bring no benefit: a planner polls the store
+// four times a second, and agents poll the planner twice a second.
 constexpr Duration kMaxConfirmAge = milliseconds(1200);
 constexpr Duration kMaxDocumentAge = milliseconds(2000);
 constexpr Duration kMaxStartWindow = milliseconds(1500);
 // Part of a bound on starts that is reserved for the start itself.
 constexpr Duration kStartReserve = milliseconds(300);
-// Share of the remaining time that an order may be in transit; the other part is for learning of
-// the change.
+// Share of the time available after the reserve for which an order may be in transit; the rest is
+// for the planner to learn of the change.
 constexpr double kStartWindowShare = 5.0 / 9;
 // A slow answer of the store and an agent's poll have to fit into the shortest limit.
 constexpr Duration kMinLimit = milliseconds(500);
--- a/servers/pool/pool_bounds.h
+++ b/servers/pool/pool_bounds.h
@@ -44,8 +44,9 @@
 // Sets the options that depend on the bounds. Throws Error(kInvalidInput) like PlannerOptionsFor.
 void ApplyBounds(const PoolBounds& bounds, JobApiOptions* options);
 
-// Describes, one sentence each, the bounds that a healthy pool may miss. They are still aimed for,
-// since a late guarantee is better than none.
+// Describes, one sentence each, the bounds that a healthy pool may miss. The planner still tries to
+// keep these bounds, since reclaiming guaranteed room after its bound is better than not reclaiming
+// it.
 std::vector<std::string> UnattainableBounds(const PoolBounds& bounds);
 
 }  // namespace turmericshift::pool
--- a/servers/pool/pool_load_test.cc
+++ b/servers/pool/pool_load_test.cc
@@ -36,7 +36,7 @@
 }
 
 // Small tasks of 2 to 5 s keep arriving and fill every gap, so that no worker is ever empty by
-// chance. A gang of whole workers would wait as long as they arrive.
+// chance. A gang of whole workers would wait as long as such tasks arrive.
 TEST(PoolLoad, StartsAGangOfWholeWorkersBesideAStreamOfSmallTasks) {
   PoolBed bed(BedRacks(2), BedOperators(0));
   bed.true_time = [](const TaskId& task) {
@@ -108,8 +108,8 @@
   EXPECT_FALSE(WasStopped(bed, "fills"));
 }
 
-// An urgent step is too wide to run at one time, and has time for several waves. Judged as a single
-// wave, it would look past due and the work of the whole pool would be lost for it.
+// An urgent step is too wide to run at one time, and has time for several waves. If a single wave
+// were assumed, the step would look past due and the work of the whole pool would be lost for it.
 TEST(PoolLoad, PreemptsNothingForAnUrgentStepWithTimeForSeveralWaves) {
   PoolBed bed(BedRacks(2), BedOperators(0));
   bed.RunFor(milliseconds(100));
@@ -139,9 +139,9 @@
   EXPECT_TRUE(bed.RunUntil("batch", JobState::kCompleted, seconds(46)));
 }
 
-// A customer's service runs until it is cancelled. While it waited for possible urgent jobs, its
-// users would be without it.
-TEST(PoolLoad, DelaysNoLastingTaskForUrgentJobs) {
+// A customer's service runs until it is cancelled. If the service were delayed to leave room for
+// urgent jobs, its users would be without it.
+TEST(PoolLoad, DelaysNoLongRunningTaskForUrgentJobs) {
   PoolBed bed(BedRacks(2), BedOperators(0));
   bed.RunFor(milliseconds(100));
   bed.Submit(BedJob("seen", "urgent", "one", Gang(BedStep(2, 8, seconds(2)))));
@@ -177,9 +177,9 @@
   EXPECT_TRUE(bed.RunUntil("urgent", JobState::kCompleted, seconds(5)));
 }
 
-// Two gangs that have run equally long fill the pool when an urgent gang arrives. The first one had
-// waited long before it began and would be past due if restarted; the other has slack. If only the
-// lost work counted, either might be preempted, although one of them loses no value.
+// Two gangs that have run equally long fill the pool when an urgent gang arrives. The first gang
+// had waited long before it began and would be past due if restarted; the second gang has slack. If
+// only the lost work counted, either might be preempted, although the second gang loses no value.
 TEST(PoolLoad, PreemptsTheVictimThatLosesLeastValue) {
   PoolBed bed(BedRacks(2), BedOperators(0));
   bed.RunFor(milliseconds(100));
@@ -234,9 +234,9 @@
   EXPECT_NE(bed.StateOf("guessed-right"), JobState::kCompleted);
 }
 
-// A job is past its due time, and jobs that can still be on time keep arriving and go first. Passed
-// over until it is worthless, it would never run; run just before that, it costs the others a
-// second of slack.
+// A job is past its due time, and jobs that can still be on time keep arriving and go first. If the
+// job were passed over until it is worthless, it would never run. Started just before that time, it
+// costs the other jobs a second of slack.
 TEST(PoolLoad, RunsAPastDueJobBeforeItIsWorthless) {
   PoolBed bed(BedRacks(1), BedOperators(0));
   bed.RunFor(milliseconds(100));
@@ -250,8 +250,8 @@
     bed.Submit(BedJob("more-" + std::to_string(job), "urgent", "one", step));
     if (job >= 2) bed.RunFor(seconds(1));
   }
-  // Its queue allows three times its run time of 1 s plus one second, and the job is worthless
-  // after three times that.
+  // The queue of the job "late" allows three times the run time of 1 s plus one second, 4 s in all.
+  // The job is worthless after three times that, 12 s.
   ASSERT_FALSE(bed.RunsOf("late").empty());
   EXPECT_LE(StartDelay(bed, "late", submitted), seconds(11));
 }
@@ -314,8 +314,8 @@
   int jobs_ = 0;
 };
 
-// The planner stalls for two seconds. If it took its agents for silent, it would revoke their
-// starts and place the work again, which would keep it lagging for good.
+// The planner stalls for two seconds. If the planner took its agents for silent, it would revoke
+// their starts and place the work again, which would keep the planner lagging for good.
 TEST_F(BusyPlanner, RevokesNothingAfterAStallOfItsOwn) {
   LoadFor(seconds(6));
   for (int job = 0; job < 20; ++job) Submit();
--- a/servers/pool/pool_messages.h
+++ b/servers/pool/pool_messages.h
@@ -95,7 +95,7 @@
   int64_t orders_seen = 0;
   WorkerFacts worker;
   // Remaining time of the longest lease that this agent has granted. Zero: every run that had a
-  // lease from it has ended.
+  // lease from this agent has ended.
   Duration lease_left{};
   std::vector<RunningTask> running;
   std::vector<EndedTask> ended;
--- a/servers/pool/pool_planner.cc
+++ b/servers/pool/pool_planner.cc
@@ -27,24 +27,23 @@
     job.inherited = entry.progress.state != JobState::kQueued;
   }
   // The previous planner may not know yet that it has been replaced. It may grant leases to agents
-  // that are partitioned together with it, as long as they accept an unconfirmed planner.
+  // that are partitioned together with it, as long as those agents accept a planner whose
+  // leadership is unconfirmed.
   inherited_start_time_ =
       now + options.unconfirmed_limit + options.lease_duration + options.lease_margin;
 }
 
-void PoolPlanner::ConfirmLeadership(Time requested_at) {
-  if (!leadership_confirmed_ || requested_at > *leadership_confirmed_)
-    leadership_confirmed_ = requested_at;
+void PoolPlanner::ConfirmLeadership(Time sent) {
+  if (!leadership_confirmed_ || sent > *leadership_confirmed_) leadership_confirmed_ = sent;
 }
 
-void PoolPlanner::SetOperatorState(std::shared_ptr<const OperatorState> state, Time requested_at) {
+void PoolPlanner::SetOperatorState(std::shared_ptr<const OperatorState> state, Time sent) {
   if (state != operator_state_) {
     needs_planning_ = true;
     operator_state_ = std::move(state);
     for (auto& [id, job] : jobs_) RefreshTerms(&job);
   }
-  if (!operator_state_read_ || requested_at > *operator_state_read_)
-    operator_state_read_ = requested_at;
+  if (!operator_state_read_ || sent > *operator_state_read_) operator_state_read_ = sent;
 }
 
 void PoolPlanner::PredecessorGone(Time now) {
--- a/servers/pool/pool_planner.h
+++ b/servers/pool/pool_planner.h
@@ -66,7 +66,7 @@
   // racks after this time, so that it begins within the bound on reclaiming, with time to spare for
   // the start.
   Duration guaranteed_off_rack_delay = std::chrono::milliseconds(1300);
-  // Room that is due to come free within this time is waited for, instead of preempting others,
+  // If room is due to come free within this time, units wait for it instead of preempting others,
   // even where a guarantee applies.
   Duration guaranteed_wait_limit = std::chrono::milliseconds(800);
   // Longest time that stopping a run takes.
@@ -95,29 +95,30 @@
 
 class PoolPlanner {
  public:
-  // `book`: the contents of the work topic when this planner became the active one. `nodes`: agents
-  // that may have tasks running.
+  // `table`: the contents of the work topic when this planner became the active one. `nodes`:
+  // agents that may have tasks running.
   PoolPlanner(const PlannerOptions& options, int64_t epoch, const JobTable& table,
               const std::set<std::string>& nodes, Time now);
 
   int64_t epoch() const { return epoch_; }
   Outbox& outbox() { return outbox_; }
 
-  // The store has confirmed this planner's leadership in its answer to a request sent at `asked`.
-  void ConfirmLeadership(Time requested_at);
+  // The store has confirmed this planner's leadership in its answer to a request that was sent at
+  // `sent`.
+  void ConfirmLeadership(Time sent);
   // Whether leadership was confirmed so recently that no other planner can have taken over since.
   bool LeadershipConfirmed(Time now) const;
-  void SetOperatorState(std::shared_ptr<const OperatorState> state, Time requested_at);
-  // The previous planner has reported that it no longer plans, so it grants no leases from `now`
-  // on.
+  void SetOperatorState(std::shared_ptr<const OperatorState> state, Time sent);
+  // Call when the previous planner has confirmed that it has stepped down, so that it grants no
+  // leases from `now` on.
   void PredecessorGone(Time now);
 
   // Submits a job; idempotent by id. The job is accepted once the record of the returned ticket is
   // durable.
   Ticket Submit(const JobSpec& spec);
   bool HasJob(const std::string& id) const { return jobs_.count(id) > 0; }
-  // Withdraws a submission that is not accepted yet. Returns false if its record may already be on
-  // its way to the store or the job has been cancelled.
+  // Withdraws a submission that is not accepted yet. Returns false if the submission's record may
+  // already be on its way to the store or the job has been cancelled.
   bool WithdrawSubmission(const std::string& id);
   CancelResult Cancel(const std::string& id, int64_t wall_ms);
 
@@ -128,7 +129,7 @@
   int64_t orders_version() const { return orders_version_; }
   // Whether anything has changed since the last round of planning.
   bool needs_planning() const { return needs_planning_; }
-  // The agent's poll has been answered.
+  // Call when the agent's poll has been answered.
   void NotePollAnswered(const std::string& node, Time now) {
     planner_lag_.NotePollAnswered(node, now);
   }
@@ -139,12 +140,12 @@
   // Runs a round of planning: starts the tasks that can be started. Call after every change and at
   // least every 100 ms; a call without a change since the last one costs next to nothing.
   void Plan(int64_t wall_ms, Time now);
-  // Records have become durable since the last call.
+  // Call after records have become durable.
   void NoteDurable();
 
-  // Questions for the advice service, and its answers.
+  // The pending requests to the advice service, and its answers.
   AdviceCache& advice() { return advice_; }
-  // Advice has arrived that may affect placement.
+  // Call after an answer of the advice service has been stored; it may affect placement.
   void NoteAdvice() { needs_planning_ = true; }
 
   const std::map<std::string, WorkerState>& workers() const { return workers_; }
@@ -214,7 +215,7 @@
     Room spare;
   };
 
-  // Reports: pool_planner_reports.cc.
+  // Processing of reports; defined in pool_planner_reports.cc.
 
   // Records which process of the agent sent the report. Returns false for a process that has been
   // replaced: its connection may hold reports that are read after the first report of its successor
@@ -222,7 +223,7 @@
   bool AcceptIncarnation(const AgentReport& report, WorkerState* worker, Time now);
   void ApplyWorkerFacts(const AgentReport& report, WorkerState* worker, Time now);
   void ApplyRunning(const AgentReport& report, WorkerState* worker, Time now);
-  void StopUnclearRuns(WorkerState* worker);
+  void StopUncertainRuns(WorkerState* worker);
   void CheckForStall(const WorkerState& worker, Time now);
   void AdoptRun(const RunningTask& running, WorkerState* worker, Time now);
   void ApplyStartResult(const StartResult& result, WorkerState* worker, Time now);
@@ -232,9 +233,9 @@
   void ApplyDone(const EndedTask& end, Job* job, int64_t wall_ms);
   void ApplyFailure(const EndedTask& end, Job* job, int64_t wall_ms);
   void SaveCheckpoint(const RunId& run, const std::string& checkpoint, Job* job);
-  // All runs on the worker are over.
+  // Removes all runs of the worker, because they are known to be over.
   void DropLostRuns(WorkerState* worker, const char* why, Time now);
-  // Removes a run that is over or was never begun; its task may start again.
+  // Removes a run that is over or never began, so that its task may start again.
   void RemoveRun(const RunId& run, Job* job);
   void StopRun(WorkerState* worker, LiveRun* run);
   // Records that there are new orders for the agent.
@@ -250,7 +251,7 @@
     return options_.disabled_mechanisms.count(mechanism) == 0;
   }
 
-  // Planning: pool_planner_planning.cc.
+  // Planning rounds; defined in pool_planner_planning.cc.
 
   bool MayStart(Time now) const;
   bool MayStartInherited(Time now) const;
@@ -340,7 +341,7 @@
   JobEstimator estimator_;
   std::map<UnitKey, ReclaimReservation> reclaim_reservations_;
   int64_t start_count_ = 0;
-  // Something that affects placement has changed since the last round.
+  // Whether something that affects placement has changed since the last round.
   bool needs_planning_ = true;
   std::optional<Time> last_round_;
   std::optional<Time> last_queue_log_;
@@ -354,7 +355,7 @@
   // Room on all usable workers.
   PoolRoom pool_room_;
   UrgentReserve reserve_;
-  // So much of the pool is free that no unit may wait for a better place.
+  // Whether so much of the pool is free that no unit may wait for a better place.
   bool mostly_idle_ = false;
   // Since when nearly half of all workers, including currently unusable ones, have been idle.
   std::optional<Time> half_idle_since_;
--- a/servers/pool/pool_planner_backfilling.cc
+++ b/servers/pool/pool_planner_backfilling.cc
@@ -3,8 +3,8 @@
 //
 // Load patterns: gangs of whole workers beside a stream of small tasks that fill every gap (tasks
 // that would end too late are kept off the gang's workers); gangs that want one rack of a full pool
-// (spread over several racks they take three times as long, so they wait for a rack unless the wait
-// is even longer).
+// (spread over several racks they take three times as long, so they wait for a rack unless that
+// wait would make them end later still).
 #include <algorithm>
 
 #include "servers/pool/pool_planner.h"
@@ -12,16 +12,16 @@
 namespace turmericshift::pool {
 namespace {
 
-// Gangs are spread over several racks after this time while much of the pool is free: workers left
-// idle for 3 s beside a waiting task count as a forgotten job.
+// Gangs are spread over several racks after this time while much of the pool is free: a job that
+// waits for 3 s beside idle workers is counted as forgotten by the scheduler.
 constexpr Duration kIdleOffRackDelay = std::chrono::milliseconds(2200);
 // All healthy agents have reported to a new planner after this time. Until then, or until no more
 // than one in kUnreportedDivisor agents is missing, the planner cannot tell whether any rack can
 // hold a gang.
 constexpr Duration kAgentsReportWithin = std::chrono::milliseconds(1500);
 constexpr size_t kUnreportedDivisor = 10;
-// At most one in this many workers is reserved for waiting units; otherwise a few wide gangs would
-// empty the pool.
+// At most the fraction 1 / kMaxReservedDivisor of the workers is reserved for waiting units;
+// otherwise a few wide gangs would empty the pool.
 constexpr size_t kMaxReservedDivisor = 2;
 // Safety factor on run times when a task is to end before a gang begins.
 constexpr double kEstimateMargin = 1.1;
--- a/servers/pool/pool_planner_planning.cc
+++ b/servers/pool/pool_planner_planning.cc
@@ -18,16 +18,17 @@
 
 // When several workers are faulty at the same time, a job can hit three of them in a row and fail
 // without a fault of its own. Its last attempt waits this long for a worker without recent
-// failures; less than the 3 s after which a job that waits beside free workers counts as forgotten.
+// failures; less than the 3 s after which a job that waits beside free workers is counted as
+// forgotten by the scheduler.
 constexpr Duration kLastAttemptWait = std::chrono::milliseconds(2200);
-// Room for a job past its due time is usually found within this time. Passed over for longer, the
-// job would become worthless to its caller, while jobs behind it still have slack.
+// A job past its due time is started first once it would become worthless within this time, which
+// is usually enough to find room for it. The jobs that it overtakes still have slack.
 constexpr Duration kExpiringWindow = std::chrono::milliseconds(1500);
 // With this share of the pool free, no job may wait for a better place: a job that waits for 3 s
-// while less than half of the pool is in use counts as forgotten.
+// while less than half of the pool is in use is counted as forgotten by the scheduler.
 constexpr double kMostlyIdleShare = 0.4;
-// Work kept waiting for the sake of future urgent jobs is subject to the same rule, with nearly
-// half of all workers idle, including currently unusable ones.
+// Jobs that wait to leave room for future urgent jobs must not wait 3 s either while nearly half of
+// all workers, including currently unusable ones, are idle.
 constexpr double kHalfIdleShare = 0.45;
 constexpr Duration kMaxWaitWhenIdle = std::chrono::milliseconds(2300);
 // Choosing victims is the most expensive decision: with 600 runs on 67 workers it takes 2 ms of a
@@ -243,7 +244,7 @@
 PoolPlanner::Prospect PoolPlanner::ProspectOf(const Unit& unit, int64_t wall_ms) const {
   const int64_t over_ms = wall_ms + Millis(unit.timing.remaining);
   if (over_ms <= unit.due_ms) return Prospect::kOnTime;
-  const int64_t worthless_ms = unit.start_ms + kUselessFactor * (unit.due_ms - unit.start_ms);
+  const int64_t worthless_ms = unit.start_ms + kWorthlessFactor * (unit.due_ms - unit.start_ms);
   if (over_ms > worthless_ms) return Prospect::kWorthless;
   if (!IsEnabled(Mechanism::kExpiringJobsFirst)) return Prospect::kPastDue;
   return over_ms + Millis(kExpiringWindow) > worthless_ms ? Prospect::kExpiring
@@ -400,9 +401,9 @@
   const int all = static_cast<int>(unit.waiting.size());
   const StepSpec& step = unit.job->spec.steps[static_cast<size_t>(unit.place.step)];
   if (unit.priority == 0 || !IsEnabled(Mechanism::kUrgentReserve)) return all;
-  // Lasting tasks serve from their start on, so that any waiting counts against them.
+  // A long-running task provides its service only from its start on, so it is never delayed.
   if (step.long_running || !CanWait(unit.timing)) return all;
-  // A job that waits longer beside idle workers counts as forgotten.
+  // A job that waits longer beside idle workers is counted as forgotten by the scheduler.
   const Time ready_since = *unit.job->steps.at(unit.place).ready_since;
   if (half_idle_since_ && unit.job->runs.empty() &&
       now - std::max(*half_idle_since_, ready_since) > kMaxWaitWhenIdle) {
@@ -430,8 +431,8 @@
   std::set<std::string> racks;
   for (const std::string& node : placement) racks.insert(workers_[node].facts.rack);
   const bool over_racks = step.one_rack && racks.size() > 1;
-  // A successor starts queued jobs immediately, without asking what runs. So nothing of a job may
-  // run while the store has it as queued.
+  // A successor starts queued jobs immediately, without asking what runs. So no task of a job may
+  // run while the stored state of the job is "queued".
   MarkRunning(job);
   size_t next = 0;
   for (const int index : unit.waiting) {
--- a/servers/pool/pool_planner_reclaiming.cc
+++ b/servers/pool/pool_planner_reclaiming.cc
@@ -118,7 +118,7 @@
   state.last_reclaim_attempt = now;
   PlacementRequest remaining = request;
   if (!request.step->gang) {
-    // Tasks that fit have been started already.
+    // The tasks that fit have been started already, so only the others need room.
     remaining.tasks = 0;
     for (const int index : unit.waiting) {
       remaining.tasks += unit.job->runs.count({unit.place.occurrence, unit.place.step, index}) == 0;
--- a/servers/pool/pool_planner_reports.cc
+++ b/servers/pool/pool_planner_reports.cc
@@ -59,7 +59,7 @@
   if (!runs_over) ApplyRunning(report, &worker, now);
   for (const StartResult& result : report.results) ApplyStartResult(result, &worker, now);
   for (const EndedTask& end : report.ended) ApplyEnd(end, &worker, wall_ms, now);
-  StopUnclearRuns(&worker);
+  StopUncertainRuns(&worker);
   CheckForStall(worker, now);
   if (runs_over) DropLostRuns(&worker, "the worker is unreachable and its lease has expired", now);
 }
@@ -137,8 +137,8 @@
   }
 }
 
-// A stuck worker is recognised only by its runs, which make no progress. It seems to have room, and
-// further tasks placed there would get stuck too.
+// A stalled worker is recognized only by its runs, which make no progress. The worker seems to have
+// room, and further tasks placed on it would stall too.
 void PoolPlanner::CheckForStall(const WorkerState& worker, Time now) {
   if (!worker.facts.reachable) return;
   int running = 0;
@@ -153,7 +153,7 @@
 
 // A run that the worker lists neither as running nor as ended may still begin: the call sent by the
 // agent's previous process can be carried out seconds later. After a stop the worker refuses it.
-void PoolPlanner::StopUnclearRuns(WorkerState* worker) {
+void PoolPlanner::StopUncertainRuns(WorkerState* worker) {
   if (!worker->facts.reachable) return;
   for (auto& [id, run] : worker->live) {
     if (run.phase != RunPhase::kUncertain) continue;
@@ -266,7 +266,7 @@
   } else if (job != nullptr) {
     RemoveRun(end.run, job);
   }
-  // An end that changed nothing counts as durable as soon as the job's newest record is.
+  // If the end changed nothing, it counts as durable as soon as the job's newest record is durable.
   const Ticket ticket = outbox_.newest() > before ? outbox_.newest()
                         : job != nullptr          ? job->newest_ticket
                                                   : Ticket{0};
@@ -309,7 +309,7 @@
 void PoolPlanner::ApplyFailure(const EndedTask& end, Job* job, int64_t wall_ms) {
   const TaskId& task = end.run.task;
   const StepSpec& step = *FindStep(*job, task);
-  // A lasting task is restarted however often it fails.
+  // A long-running task is restarted however often it fails.
   if (step.long_running) return;
   std::set<int64_t>& failed = job->progress.failures[StoredAt(step, task)];
   if (!failed.insert(end.run.number).second) return;
--- a/servers/pool/pool_planner_test.cc
+++ b/servers/pool/pool_planner_test.cc
@@ -315,8 +315,8 @@
   EXPECT_EQ(bed.RunsOf("j").size(), 3U);
 }
 
-// Planners die one after the other, and each is told again of ends that a previous planner has
-// counted. A failure counted twice would fail a job that has attempts left.
+// Planners die one after the other, and the agents report to each of them ends that a previous
+// planner has counted already. A failure counted twice would fail a job that has attempts left.
 TEST(PoolPlanner, CountsAFailureOnceAcrossPlanners) {
   PoolBed bed(BedRacks(1), BedOperators(0));
   int failures = 0;
@@ -438,9 +438,9 @@
   ASSERT_TRUE(bed.RunUntil("urgent", JobState::kCompleted, seconds(10)));
 }
 
-// An urgent job of many whole-worker tasks fills the pool: each worker that one of its tasks leaves
-// is for the next one. If the job had to wait until the end of the task is durable, less urgent
-// work would take the room and be preempted again.
+// An urgent job of many whole-worker tasks fills the pool: each worker that is freed by a task of
+// the job is used by the next task of the job. If the next task had to wait until the end of the
+// previous task is durable, less urgent work would take the room and be preempted again.
 TEST(PoolPlanner, GivesRoomOfADoneTaskToTheNextTaskOfAnUrgentJob) {
   PoolBed bed(BedRacks(1), BedOperators(0));
   bed.Submit(BedJob("urgent", "urgent", "one", BedStep(9, 8, seconds(2))));
@@ -453,8 +453,8 @@
 }
 
 // Two of three workers fail all tasks, and the third is full for a moment. A job that has failed on
-// both has one attempt left. Spent on a faulty worker too, it would fail a job that has no fault
-// itself.
+// both faulty workers has one attempt left. If that attempt went to a faulty worker as well, the
+// job would fail without a fault of its own.
 TEST(PoolPlanner, ReservesTheLastAttemptForAHealthyWorker) {
   PoolBed bed(BedRacks(1), BedOperators(0));
   bed.fails = [](const RunId& run, const std::string& node) {
--- a/servers/pool/room_forecast.h
+++ b/servers/pool/room_forecast.h
@@ -1,8 +1,8 @@
 // Forecasts when and where room becomes free for tasks that do not fit now. Needed for gangs of
 // whole workers beside a stream of small tasks: each small task fills the next gap, so that no
-// worker ever becomes empty and the gang waits as long as the stream lasts. With a forecast, the
-// gang's workers reject only tasks that would end after the gang can begin (EASY backfilling,
-// Lifka, JSSPP 1995).
+// worker ever becomes empty, and the gang waits as long as small tasks keep arriving. With a
+// forecast, the gang's workers reject only tasks that would end after the gang can begin (EASY
+// backfilling, Lifka, JSSPP 1995).
 #pragma once
 
 #include <map>
--- a/servers/pool/run_progress.h
+++ b/servers/pool/run_progress.h
@@ -1,6 +1,6 @@
 // Progress of a run as its worker reports it, and the remaining time derived from it. Callers'
 // estimates are off by up to ten times, while the reported share of the work gives the remaining
-// time within a tenth once a second of it has been observed.
+// time with an error of at most a tenth once the run has been observed for a second.
 #pragma once
 
 #include <optional>
--- a/servers/pool/run_progress_test.cc
+++ b/servers/pool/run_progress_test.cc
@@ -15,8 +15,8 @@
   EXPECT_EQ(progress.RemainingTime(seconds(10), kStart, kStart + seconds(4)), seconds(6));
 }
 
-// The estimate is one second and the task takes ten. By the estimate it would be about to end for
-// nine seconds, and its room would be promised to a gang all that time.
+// The estimate is one second and the task takes ten. By the estimate, the task would seem about to
+// end for nine seconds, and its room would be promised to a gang all that time.
 TEST(RunProgress, UsesReportedProgress) {
   RunProgress progress;
   progress.Update(0, kStart);
--- a/servers/pool/run_times.cc
+++ b/servers/pool/run_times.cc
@@ -6,10 +6,11 @@
 namespace turmericshift::pool {
 namespace {
 
-// Fewer runs than this do not show reliably which of the two predicts better.
+// Fewer runs than this do not show reliably whether the queue's mean or the callers' estimates
+// predict better.
 constexpr int kMinRuns = 6;
-// Length of the moving averages in runs: a queue whose work changes is followed within so many
-// runs.
+// Length of the moving averages in runs: after a change of a queue's work, the averages adapt
+// within this number of runs.
 constexpr int kMaxAveragedRuns = 200;
 // Shortest time, to keep logarithms finite.
 constexpr double kMinSeconds = 0.001;
--- a/servers/pool/run_times.h
+++ b/servers/pool/run_times.h
@@ -12,7 +12,7 @@
 
 class RunTimes {
  public:
-  // A task that was estimated to take `estimate` took `actual`, at full speed and without
+  // Records that a task with the estimate `estimate` took `actual`, at full speed and without
   // interruption.
   void Record(const std::string& queue, Duration estimate, Duration actual);
 
--- a/servers/pool/run_times_test.cc
+++ b/servers/pool/run_times_test.cc
@@ -26,7 +26,8 @@
   EXPECT_NEAR(Seconds(times.ExpectedTime("q", seconds(17))), 8.5, 0.3);
 }
 
-// Run times differ by ten times as callers say, but all tasks take half as long again as estimated.
+// Run times differ by up to ten times, as the estimates predict, but all tasks take one and a half
+// times their estimate.
 TEST(RunTimes, ScalesTheEstimateWhereItPredictsBetter) {
   RunTimes times;
   for (int i = 1; i <= 12; ++i) times.Record("q", seconds(i), milliseconds(1500 * i));
--- a/servers/pool/topic_follower.cc
+++ b/servers/pool/topic_follower.cc
@@ -22,7 +22,7 @@
   Offset from = kNoOffset;
   while (!stopping_.load()) {
     try {
-      from = from == kNoOffset ? ReadNewest() : ReadOn(from);
+      from = from == kNoOffset ? ReadNewest() : ReadNext(from);
       LogStoreRegained(LeaseClock().Now());
     } catch (const Error& error) {
       if (error.kind() == ErrorKind::kTrimmed) {
@@ -60,7 +60,7 @@
   return begin;
 }
 
-Offset TopicFollower::ReadOn(Offset from) {
+Offset TopicFollower::ReadNext(Offset from) {
   const Time requested_at = LeaseClock().Now();
   // A store that may be unavailable is polled without a wait: a call that hangs then times out
   // sooner, and the store's return is noticed sooner.
--- a/servers/pool/topic_follower.h
+++ b/servers/pool/topic_follower.h
@@ -17,7 +17,7 @@
   std::string topic;
   // How long a poll waits for new records. Freshness is known with this precision.
   Duration poll_wait = std::chrono::seconds(1);
-  // A poll not answered within this time after its wait is considered lost with its connection.
+  // If a poll is not answered within this time after its wait, the connection is considered lost.
   Duration answer_grace_period = std::chrono::milliseconds(700);
   // Delay after a failed call, which avoids flooding a store that rejects everyone.
   Duration retry_interval = std::chrono::milliseconds(100);
@@ -48,7 +48,7 @@
   Offset ReadNewest();
   // Runs one long poll, followed by the delay if it returned records. Returns the offset to
   // continue from.
-  Offset ReadOn(Offset from);
+  Offset ReadNext(Offset from);
   void LogStoreLost(const Error& error, Time now);
   void LogStoreRegained(Time now);
 
--- a/servers/pool/topic_follower_test.cc
+++ b/servers/pool/topic_follower_test.cc
@@ -47,8 +47,8 @@
     changed.wait_for(lock, std::chrono::seconds(60), [&] { return ages.size() >= 3; });
   }
   ASSERT_GE(ages.size(), 3U);
-  // The first age is that of the initial page. The end of a poll's wait is known to a tenth of the
-  // wait.
+  // The first age is that of the initial page. The later ages follow empty polls, whose freshness
+  // is counted from nine tenths of the wait, so they are far below half of it.
   EXPECT_LT(ages[1], kWait / 2);
   EXPECT_LT(ages[2], kWait / 2);
 }
--- a/servers/pool/urgent_reserve.h
+++ b/servers/pool/urgent_reserve.h
@@ -1,9 +1,10 @@
 // Reserves room for urgent jobs that have not been submitted yet.
 //
 // Load pattern: urgent jobs, which have about a second to spare, arrive in a pool that is full of
-// jobs with tens of seconds to spare. Preempting these takes most of that second and discards their
-// work. They wait instead, as long as the wait costs them next to nothing. The size of the reserve
-// follows the observed demand of urgent jobs, so a pool without such jobs reserves nothing.
+// jobs with tens of seconds to spare. Preempting the jobs with more slack takes most of that second
+// and discards their work. Those jobs are therefore delayed before they start, as long as the delay
+// costs them next to nothing. The size of the reserve follows the observed demand of urgent jobs,
+// so a pool without such jobs reserves nothing.
 #pragma once
 
 #include <optional>
--- a/servers/pool/worker_health_tracker.cc
+++ b/servers/pool/worker_health_tracker.cc
@@ -6,10 +6,10 @@
 namespace turmericshift::pool {
 namespace {
 
-// Failures older than this are ignored: faults of workers last for seconds here.
+// Failures older than this are ignored: faults of workers last for seconds.
 constexpr Duration kFailureWindow = std::chrono::seconds(10);
 // A worker is quarantined after failures of this many different jobs that failed nowhere else. A
-// sound worker fails one run in two hundred, so two failures within the window are unlikely to be
+// healthy worker fails one run in two hundred, so two failures within the window are unlikely to be
 // chance.
 constexpr int kQuarantineThreshold = 2;
 // Length of the first quarantine, doubled with each further one up to kMaxDoublings times.
@@ -17,7 +17,8 @@
 constexpr int kMaxDoublings = 2;
 // After a failed order, work goes to other workers for this long.
 constexpr Duration kOrderFailureQuarantine = std::chrono::milliseconds(700);
-// Renewed with every report while the worker's runs make no progress.
+// Length of the quarantine of a worker whose runs have stalled; renewed with every report while the
+// runs make no progress.
 constexpr Duration kStallQuarantine = std::chrono::milliseconds(1500);
 
 }  // namespace
--- a/servers/pool/worker_health_tracker.h
+++ b/servers/pool/worker_health_tracker.h
@@ -1,7 +1,7 @@
 // Distinguishes faulty workers from faulty jobs by how runs end. A worker that fails every run
-// looks idle and attracts work, so one of eleven ruins far more than its share; such a worker is
-// quarantined for a while and then tried again. A job whose runs fail on several workers is itself
-// at fault.
+// looks idle and attracts work, so one faulty worker among eleven ruins far more than an eleventh
+// of the runs; such a worker is quarantined for a while and then tried again. A job whose runs fail
+// on several workers is itself at fault.
 #pragma once
 
 #include <deque>
@@ -18,7 +18,7 @@
   void RunDone(const std::string& worker);
   // The worker refused an order or did not answer it.
   void OrderFailed(const std::string& worker, Time now);
-  // None of the worker's runs makes progress.
+  // Called with every report in which none of the worker's runs makes progress.
   void RunsStalled(const std::string& worker, Time now);
   // Clears the worker's history when a new incarnation of the worker starts.
   void Forget(const std::string& worker);
--- a/servers/pool/worker_state.h
+++ b/servers/pool/worker_state.h
@@ -84,7 +84,7 @@
 
   // Free room in the current planning round; see PoolPlanner::Plan.
   Room remaining_room;
-  // Which kind of runs occupies the worker in the current planning round.
+  // Kind of the runs that occupy the worker in the current planning round.
   Occupancy occupancy = Occupancy::kNone;
 
   // Capacity less the room of live runs. Runs that are being stopped still count.
