--- a/tests/silent_connection_test.cc
+++ b/tests/silent_connection_test.cc
@@ -1,8 +1,8 @@
 // A real session whose connection goes silent for good, with a request in flight on it.
 #include <gtest/gtest.h>
 
-#include "core/attempt.h"
 #include "core/digest.h"
+#include "core/result.h"
 #include "rpc/gate_listener.h"
 #include "rpc/rpc_entry_connector.h"
 #include "tests/stand_ins/request_cluster.h"
@@ -71,9 +71,9 @@
     request.body_digest = Digest(request.body);
     request.idempotency_key = key;
     request.time_left = std::chrono::minutes(5);
-    Attempt<ServiceAnswer> attempt;
+    Result<ServiceAnswer> result;
     Thread caller("caller", [&] {
-      attempt = AttemptOf<ServiceAnswer>([&] { return entry->router.Route(request); });
+      result = ResultOf<ServiceAnswer>([&] { return entry->router.Route(request); });
     });
     Await("the request did not start", [&] { return target.running() == 1; });
     const int connections = relay.connections();
@@ -81,8 +81,8 @@
     target.Hold(false);
     Await("no second connection came", [&] { return relay.connections() > connections; });
     caller.Join();
-    ASSERT_TRUE(attempt.value) << attempt.error->what();
-    EXPECT_EQ(attempt.value->body, AnswerTo(request.body));
+    ASSERT_TRUE(result.value) << result.error->what();
+    EXPECT_EQ(result.value->body, AnswerTo(request.body));
   }
   EXPECT_EQ(history.Violations(), std::vector<std::string>{});
 }
