--- a/servers/pool/agent_state_test.cc
+++ b/servers/pool/agent_state_test.cc
@@ -159,7 +159,8 @@
   EXPECT_TRUE(agent.state.HandleOrders(orders, agent.now, agent.now).starts.empty());
 }
 
-// The VM was suspended between an order and its execution, or the planner has not answered since.
+// The VM was suspended between an order and its execution, or the lease has expired because the
+// planner did not answer.
 TEST(AgentState, RejectsStartThatExpiredOrHasNoLease) {
   Agent agent;
   const StartOrder order = {kRun, "payload", "", ""};
--- a/servers/pool/pool_agent.cc
+++ b/servers/pool/pool_agent.cc
@@ -78,7 +78,7 @@
     report_needed = before.id != after.id || before.start_time_ms != after.start_time_ms ||
                     before.draining != after.draining;
   }
-  // A new worker should be usable before the next poll.
+  // The planner is informed immediately, so that it can use a new worker before the next poll.
   if (report_needed) orders_.Submit([this] { EnsureMember(LeaseClock().Now()); });
   if (report_needed) RequestUpdate();
 }
