--- a/tests/stand_ins/pool_bed.cc
+++ b/tests/stand_ins/pool_bed.cc
@@ -87,7 +87,7 @@
   planner_->Submit(accepted);
 }
 
-bool PoolBed::Cancel(const std::string& id) { return planner_->Cancel(id, wall_ms()).known; }
+bool PoolBed::Cancel(const std::string& id) { return planner_->Cancel(id, wall_ms()).job_exists; }
 
 void PoolBed::RunFor(Duration time) {
   const Time end = now_ + time;
