--- a/servers/entry/entry_server.cc
+++ b/servers/entry/entry_server.cc
@@ -33,7 +33,7 @@
  public:
   AgentSession(EntryServer* entry, AgentHello hello) : entry_(entry), hello_(std::move(hello)) {}
 
-  HeartbeatReply Heartbeat(const AgentHeartbeat& beat, Duration /*timeout*/) override {
+  EntryBeat Heartbeat(const AgentBeat& beat, Duration /*timeout*/) override {
     const Time now = DefaultClock().Now();
     entry_->directory_.RecordHeartbeat(hello_, beat, now);
     entry_->peers_.RecordHeartbeat(beat, now);
@@ -232,9 +232,8 @@
   return drained;
 }
 
-HeartbeatReply EntryServer::MakeHeartbeatReply(const AgentHello& hello,
-                                               const AgentHeartbeat& beat) const {
-  HeartbeatReply answer;
+EntryBeat EntryServer::MakeHeartbeatReply(const AgentHello& hello, const AgentBeat& beat) const {
+  EntryBeat answer;
   const Time now = DefaultClock().Now();
   const StreamView view = config_stream_.view();
   if (view.ever_fresh) answer.freshness.age = now - view.fresh_at;
--- a/servers/pool/placer.cc
+++ b/servers/pool/placer.cc
@@ -25,7 +25,7 @@
 // grouped with similar ones: resumable tasks share workers, which can then be cleared for a gang at
 // little cost, and tasks that cannot be resumed go where clearing is expensive already.
 bool ComesFirst(const StepSpec& step, const WorkerRoom* left, const WorkerRoom* right) {
-  if (left->doubtful != right->doubtful) return !left->doubtful;
+  if (left->suspect != right->suspect) return !left->suspect;
   const int left_rank = step.gang ? 0 : SimilarityRank(step, left->occupancy);
   const int right_rank = step.gang ? 0 : SimilarityRank(step, right->occupancy);
   if (left_rank != right_rank) return left_rank < right_rank;
@@ -65,23 +65,23 @@
   return sum;
 }
 
-bool HasDoubtful(const Group& group, const Placement& placement) {
+bool HasSuspect(const Group& group, const Placement& placement) {
   return std::any_of(group.begin(), group.end(), [&](const WorkerRoom* worker) {
-    return worker->doubtful &&
+    return worker->suspect &&
            std::find(placement.begin(), placement.end(), worker->node) != placement.end();
   });
 }
 
 Placement PlaceGangInRack(const PlacementRequest& request, const std::vector<WorkerRoom>& workers) {
   Placement best;
-  // The lowest rank wins: no doubtful workers, the data's own rack, fewest free accelerators.
+  // The lowest rank wins: no suspect workers, the data's own rack, fewest free accelerators.
   std::tuple<bool, bool, int64_t> best_rank;
   for (const auto& [rack, group] : ByRack(workers)) {
     Placement placement = Fill(group, *request.step, request.tasks);
     if (static_cast<int>(placement.size()) < request.tasks) continue;
     const bool elsewhere = !request.step->data_rack.empty() && rack != request.step->data_rack;
     if (elsewhere && !request.allow_off_rack) continue;
-    const std::tuple<bool, bool, int64_t> rank = {HasDoubtful(group, placement), elsewhere,
+    const std::tuple<bool, bool, int64_t> rank = {HasSuspect(group, placement), elsewhere,
                                                   FreeAccelerators(group)};
     if (!best.empty() && rank >= best_rank) continue;
     best = std::move(placement);
--- a/servers/pool/pool_bounds.cc
+++ b/servers/pool/pool_bounds.cc
@@ -22,15 +22,15 @@
 // Margin before the planner treats a lease as expired, in addition to clock skew and the stop time.
 constexpr Duration kLeaseExpiryMargin = milliseconds(120);
 
-// Upper limits; longer ones bring no benefit: a planner polls the store four times a second, and
-// agents poll the planner twice a second.
+// Upper limits of the derived limits. Larger values bring no benefit: a planner polls the store
+// four times a second, and agents poll the planner twice a second.
 constexpr Duration kMaxConfirmAge = milliseconds(1200);
 constexpr Duration kMaxDocumentAge = milliseconds(2000);
 constexpr Duration kMaxStartWindow = milliseconds(1500);
 // Part of a bound on starts that is reserved for the start itself.
 constexpr Duration kStartReserve = milliseconds(300);
-// Share of the remaining time that an order may be in transit; the other part is for learning of
-// the change.
+// Share of the time available after the reserve for which an order may be in transit; the rest is
+// for the planner to learn of the change.
 constexpr double kStartWindowShare = 5.0 / 9;
 // A slow answer of the store and an agent's poll have to fit into the shortest limit.
 constexpr Duration kMinLimit = milliseconds(500);
@@ -67,9 +67,10 @@
 
 PlannerOptions PlannerOptionsFor(const PoolBounds& bounds) {
   PlannerOptions options;
-  options.lease = CheckedLimit(
+  options.lease_duration = CheckedLimit(
       "the longest lease", std::min(kMaxLease, bounds.longest_lease - kLeaseReserve), kMinLimit);
-  options.lease_margin = Scaled(options.lease, kClockSlack) + bounds.stop + kLeaseExpiryMargin;
+  options.lease_margin =
+      Scaled(options.lease_duration, kClockSlack) + bounds.stop + kLeaseExpiryMargin;
   const Duration cancel = bounds.cancel - kStartReserve;
   const Duration zone_out = bounds.zone_out - kStartReserve;
   options.start_window =
@@ -91,9 +92,9 @@
       std::max(Duration::zero(), spare - kReclaimInterval - kRetryReserve);
   options.guaranteed_wait_limit =
       std::max(Duration::zero(), spare - kReclaimInterval - kForecastError - kStartLatency);
-  options.stop = bounds.stop;
+  options.max_stop_time = bounds.stop;
   options.reservation_limit = bounds.stop + kReservationMargin;
-  options.restore = bounds.restore;
+  options.restore_time = bounds.restore;
   options.ended_job_retention = bounds.status_kept + kStatusReserve;
   options.off_rack_slowdown = bounds.off_rack_slowdown;
   return options;
--- a/servers/pool/pool_planner_test.cc
+++ b/servers/pool/pool_planner_test.cc
@@ -44,13 +44,13 @@
 }
 
 // The stored records of job "j", which is running: one task of `estimate`.
-JobTable BookOfRunningJob(Duration estimate) {
-  JobTable book;
-  book.Apply({"j/j", EncodeSpec(BedJob("j", "batch", "one", BedStep(1, 1, estimate))), 1});
+JobTable TableOfRunningJob(Duration estimate) {
+  JobTable table;
+  table.Apply({"j/j", EncodeSpec(BedJob("j", "batch", "one", BedStep(1, 1, estimate))), 1});
   JobProgress progress;
   progress.state = JobState::kRunning;
-  book.Apply({"p/j", EncodeProgress(progress), 2});
-  return book;
+  table.Apply({"p/j", EncodeProgress(progress), 2});
+  return table;
 }
 
 TEST(PoolPlanner, RunsStepsInTheirOrder) {
@@ -130,9 +130,9 @@
 // depends on whether the previous planner is known to grant no more leases.
 TEST(PoolPlanner, WaitsLessForAMissingAgentOnceThePredecessorIsGone) {
   const PlannerOptions options;
-  const JobTable book = BookOfRunningJob(seconds(2));
+  const JobTable table = TableOfRunningJob(seconds(2));
   const Time now = Time(std::chrono::hours(1));
-  PoolPlanner planner(options, 1, book, {"n", "missing"}, now);
+  PoolPlanner planner(options, 1, table, {"n", "missing"}, now);
   const auto placed_after = [&](Duration waited) {
     const Time then = now + waited;
     planner.ConfirmLeadership(then);
@@ -315,8 +315,8 @@
   EXPECT_EQ(bed.RunsOf("j").size(), 3U);
 }
 
-// Planners die one after the other, and each is told again of ends that a previous planner has
-// counted. A failure counted twice would fail a job that has attempts left.
+// Planners die one after the other, and the agents report to each of them ends that a previous
+// planner has counted already. A failure counted twice would fail a job that has attempts left.
 TEST(PoolPlanner, CountsAFailureOnceAcrossPlanners) {
   PoolBed bed(BedRacks(1), BedOperators(0));
   int failures = 0;
@@ -334,9 +334,9 @@
 // failure is durable. Its successor receives the later failure first. If the earlier one were taken
 // for a repeat, the task would run once more than its queue allows.
 TEST(PoolPlanner, CountsFailuresReportedInAnyOrder) {
-  const JobTable book = BookOfRunningJob(seconds(1));
+  const JobTable table = TableOfRunningJob(seconds(1));
   const Time now = Time(std::chrono::hours(1));
-  PoolPlanner planner(PlannerOptions(), 1, book, {"n", "m"}, now);
+  PoolPlanner planner(PlannerOptions(), 1, table, {"n", "m"}, now);
   planner.SetOperatorState(std::make_shared<OperatorState>(BedOperators(0)), now);
   const auto fails = [&](const std::string& node, int64_t sequence, int64_t run) {
     AgentReport report = Report("first", sequence);
@@ -438,9 +438,9 @@
   ASSERT_TRUE(bed.RunUntil("urgent", JobState::kCompleted, seconds(10)));
 }
 
-// An urgent job of many whole-worker tasks fills the pool: each worker that one of its tasks leaves
-// is for the next one. If the job had to wait until the end of the task is durable, less urgent
-// work would take the room and be preempted again.
+// An urgent job of many whole-worker tasks fills the pool: each worker that is freed by a task of
+// the job is used by the next task of the job. If the next task had to wait until the end of the
+// previous task is durable, less urgent work would take the room and be preempted again.
 TEST(PoolPlanner, GivesRoomOfADoneTaskToTheNextTaskOfAnUrgentJob) {
   PoolBed bed(BedRacks(1), BedOperators(0));
   bed.Submit(BedJob("urgent", "urgent", "one", BedStep(9, 8, seconds(2))));
@@ -453,8 +453,8 @@
 }
 
 // Two of three workers fail all tasks, and the third is full for a moment. A job that has failed on
-// both has one attempt left. Spent on a faulty worker too, it would fail a job that has no fault
-// itself.
+// both faulty workers has one attempt left. If that attempt went to a faulty worker as well, the
+// job would fail without a fault of its own.
 TEST(PoolPlanner, ReservesTheLastAttemptForAHealthyWorker) {
   PoolBed bed(BedRacks(1), BedOperators(0));
   bed.fails = [](const RunId& run, const std::string& node) {
