--- a/tests/stand_ins/faulty_link.cc
+++ b/tests/stand_ins/faulty_link.cc
@@ -77,7 +77,7 @@
   if (world_->planted == PlantedFault::kRunsTwice) {
     ServiceRequest again = request;
     again.idempotency_key.clear();
-    again.request_id = SendingId(CallerRequestId(request.request_id), 99);
+    again.request_id = AttemptRequestId(CallerRequestId(request.request_id), 99);
     box_->agent->Serve(again);
   }
   if (world_->planted == PlantedFault::kLiesNotRun) {
@@ -106,13 +106,13 @@
   if (!box_->dead.load()) box_->agent->Cancel(request_id);
 }
 
-SeenAnswer FaultyLink::Resolve(const SeenQuestion& question, Duration timeout) {
+RequestStatusReply FaultyLink::Resolve(const RequestStatusQuery& question, Duration timeout) {
   const LinkFaults faults = world_->faults();
   if (world_->dice.Roll(faults.silent)) Hang(timeout);
   if (world_->dice.Roll(faults.lost)) Hang(kLossNoticed);
   const std::shared_lock<std::shared_mutex> lock(box_->alive);
   if (box_->dead.load()) Lose();
-  SeenAnswer answer = box_->agent->Resolve(question, timeout);
+  RequestStatusReply answer = box_->agent->Resolve(question, timeout);
   if (world_->dice.Roll(faults.answer_lost)) Lose();
   return answer;
 }
--- a/tests/stand_ins/request_cluster.cc
+++ b/tests/stand_ins/request_cluster.cc
@@ -46,7 +46,7 @@
 
 }  // namespace
 
-EntryBeat BeatPort::Heartbeat(const AgentBeat& beat, Duration /*timeout*/) {
+HeartbeatReply BeatPort::Heartbeat(const AgentHeartbeat& beat, Duration /*timeout*/) {
   if (entry_->gone.load()) throw Error(ErrorKind::kConnectionLost, "the entry has gone");
   entry_->directory.RecordHeartbeat(hello_, beat, DefaultClock().Now());
   return {};
