--- a/tests/soak/soak_faults.cc
+++ b/tests/soak/soak_faults.cc
@@ -280,9 +280,9 @@
       return steps;
     }
     default: {
-      TcpRelay* way = WayOf(fault);
-      return {{fault.at, [way, fault] { way->SetFault(fault.way); }},
-              {end, [way] { way->SetFault(RelayFault::kNone); }}};
+      TcpRelay* relay = WayOf(fault);
+      return {{fault.at, [relay, fault] { relay->SetFault(fault.way); }},
+              {end, [relay] { relay->SetFault(RelayFault::kNone); }}};
     }
   }
 }
--- a/tests/stand_ins/pool_bed.cc
+++ b/tests/stand_ins/pool_bed.cc
@@ -237,25 +237,25 @@
 
 void PoolBed::TickWorker(Worker* worker) {
   if (wall_ms() >= worker->lease_until) ForgetUnreportedEnds(*worker);
-  std::vector<std::pair<RunId, EndKind>> over;
+  std::vector<std::pair<RunId, EndKind>> ended_runs;
   for (auto& [run, live] : worker->live) {
     const StepSpec& step = *StepOf(run.task);
     if (wall_ms() >= worker->lease_until) {
-      over.push_back({run, EndKind::kLeaseExpired});
+      ended_runs.push_back({run, EndKind::kLeaseExpired});
     } else if (live.stop_at && now_ >= *live.stop_at) {
       if (step.checkpoints) live.checkpoint = std::to_string(live.worked.count());
-      over.push_back({run, EndKind::kStopped});
+      ended_runs.push_back({run, EndKind::kStopped});
     } else if (step.gang && !GangComplete(run)) {
-      if (now_ - live.alone_since > bounds_.gang_wait) over.push_back({run, EndKind::kPartialGang});
+      if (now_ - live.alone_since > bounds_.gang_wait) ended_runs.push_back({run, EndKind::kPartialGang});
     } else {
       if (!worker->stuck) live.worked += kTick;
       live.alone_since = now_;
       if (live.worked < TimeOf(run.task)) continue;
       const bool failed = fails && fails(run, worker->spec.node);
-      over.push_back({run, failed ? EndKind::kFailed : EndKind::kDone});
+      ended_runs.push_back({run, failed ? EndKind::kFailed : EndKind::kDone});
     }
   }
-  for (const auto& [run, how] : over) EndRun(worker, run, how);
+  for (const auto& [run, how] : ended_runs) EndRun(worker, run, how);
 }
 
 void PoolBed::EndRun(Worker* worker, const RunId& run, EndKind how) {
@@ -274,19 +274,19 @@
 }
 
 void PoolBed::BreakGangs() {
-  for (const BedRun& over : std::vector<BedRun>(runs_)) {
-    if (!over.over || over.ended != now_ || !StepOf(over.run.task)->gang) continue;
+  for (const BedRun& ended_run : std::vector<BedRun>(runs_)) {
+    if (!ended_run.over || ended_run.ended != now_ || !StepOf(ended_run.run.task)->gang) continue;
     for (auto& row : workers_) {
       std::vector<RunId> others;
       for (const auto& live : row.second->live) {
         const RunId& other = live.first;
-        if (other.number == over.run.number && other.task.job == over.run.task.job) {
+        if (other.number == ended_run.run.number && other.task.job == ended_run.run.task.job) {
           others.push_back(other);
         }
       }
       for (const RunId& other : others) {
         EndRun(row.second.get(), other,
-               over.how == EndKind::kDone ? EndKind::kDone : EndKind::kGangBroken);
+               ended_run.how == EndKind::kDone ? EndKind::kDone : EndKind::kGangBroken);
       }
     }
   }
