--- a/tests/control_history_test.cc
+++ b/tests/control_history_test.cc
@@ -21,9 +21,9 @@
 
 using std::chrono::milliseconds;
 
-constexpr Duration kBound = milliseconds(1000);
+constexpr Duration kZoneOutBound = milliseconds(1000);
 constexpr int kAgentsPerZone = 2;
-constexpr Duration kLength = std::chrono::seconds(7);
+constexpr Duration kTestDuration = std::chrono::seconds(7);
 
 std::string Zone(const std::string& name) {
   return "[availability_zone " + name +
@@ -32,7 +32,7 @@
 }
 
 // When zone "a" was out for sure: from an operator's answer to the next order to bring it in.
-struct Exit {
+struct ZoneExit {
   Time answered{};
   Time in_ordered = Time::max();
 };
@@ -41,7 +41,7 @@
  protected:
   struct Entry {
     std::string zone;
-    std::unique_ptr<FaultyLog> way;
+    std::unique_ptr<FaultyLog> log;
     std::unique_ptr<EntryServer> server;
   };
 
@@ -77,15 +77,15 @@
     options.process = "entry-" + entry.zone;
     options.zone = entry.zone;
     options.operator_token = "token";
-    entry.server = std::make_unique<EntryServer>(options, entry.way.get(), &metrics_);
-    ways_.Attach(Address(entry), entry.server.get());
-    zone_a_ways_.Attach(Address(entry), entry.server.get());
+    entry.server = std::make_unique<EntryServer>(options, entry.log.get(), &metrics_);
+    connector_.Attach(Address(entry), entry.server.get());
+    zone_a_connector_.Attach(Address(entry), entry.server.get());
     entry.server->AnnounceAddress(Address(entry));
   }
 
   void StopEntry(size_t index) {
-    ways_.Detach(Address(entries_[index]));
-    zone_a_ways_.Detach(Address(entries_[index]));
+    connector_.Detach(Address(entries_[index]));
+    zone_a_connector_.Detach(Address(entries_[index]));
     entries_[index].server.reset();
   }
 
@@ -94,12 +94,13 @@
     options.hello = {"agent-" + zone + std::to_string(index), RandomHex(4), zone, "r", "", {}};
     for (const Entry& entry : entries_) options.entries.push_back(Address(entry));
     options.heartbeat = milliseconds(50);
-    DirectConnector* ways = zone == "a" ? &zone_a_ways_ : &ways_;
-    agents_.push_back(std::make_unique<AgentServer>(options, ways, nullptr, nullptr, &metrics_));
+    DirectConnector* connector = zone == "a" ? &zone_a_connector_ : &connector_;
+    agents_.push_back(
+        std::make_unique<AgentServer>(options, connector, nullptr, nullptr, &metrics_));
   }
 
   // Orders a change of zone "a" at any entry; returns whether it was accepted for sure.
-  bool Order(size_t entry, bool in) {
+  bool OrderZoneState(size_t entry, bool in) {
     HttpCall call;
     call.method = "POST";
     call.url = "http://127.0.0.1:" + std::to_string(entries_[entry].server->operator_port()) +
@@ -114,7 +115,7 @@
 
   // Two operators who know nothing of each other, at changing entries. Orders go out in turns of
   // their own; only what both know to hold counts as an exit.
-  void Operate(uint64_t seed) {
+  void RunOperator(uint64_t seed) {
     std::minstd_rand random(static_cast<std::minstd_rand::result_type>(seed));
     while (!done_.load()) {
       const size_t entry = random() % entries_.size();
@@ -122,18 +123,18 @@
       std::unique_lock<std::mutex> lock(orders_);
       if (in) {
         const Time now = DefaultClock().Now();
-        for (Exit& exit : exits_) exit.in_ordered = std::min(exit.in_ordered, now);
+        for (ZoneExit& exit : exits_) exit.in_ordered = std::min(exit.in_ordered, now);
       }
-      const bool accepted = Order(entry, in);
+      const bool accepted = OrderZoneState(entry, in);
       if (accepted && !in) exits_.push_back({DefaultClock().Now(), Time::max()});
       lock.unlock();
-      Rest(milliseconds(random() % 800));
+      Sleep(milliseconds(random() % 800));
     }
   }
 
   // Outages, lost answers and partial blindness, each entry its own; partitions between the agents
   // of zone "a" and single entries; restarts of entries. Each lasts longer than the bound at times.
-  void Disturb() {
+  void InjectFaults() {
     std::minstd_rand random(11);
     while (!done_.load()) {
       for (Entry& entry : entries_) {
@@ -141,31 +142,31 @@
         faults.reads_fail = random() % 2 == 0;
         faults.appends_fail = random() % 4 == 0;
         faults.append_answers_lost = random() % 3 == 0;
-        entry.way->SetFaults(faults);
-        if (random() % 2 == 0) zone_a_ways_.Detach(Address(entry));
+        entry.log->SetFaults(faults);
+        if (random() % 2 == 0) zone_a_connector_.Detach(Address(entry));
       }
-      Rest(milliseconds(random() % 2500));
+      Sleep(milliseconds(random() % 2500));
       const std::lock_guard<std::mutex> lock(orders_);
       for (Entry& entry : entries_) {
-        entry.way->SetFaults({});
-        zone_a_ways_.Attach(Address(entry), entry.server.get());
+        entry.log->SetFaults({});
+        zone_a_connector_.Attach(Address(entry), entry.server.get());
       }
       if (random() % 4 == 0) {
         const size_t index = random() % entries_.size();
         StopEntry(index);
         StartEntry(index);
       }
-      Rest(milliseconds(random() % 400));
+      Sleep(milliseconds(random() % 400));
     }
   }
 
   // One agent's scheduler: asks the guard all the time, as gangs do, and notes every start.
-  void Start(const AgentServer* agent) {
+  void RunScheduler(const AgentServer* agent) {
     int64_t version = 0;
     const bool counts = agent->zone() == "a";
     while (!done_.load()) {
       const int64_t present = agent->guard().config_version();
-      if (present < version) fell_.store(true);
+      if (present < version) version_decreased_.store(true);
       version = present;
       const Time now = DefaultClock().Now();
       try {
@@ -176,61 +177,61 @@
       } catch (const Error&) {
         // Nothing may start now.
       }
-      Rest(milliseconds(5));
+      Sleep(milliseconds(5));
     }
   }
 
-  void Rest(Duration duration) {
-    std::unique_lock<std::mutex> lock(rest_mutex_);
-    rest_.wait_for(lock, duration, [this] { return done_.load(); });
+  void Sleep(Duration duration) {
+    std::unique_lock<std::mutex> lock(sleep_mutex_);
+    wakeup_.wait_for(lock, duration, [this] { return done_.load(); });
   }
 
   void Finish() {
     {
-      const std::lock_guard<std::mutex> lock(rest_mutex_);
+      const std::lock_guard<std::mutex> lock(sleep_mutex_);
       done_.store(true);
     }
-    rest_.notify_all();
+    wakeup_.notify_all();
   }
 
   MemoryLog log_;
   MetricsRegistry metrics_;
-  DirectConnector ways_;
-  DirectConnector zone_a_ways_;
+  DirectConnector connector_;
+  DirectConnector zone_a_connector_;
   std::vector<Entry> entries_;
   std::vector<std::unique_ptr<AgentServer>> agents_;
   std::mutex orders_;
-  std::vector<Exit> exits_;
+  std::vector<ZoneExit> exits_;
   std::mutex starts_mutex_;
   std::vector<Time> starts_;
-  std::atomic<bool> fell_{false};
-  std::mutex rest_mutex_;
-  std::condition_variable rest_;
+  std::atomic<bool> version_decreased_{false};
+  std::mutex sleep_mutex_;
+  std::condition_variable wakeup_;
   std::atomic<bool> done_{false};
 };
 
 // Operators change a zone back and forth while entries lose their ways to the log one by one and
 // together, and restart. A task that starts long after the exit would run into the maintenance.
-TEST_F(ControlHistoryTest, NoStartLongAfterAnExitAndNoVersionFalls) {
+TEST_F(ControlHistoryTest, NoStartsAfterZoneOutBoundAndVersionsNeverDecrease) {
   {
     std::vector<Thread> threads;
-    threads.emplace_back("operator", [this] { Operate(1); });
-    threads.emplace_back("operator", [this] { Operate(2); });
-    threads.emplace_back("faults", [this] { Disturb(); });
+    threads.emplace_back("operator", [this] { RunOperator(1); });
+    threads.emplace_back("operator", [this] { RunOperator(2); });
+    threads.emplace_back("faults", [this] { InjectFaults(); });
     for (const auto& agent : agents_) {
       const AgentServer* raw = agent.get();
-      threads.emplace_back("starts", [this, raw] { Start(raw); });
+      threads.emplace_back("starts", [this, raw] { RunScheduler(raw); });
     }
-    Rest(kLength);
+    Sleep(kTestDuration);
     Finish();
   }
-  EXPECT_FALSE(fell_.load());
+  EXPECT_FALSE(version_decreased_.load());
   // A history without exits and starts would show nothing.
   EXPECT_FALSE(exits_.empty());
   EXPECT_FALSE(starts_.empty());
-  for (const Exit& exit : exits_) {
+  for (const ZoneExit& exit : exits_) {
     const auto late = std::find_if(starts_.begin(), starts_.end(), [&exit](Time start) {
-      return start > exit.answered + kBound && start < exit.in_ordered;
+      return start > exit.answered + kZoneOutBound && start < exit.in_ordered;
     });
     EXPECT_EQ(late, starts_.end()) << "a start followed an exit by more than the bound";
   }
@@ -239,7 +240,7 @@
 // The hard case of a zone's exit: the agents hear two entries that have lost the log, and the
 // third, through which the operators take the zone out, is cut off from them. They must not take
 // the two for proof that the log is down; a task would start in a zone that is being taken apart.
-TEST_F(ControlHistoryTest, AgentsCutOffFromTheOneEntryThatReadsStartNothing) {
+TEST_F(ControlHistoryTest, AgentsIsolatedFromTheOnlyEntryThatReadsTheLogStartNothing) {
   const auto may_start = [](const AgentServer& agent) {
     try {
       agent.guard().RequireStartAllowed(DefaultClock().Now());
@@ -253,32 +254,32 @@
       return agent->zone() == "a" && may_start(*agent);
     });
   };
-  const auto all_heard = [&] {
+  const auto all_received = [&] {
     return std::all_of(agents_.begin(), agents_.end(), [&](const auto& agent) {
       return agent->guard().entry_statements(DefaultClock().Now()).size() == entries_.size();
     });
   };
   // An agent knows nothing of an entry that it never heard; docs/notes/zone-out.md says so.
-  while (!any_in_zone_a() || !all_heard()) Rest(milliseconds(10));
+  while (!any_in_zone_a() || !all_received()) Sleep(milliseconds(10));
   // The order is to go to an entry that has read the document.
-  while (!entries_[2].server->ready()) Rest(milliseconds(10));
-  for (size_t index : {0, 1}) entries_[index].way->SetFaults({.reads_fail = true});
-  zone_a_ways_.Detach(Address(entries_[2]));
-  ASSERT_TRUE(Order(2, false));
+  while (!entries_[2].server->ready()) Sleep(milliseconds(10));
+  for (size_t index : {0, 1}) entries_[index].log->SetFaults({.reads_fail = true});
+  zone_a_connector_.Detach(Address(entries_[2]));
+  ASSERT_TRUE(OrderZoneState(2, false));
   const Time answered = DefaultClock().Now();
   // A start between the look at the clock and the answer is allowed; after the bound none is.
-  while (DefaultClock().Now() <= answered + kBound) Rest(milliseconds(10));
-  while (DefaultClock().Now() <= answered + 3 * kBound) {
+  while (DefaultClock().Now() <= answered + kZoneOutBound) Sleep(milliseconds(10));
+  while (DefaultClock().Now() <= answered + 3 * kZoneOutBound) {
     ASSERT_FALSE(any_in_zone_a());
-    Rest(milliseconds(10));
+    Sleep(milliseconds(10));
   }
   // The way to the third entry is back: the agents learn of the exit and stay out.
-  zone_a_ways_.Attach(Address(entries_[2]), entries_[2].server.get());
+  zone_a_connector_.Attach(Address(entries_[2]), entries_[2].server.get());
   const auto all_know = [&] {
     return std::all_of(agents_.begin(), agents_.end(),
                        [](const auto& agent) { return agent->guard().config_version() == 2; });
   };
-  while (!all_know()) Rest(milliseconds(10));
+  while (!all_know()) Sleep(milliseconds(10));
   EXPECT_FALSE(any_in_zone_a());
 }
 
--- a/tests/fuzz/parsers_fuzz.cc
+++ b/tests/fuzz/parsers_fuzz.cc
@@ -59,10 +59,10 @@
 }
 
 // From here on the first byte chooses among what comes from the platform.
-constexpr uint8_t kFirstOfPlatform = 128;
+constexpr uint8_t kFirstPlatformParser = 128;
 
-void ParseOne(uint8_t parser, const std::string& text) {
-  if (parser >= kFirstOfPlatform) return ParsePlatform(parser - kFirstOfPlatform, text);
+void ParseInput(uint8_t parser, const std::string& text) {
+  if (parser >= kFirstPlatformParser) return ParsePlatform(parser - kFirstPlatformParser, text);
   switch (parser % 5) {
     case 0:
       ParseEnvironment("fuzz", text);
@@ -89,8 +89,8 @@
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {  // NOLINT
   if (size == 0) return 0;
   try {
-    turmericshift::ParseOne(data[0],
-                            std::string(reinterpret_cast<const char*>(data + 1), size - 1));
+    turmericshift::ParseInput(data[0],
+                              std::string(reinterpret_cast<const char*>(data + 1), size - 1));
   } catch (const turmericshift::Error&) {
     // The answer that bad input should get.
   }
--- a/tests/request_history_test.cc
+++ b/tests/request_history_test.cc
@@ -15,10 +15,10 @@
 namespace {
 
 constexpr int kCallers = 6;
-constexpr size_t kMostCallers = 20;
+constexpr size_t kMaxCallers = 20;
 constexpr int kRequestsPerCaller = 30;
-constexpr int kTriesPerRequest = 6;
-constexpr Duration kCallLimit = std::chrono::milliseconds(800);
+constexpr int kAttemptsPerRequest = 6;
+constexpr Duration kCallTimeout = std::chrono::milliseconds(800);
 
 // Every other request may not be repeated; its caller comes back with the same key, at any entry,
 // until it is answered.
@@ -26,10 +26,10 @@
   const std::string name = std::to_string(caller) + "-" + std::to_string(number);
   const std::string key = number % 2 == 0 ? "key-" + name : "";
   const std::string body = "body-" + name;
-  for (int attempt = 0; attempt < kTriesPerRequest; ++attempt) {
-    const size_t entry =
-        static_cast<size_t>(cluster->world().dice.Below(static_cast<int>(cluster->entries())));
-    const AnswerEvent event = cluster->Call(entry, key, body, kCallLimit);
+  for (int attempt = 0; attempt < kAttemptsPerRequest; ++attempt) {
+    const size_t entry = static_cast<size_t>(
+        cluster->link_state().random.Below(static_cast<int>(cluster->entries())));
+    const AnswerEvent event = cluster->Call(entry, key, body, kCallTimeout);
     if (event.answered || key.empty()) return;
   }
 }
@@ -37,7 +37,7 @@
 // Two callers send the same key at once, as an impatient parent's app does.
 void RunCallers(RequestCluster* cluster) {
   std::vector<Thread> callers;
-  callers.reserve(kMostCallers);
+  callers.reserve(kMaxCallers);
   for (int caller = 0; caller < kCallers; ++caller) {
     callers.emplace_back("caller", [cluster, caller] {
       for (int number = 0; number < kRequestsPerCaller; ++number) {
@@ -48,13 +48,13 @@
 }
 
 // Breaks one thing after another until told to stop.
-void RunChaos(RequestCluster* cluster, const std::atomic<bool>* stop) {
-  Dice& dice = cluster->world().dice;
+void InjectFaults(RequestCluster* cluster, const std::atomic<bool>* stop) {
+  SharedRandom& random = cluster->link_state().random;
   while (!stop->load()) {
-    const auto entry = static_cast<size_t>(dice.Below(static_cast<int>(cluster->entries())));
-    const auto agent = static_cast<size_t>(dice.Below(static_cast<int>(cluster->agents())));
+    const auto entry = static_cast<size_t>(random.Below(static_cast<int>(cluster->entries())));
+    const auto agent = static_cast<size_t>(random.Below(static_cast<int>(cluster->agents())));
     LogFaults faults;
-    switch (dice.Below(6)) {
+    switch (random.Below(6)) {
       case 0:
         cluster->ReplaceEntry(entry);
         break;
@@ -86,8 +86,8 @@
   faults.late = 0.04;
   faults.duplicated = 0.08;
   faults.answer_lost = 0.06;
-  faults.crossed = 0.04;
-  faults.cut = 0.04;
+  faults.swapped = 0.04;
+  faults.truncated = 0.04;
   faults.delayed = 0.2;
   faults.silent = 0.01;
   return faults;
@@ -99,7 +99,7 @@
   return {11, 12, 13};
 }
 
-void ExpectClean(const RequestHistory& history, uint64_t seed) {
+void ExpectNoViolations(const RequestHistory& history, uint64_t seed) {
   const std::vector<std::string> violations = history.Violations();
   for (const std::string& violation : violations) {
     ADD_FAILURE() << "seed " << seed << ": " << violation;
@@ -110,34 +110,34 @@
 // Messages are lost, late, doubled, crossed, cut; entries and agents die and come back; the log
 // fails in three ways. A user would notice a box charged twice, another family's plan, or an order
 // refused as not run that is packed all the same.
-TEST(RequestHistoryTest, NothingRunsTwiceOrCrossesUnderFaults) {
+TEST(RequestHistoryTest, NoDuplicateRunsOrSwappedAnswersUnderFaults) {
   for (const uint64_t seed : Seeds()) {
     std::printf("seed %llu\n", static_cast<unsigned long long>(seed));
     RequestCluster cluster(3, 4, seed);
-    cluster.world().SetFaults(EveryFault());
+    cluster.link_state().SetFaults(EveryFault());
     for (size_t agent = 0; agent < cluster.agents(); ++agent) {
-      cluster.agent(agent).target->SetChances({0.03, 0.03});
+      cluster.agent(agent).target->SetFaults({0.03, 0.03});
     }
     std::atomic<bool> stop{false};
-    Thread chaos("chaos", [&] { RunChaos(&cluster, &stop); });
+    Thread fault_injector("chaos", [&] { InjectFaults(&cluster, &stop); });
     RunCallers(&cluster);
     stop.store(true);
-    chaos.Join();
-    ExpectClean(cluster.history(), seed);
+    fault_injector.Join();
+    ExpectNoViolations(cluster.history(), seed);
     // Of 180 requests most must get through, or the check would prove nothing.
     EXPECT_GT(cluster.history().answered(), 90U) << "seed " << seed;
   }
 }
 
 // Operators roll through all entries and agents, one after another, by planned stops.
-TEST(RequestHistoryTest, RollingThroughAllProcessesCutsNothing) {
+TEST(RequestHistoryTest, RollingRestartInterruptsNoRequest) {
   RequestCluster cluster(3, 4, 21);
   std::atomic<bool> rolled{false};
   std::atomic<int> refused{0};
   // The balancer sends nothing to an entry that says it leaves or is not ready.
   std::atomic<size_t> out{cluster.entries()};
   std::vector<Thread> callers;
-  callers.reserve(kMostCallers);
+  callers.reserve(kMaxCallers);
   for (int caller = 0; caller < 4; ++caller) {
     callers.emplace_back("caller", [&, caller] {
       for (int number = 0; !rolled.load(); ++number) {
@@ -154,33 +154,33 @@
   }
   for (size_t agent = 0; agent < cluster.agents(); ++agent) {
     cluster.RestartAgent(agent, true);
-    cluster.AwaitSessions();
+    cluster.WaitForSessions();
   }
   for (size_t entry = 0; entry < cluster.entries(); ++entry) {
     out.store(entry);
     cluster.ReplaceEntry(entry);
-    cluster.AwaitSessions();
+    cluster.WaitForSessions();
   }
   rolled.store(true);
   callers.clear();
   EXPECT_EQ(refused.load(), 0);
-  ExpectClean(cluster.history(), 21);
+  ExpectNoViolations(cluster.history(), 21);
 }
 
-size_t ViolationsWith(PlantedFault planted) {
+size_t ViolationCountWith(InjectedBug injected_bug) {
   RequestCluster cluster(2, 2, 31);
-  cluster.world().planted = planted;
+  cluster.link_state().injected_bug = injected_bug;
   for (int number = 0; number < 6; ++number) {
-    cluster.Call(0, "", "body-" + std::to_string(number), kCallLimit);
+    cluster.Call(0, "", "body-" + std::to_string(number), kCallTimeout);
   }
   return cluster.history().Violations().size();
 }
 
-TEST(RequestHistoryTest, TheCheckFindsPlantedFaults) {
-  EXPECT_EQ(ViolationsWith(PlantedFault::kNone), 0U);
-  EXPECT_GT(ViolationsWith(PlantedFault::kRunsTwice), 0U);
-  EXPECT_GT(ViolationsWith(PlantedFault::kSwapsAnswers), 0U);
-  EXPECT_GT(ViolationsWith(PlantedFault::kLiesNotRun), 0U);
+TEST(RequestHistoryTest, CheckDetectsInjectedBugs) {
+  EXPECT_EQ(ViolationCountWith(InjectedBug::kNone), 0U);
+  EXPECT_GT(ViolationCountWith(InjectedBug::kRunsTwice), 0U);
+  EXPECT_GT(ViolationCountWith(InjectedBug::kSwapsAnswers), 0U);
+  EXPECT_GT(ViolationCountWith(InjectedBug::kFalseNotRun), 0U);
 }
 
 }  // namespace
--- a/tests/request_windows_test.cc
+++ b/tests/request_windows_test.cc
@@ -10,14 +10,14 @@
 namespace turmericshift {
 namespace {
 
-constexpr Duration kLimit = std::chrono::seconds(5);
-constexpr Duration kShort = std::chrono::milliseconds(300);
+constexpr Duration kTimeout = std::chrono::seconds(5);
+constexpr Duration kShortTimeout = std::chrono::milliseconds(300);
 constexpr const char* kKey = "order-1";
 constexpr const char* kBody = "six pouches, no nuts";
 
 class RequestWindowsTest : public testing::Test {
  protected:
-  AnswerEvent CallWith(size_t entry, Duration limit = kLimit) {
+  AnswerEvent CallWith(size_t entry, Duration limit = kTimeout) {
     return cluster_.Call(entry, kKey, kBody, limit);
   }
 
@@ -33,7 +33,7 @@
     claim.agent = state.hello.process;
     claim.incarnation = state.hello.incarnation;
     claim.wall_ms = DefaultClock().WallMillis();
-    const WriteResult written = cluster_.entry(0)->stream.Write(claim, kLimit);
+    const WriteResult written = cluster_.entry(0)->stream.Write(claim, kTimeout);
     ServiceRequest message;
     message.request_id = "paused";
     message.workspace = claim.workspace;
@@ -44,7 +44,7 @@
     message.incarnation = claim.incarnation;
     message.body = kBody;
     message.body_digest = Digest(kBody);
-    message.time_left = kLimit;
+    message.time_left = kTimeout;
     return message;
   }
 
@@ -53,7 +53,9 @@
     EXPECT_EQ(event.answer, AnswerTo(kBody));
   }
 
-  void ExpectClean() { EXPECT_EQ(cluster_.history().Violations(), std::vector<std::string>{}); }
+  void ExpectNoViolations() {
+    EXPECT_EQ(cluster_.history().Violations(), std::vector<std::string>{});
+  }
 
   RequestCluster cluster_{2, 2, 1};
 };
@@ -69,46 +71,46 @@
   } catch (const Error& error) {
     EXPECT_EQ(error.kind(), ErrorKind::kFenced);
   }
-  ExpectClean();
+  ExpectNoViolations();
 }
 
 // The entry dies after it forwarded; the target does the work. A repeat gets that answer.
 TEST_F(RequestWindowsTest, EntryStopsAfterForwarding) {
   cluster_.agent(0).server->Serve(ClaimOnly(0));
   ExpectAnswered(CallWith(1));
-  ExpectClean();
+  ExpectNoViolations();
 }
 
 // The answer arrives cut. The entry notices by the digest and gets the whole one by asking.
-TEST_F(RequestWindowsTest, AnswerIsCutOnItsWay) {
+TEST_F(RequestWindowsTest, AnswerIsTruncatedInTransit) {
   LinkFaults faults;
-  faults.cut = 1;
-  cluster_.world().SetFaults(faults);
+  faults.truncated = 1;
+  cluster_.link_state().SetFaults(faults);
   ExpectAnswered(CallWith(0));
-  EXPECT_TRUE(cluster_.Call(0, "", "repeatable", kLimit).answered);
-  ExpectClean();
+  EXPECT_TRUE(cluster_.Call(0, "", "repeatable", kTimeout).answered);
+  ExpectNoViolations();
 }
 
 // The agent dies while its target works on the order. Nobody can know whether it was done, so the
 // caller is told "unknown" at once, and a repeat does not run it again.
 TEST_F(RequestWindowsTest, AgentDiesWhileTheTargetRuns) {
-  for (size_t agent : {0U, 1U}) cluster_.agent(agent).target->Hold(true);
+  for (size_t agent : {0U, 1U}) cluster_.agent(agent).target->SetBlocked(true);
   AnswerEvent first;
   Thread caller("caller", [&] { first = CallWith(0); });
   const auto runs_at = [&](size_t agent) { return cluster_.agent(agent).target->running() == 1; };
-  Await("the order did not start", [&] { return runs_at(0) || runs_at(1); });
+  WaitUntil("the order did not start", [&] { return runs_at(0) || runs_at(1); });
   const size_t owner = runs_at(0) ? 0 : 1;
-  cluster_.agent(owner).box->dead.store(true);
-  for (size_t agent : {0U, 1U}) cluster_.agent(agent).target->Hold(false);
+  cluster_.agent(owner).agent_process->dead.store(true);
+  for (size_t agent : {0U, 1U}) cluster_.agent(agent).target->SetBlocked(false);
   cluster_.RestartAgent(owner, false);
   caller.Join();
   EXPECT_FALSE(first.answered);
   EXPECT_EQ(first.outcome, Outcome::kUnknown);
-  cluster_.AwaitSessions();
+  cluster_.WaitForSessions();
   const AnswerEvent repeat = CallWith(1);
   EXPECT_EQ(repeat.outcome, Outcome::kUnknown) << repeat.answer;
   EXPECT_FALSE(repeat.answered);
-  ExpectClean();
+  ExpectNoViolations();
 }
 
 // The log is down when the order arrives: refused, truly not run, and accepted once it is back.
@@ -116,34 +118,35 @@
   LogFaults down;
   down.appends_fail = true;
   cluster_.log().SetFaults(down);
-  const AnswerEvent refused = CallWith(0, kShort);
+  const AnswerEvent refused = CallWith(0, kShortTimeout);
   EXPECT_EQ(refused.outcome, Outcome::kNotRun);
   cluster_.log().SetFaults({});
   ExpectAnswered(CallWith(1));
-  ExpectClean();
+  ExpectNoViolations();
 }
 
 // The claim takes effect but its writer never learns, and gives up. The order was not run; the
 // claim that stands in the log must not block the key.
-TEST_F(RequestWindowsTest, ClaimLandsAfterItsWriterGaveUp) {
+TEST_F(RequestWindowsTest, ClaimIsWrittenAfterItsWriterGaveUp) {
   LogFaults deaf;
   deaf.append_answers_lost = true;
   deaf.reads_fail = true;
   cluster_.log().SetFaults(deaf);
-  const AnswerEvent refused = CallWith(0, kShort);
+  const AnswerEvent refused = CallWith(0, kShortTimeout);
   EXPECT_EQ(refused.outcome, Outcome::kNotRun) << refused.error;
   EXPECT_GT(cluster_.log().appends(), 0);
   cluster_.log().SetFaults({});
   ExpectAnswered(CallWith(1));
-  ExpectClean();
+  ExpectNoViolations();
 }
 
 // The log goes down while the target works. The caller still gets the answer, and so does a repeat
 // at another entry, which asks the agent.
 TEST_F(RequestWindowsTest, LogGoesDownWhileTheTargetRuns) {
   const ServiceRequest message = ClaimOnly(0);
-  Await("entry 1 did not read the claim",
-        [&] { return cluster_.entry(1)->replicated_requests.Find("workspace", kKey).has_value(); });
+  WaitUntil("entry 1 did not read the claim", [&] {
+    return cluster_.entry(1)->replicated_requests.Find("workspace", kKey).has_value();
+  });
   LogFaults down;
   down.appends_fail = true;
   down.reads_fail = true;
@@ -151,53 +154,54 @@
   EXPECT_EQ(cluster_.agent(0).server->Serve(message).body, AnswerTo(kBody));
   ExpectAnswered(CallWith(1));
   ExpectAnswered(CallWith(0));
-  ExpectClean();
+  ExpectNoViolations();
 }
 
 // An impatient parent taps twice. The second tap waits for the first one's answer.
-TEST_F(RequestWindowsTest, ARepeatWaitsForTheRunningFirst) {
-  for (size_t agent : {0U, 1U}) cluster_.agent(agent).target->Hold(true);
+TEST_F(RequestWindowsTest, ARepeatWaitsForTheRunningRequest) {
+  for (size_t agent : {0U, 1U}) cluster_.agent(agent).target->SetBlocked(true);
   AnswerEvent first;
   AnswerEvent second;
   Thread one("caller", [&] { first = CallWith(0); });
-  Await("the order did not start", [&] {
+  WaitUntil("the order did not start", [&] {
     return cluster_.agent(0).target->running() + cluster_.agent(1).target->running() == 1;
   });
   Thread two("caller", [&] { second = CallWith(1); });
-  Await("the second did not follow the claim",
-        [&] { return cluster_.entry(1)->metrics.counter("router_claims_followed").value() == 1; });
-  for (size_t agent : {0U, 1U}) cluster_.agent(agent).target->Hold(false);
+  WaitUntil("the second did not follow the claim", [&] {
+    return cluster_.entry(1)->metrics.counter("router_claims_followed").value() == 1;
+  });
+  for (size_t agent : {0U, 1U}) cluster_.agent(agent).target->SetBlocked(false);
   one.Join();
   two.Join();
   ExpectAnswered(first);
   ExpectAnswered(second);
-  ExpectClean();
+  ExpectNoViolations();
 }
 
-TEST_F(RequestWindowsTest, AKeyGivesItsFirstAnswerAgainAndFitsNoOtherBody) {
+TEST_F(RequestWindowsTest, AKeyReturnsItsFirstAnswerAndRejectsAnotherBody) {
   ExpectAnswered(CallWith(0));
   ExpectAnswered(CallWith(0));
   ExpectAnswered(CallWith(1));
-  const AnswerEvent other = cluster_.Call(1, kKey, "another order", kLimit);
+  const AnswerEvent other = cluster_.Call(1, kKey, "another order", kTimeout);
   EXPECT_EQ(other.error.rfind("conflict", 0), 0U) << other.error;
   EXPECT_EQ(other.outcome, Outcome::kNotRun);
-  ExpectClean();
+  ExpectNoViolations();
 }
 
 // A caller comes back with a key so old that what became of it is no longer kept, first as a hash
 // and then not at all. The entry can't know whether it was run, so it says "unknown" and does not
 // run it.
-TEST_F(RequestWindowsTest, KeyIsOlderThanWhatIsKept) {
+TEST_F(RequestWindowsTest, KeyIsOlderThanTheRetainedKeys) {
   const int64_t first_use = DefaultClock().WallMillis();
   ExpectAnswered(CallWith(0));
   for (const char* round : {"hashed", "forgotten"}) {
-    for (size_t number = 0; number <= TestEntry::kKeptKeys; ++number) {
+    for (size_t number = 0; number <= TestEntry::kRetainedKeys; ++number) {
       const std::string key = std::string(round) + std::to_string(number);
-      ASSERT_TRUE(cluster_.Call(0, key, key, kLimit).answered);
+      ASSERT_TRUE(cluster_.Call(0, key, key, kTimeout).answered);
     }
-    Await("the outcomes were not recorded", [&] {
+    WaitUntil("the outcomes were not recorded", [&] {
       const auto last = cluster_.entry(0)->replicated_requests.Find(
-          "workspace", std::string(round) + std::to_string(TestEntry::kKeptKeys));
+          "workspace", std::string(round) + std::to_string(TestEntry::kRetainedKeys));
       return last && last->ended;
     });
     ServiceRequest request;
@@ -208,14 +212,14 @@
     request.body = kBody;
     request.body_digest = Digest(kBody);
     request.idempotency_key = kKey;
-    request.time_left = kLimit;
+    request.time_left = kTimeout;
     const auto late = AttemptOf<ServiceAnswer>(
         [&] { return cluster_.entry(0)->router.Route(request, first_use); });
     ASSERT_TRUE(late.error);
     EXPECT_EQ(late.error->kind(), ErrorKind::kKeyExpired) << late.error->what();
     EXPECT_EQ(late.error->outcome(), Outcome::kUnknown);
   }
-  ExpectClean();
+  ExpectNoViolations();
 }
 
 // A connection goes silent for good under a request. The agent connects anew, and the entry asks
@@ -223,46 +227,46 @@
 TEST_F(RequestWindowsTest, ConnectionGoesSilentUnderARequest) {
   LinkFaults silent;
   silent.silent = 1;
-  cluster_.world().SetFaults(silent);
+  cluster_.link_state().SetFaults(silent);
   AnswerEvent event;
   Thread caller("caller", [&] { event = cluster_.Call(0, kKey, kBody, std::chrono::minutes(5)); });
-  Await("the request was not sent", [&] {
+  WaitUntil("the request was not sent", [&] {
     AgentDirectory& directory = cluster_.entry(0)->directory;
     return directory.Find("worker-0").outstanding + directory.Find("worker-1").outstanding == 1;
   });
-  cluster_.world().SetFaults({});
+  cluster_.link_state().SetFaults({});
   for (size_t agent : {0U, 1U}) cluster_.Reconnect(agent, 0);
   caller.Join();
   ExpectAnswered(event);
-  ExpectClean();
+  ExpectNoViolations();
 }
 
 // A target leaves while requests wait for its slots. They move to the other target.
 TEST_F(RequestWindowsTest, TargetLeavesWhileRequestsWait) {
-  cluster_.agent(1).target->Hold(true);
-  cluster_.agent(0).target->Hold(true);
+  cluster_.agent(1).target->SetBlocked(true);
+  cluster_.agent(0).target->SetBlocked(true);
   constexpr int kRequests = 20;
   std::vector<AnswerEvent> events(kRequests);
   std::vector<Thread> callers;
   callers.reserve(kRequests);
   for (AnswerEvent& event : events) {
-    callers.emplace_back("caller", [&] { event = cluster_.Call(0, "", "plan", kLimit); });
+    callers.emplace_back("caller", [&] { event = cluster_.Call(0, "", "plan", kTimeout); });
   }
-  Await("the requests did not arrive", [&] {
+  WaitUntil("the requests did not arrive", [&] {
     AgentDirectory& directory = cluster_.entry(0)->directory;
     return cluster_.agent(0).target->running() == 8 && cluster_.agent(1).target->running() == 8 &&
            directory.Find("worker-0").outstanding + directory.Find("worker-1").outstanding == 20;
   });
   bool finished = false;
-  Thread leaving("leave", [&] { finished = cluster_.agent(0).server->Leave(kLimit); });
-  Await("the entry did not hear of it",
-        [&] { return cluster_.entry(0)->directory.Find("worker-0").leaving; });
-  for (size_t agent : {0U, 1U}) cluster_.agent(agent).target->Hold(false);
+  Thread leaving("leave", [&] { finished = cluster_.agent(0).server->Leave(kTimeout); });
+  WaitUntil("the entry did not hear of it",
+            [&] { return cluster_.entry(0)->directory.Find("worker-0").leaving; });
+  for (size_t agent : {0U, 1U}) cluster_.agent(agent).target->SetBlocked(false);
   leaving.Join();
   callers.clear();
   EXPECT_TRUE(finished);
   for (const AnswerEvent& event : events) EXPECT_TRUE(event.answered) << event.error;
-  ExpectClean();
+  ExpectNoViolations();
 }
 
 }  // namespace
--- a/tests/silent_connection_test.cc
+++ b/tests/silent_connection_test.cc
@@ -20,7 +20,7 @@
   std::shared_ptr<EntryPort> OpenAgent(const AgentHello& hello,
                                        std::shared_ptr<AgentPort> agent) override {
     entry_->directory.Open(hello, std::move(agent), DefaultClock().Now());
-    return std::make_shared<BeatPort>(entry_, hello);
+    return std::make_shared<HeartbeatPort>(entry_, hello);
   }
 
  private:
@@ -30,11 +30,11 @@
 // Something between entry and agent loses track of their connection: it stays open and carries
 // nothing, while new ones work. The caller must get the answer of the work that its target did,
 // long before the deadline, and the work must not be done twice.
-TEST(SilentConnectionTest, ARequestInFlightIsSettledOverAnotherConnection) {
+TEST(SilentConnectionTest, ARequestInFlightIsResolvedOverANewConnection) {
   MemoryLog log;
   RequestHistory history;
-  Dice dice(1);
-  CountingTarget target("worker-0", &history, &dice);
+  SharedRandom random(1);
+  CountingTarget target("worker-0", &history, &random);
   const auto entry = std::make_shared<TestEntry>(&log);
   TestGate gate(entry);
   const SharedKeys keys{{"shared-key"}};
@@ -57,11 +57,11 @@
                 .Candidates(kTestService, DefaultClock().Now(), std::chrono::seconds(10))
                 .empty();
   };
-  Await("the agent did not connect", known);
-  Await("the log was not read", [&] { return entry->stream.view().ever_fresh; });
+  WaitUntil("the agent did not connect", known);
+  WaitUntil("the log was not read", [&] { return entry->stream.view().ever_fresh; });
 
   for (const char* key : {"order-1", ""}) {
-    target.Hold(true);
+    target.SetBlocked(true);
     ServiceRequest request;
     request.request_id = std::string("request-") + key;
     request.workspace = "workspace";
@@ -75,11 +75,11 @@
     Thread caller("caller", [&] {
       attempt = AttemptOf<ServiceAnswer>([&] { return entry->router.Route(request); });
     });
-    Await("the request did not start", [&] { return target.running() == 1; });
+    WaitUntil("the request did not start", [&] { return target.running() == 1; });
     const int connections = relay.connections();
     relay.Silence();
-    target.Hold(false);
-    Await("no second connection came", [&] { return relay.connections() > connections; });
+    target.SetBlocked(false);
+    WaitUntil("no second connection came", [&] { return relay.connections() > connections; });
     caller.Join();
     ASSERT_TRUE(attempt.value) << attempt.error->what();
     EXPECT_EQ(attempt.value->body, AnswerTo(request.body));
--- a/tests/soak/operator_history.cc
+++ b/tests/soak/operator_history.cc
@@ -9,34 +9,34 @@
 namespace {
 
 // For a command, however many entries are silent; its wait for "in force" included.
-constexpr Duration kCommandBound = std::chrono::seconds(10);
+constexpr Duration kCommandTimeLimit = std::chrono::seconds(10);
 
 constexpr auto kDone = static_cast<int>(ExitCode::kDone);
 constexpr auto kFailed = static_cast<int>(ExitCode::kFailed);
 
 std::string Describe(const CommandEnd& end) {
-  return end.what + " (change '" + end.change + "', status " + std::to_string(end.status) +
-         ", version " + std::to_string(end.version) + ", " + std::to_string(Seconds(end.took)) +
+  return end.command + " (change '" + end.change + "', status " + std::to_string(end.status) +
+         ", version " + std::to_string(end.version) + ", " + std::to_string(Seconds(end.duration)) +
          " s)";
 }
 
 }  // namespace
 
-void OperatorHistory::Ended(const CommandEnd& end) {
+void OperatorHistory::RecordCommand(const CommandEnd& end) {
   const std::lock_guard<std::mutex> lock(mutex_);
   ends_.push_back(end);
-  longest_ = std::max(longest_, end.took);
-  if (end.took > kCommandBound) AddViolation("too long: " + Describe(end));
+  longest_ = std::max(longest_, end.duration);
+  if (end.duration > kCommandTimeLimit) AddViolation("too long: " + Describe(end));
   if (end.status != kDone && end.status != kFailed) AddViolation("not settled: " + Describe(end));
   if (end.change.empty() && end.status != kDone) AddViolation("not read: " + Describe(end));
 }
 
-void OperatorHistory::Violation(const std::string& what) {
+void OperatorHistory::RecordViolation(const std::string& what) {
   const std::lock_guard<std::mutex> lock(mutex_);
   AddViolation(what);
 }
 
-void OperatorHistory::CheckWhole(const nlohmann::json& history) {
+void OperatorHistory::CheckAtEnd(const nlohmann::json& history) {
   const std::lock_guard<std::mutex> lock(mutex_);
   std::map<std::string, int64_t> versions;
   int64_t last = 0;
--- a/tests/soak/operator_history.h
+++ b/tests/soak/operator_history.h
@@ -14,28 +14,28 @@
 // How one command ended.
 struct CommandEnd {
   // "zone out a", for people.
-  std::string what;
+  std::string command;
   // "" for a command that changes nothing.
   std::string change;
   int status = -1;
   // That it was told; 0: none.
   int64_t version = 0;
-  Duration took{};
+  Duration duration{};
 };
 
 class OperatorHistory {
  public:
   // A command was given while at least one entry served until its end.
-  void Ended(const CommandEnd& end);
-  void Violation(const std::string& what);
+  void RecordCommand(const CommandEnd& end);
+  void RecordViolation(const std::string& violation);
   // `history`: what `config history --json` shows once all is over.
-  void CheckWhole(const nlohmann::json& history);
+  void CheckAtEnd(const nlohmann::json& history);
   std::vector<std::string> violations() const;
   std::string Summary() const;
 
  private:
   void CheckChange(const CommandEnd& end, const std::map<std::string, int64_t>& versions);
-  void AddViolation(const std::string& what);
+  void AddViolation(const std::string& violation);
 
   mutable std::mutex mutex_;
   std::vector<CommandEnd> ends_;
--- a/tests/soak/operator_pool.cc
+++ b/tests/soak/operator_pool.cc
@@ -18,8 +18,8 @@
 }  // namespace
 
 OperatorPool::OperatorPool(const OperatorSoakOptions& options,
-                           std::function<void(const std::string&)> ends_by_itself)
-    : options_(options), ends_by_itself_(std::move(ends_by_itself)), log_server_({}, &log_) {
+                           std::function<void(const std::string&)> on_unexpected_end)
+    : options_(options), on_unexpected_end_(std::move(on_unexpected_end)), log_server_({}, &log_) {
   WriteFiles();
   for (size_t number = 0; number < kEntryCount; ++number) AddEntry(number);
   for (size_t number = 0; number < kEntryCount; ++number) AddAgent(number);
@@ -62,7 +62,7 @@
     entry->operators->Retarget(event.at("operators").get<int>());
     entry->sessions->Retarget(event.at("sessions").get<int>());
   };
-  entry->process = std::make_unique<SoakProcess>(process, started, ends_by_itself_);
+  entry->process = std::make_unique<SoakProcess>(process, started, on_unexpected_end_);
 }
 
 void OperatorPool::AddAgent(size_t number) {
@@ -78,7 +78,7 @@
   SoakProcessOptions process{name, CommandFor("agent", name, settings), options_.folder};
   process.started_event = "agent_started";
   agents_.push_back(std::make_unique<SoakProcess>(
-      process, [](const nlohmann::json&) {}, ends_by_itself_));
+      process, [](const nlohmann::json&) {}, on_unexpected_end_));
 }
 
 bool OperatorPool::Serves(size_t entry, bool published) const {
--- a/tests/soak/operator_pool.h
+++ b/tests/soak/operator_pool.h
@@ -24,9 +24,9 @@
     std::unique_ptr<SoakProcess> process;
   };
 
-  // `ends_by_itself` hears of processes that end without having been asked to.
+  // `on_unexpected_end` hears of processes that end without having been asked to.
   OperatorPool(const OperatorSoakOptions& options,
-               std::function<void(const std::string&)> ends_by_itself);
+               std::function<void(const std::string&)> on_unexpected_end);
 
   std::vector<std::unique_ptr<Entry>>& entries() { return entries_; }
   // Whether the entry answers operators and is ready, as far as it can be before a document was
@@ -45,7 +45,7 @@
                                       const std::string& settings) const;
 
   const OperatorSoakOptions options_;
-  const std::function<void(const std::string&)> ends_by_itself_;
+  const std::function<void(const std::string&)> on_unexpected_end_;
   MemoryLog log_;
   LogServer log_server_;
   std::vector<std::unique_ptr<Entry>> entries_;
--- a/tests/soak/operator_soak.cc
+++ b/tests/soak/operator_soak.cc
@@ -26,9 +26,9 @@
 
 constexpr size_t kOperators = 2;
 // The history shows so many versions; all that are made must be in it.
-constexpr int kMostChanges = 60;
-constexpr Duration kLookEvery = milliseconds(20);
-constexpr Duration kServingLimit = seconds(60);
+constexpr int kMaxChanges = 60;
+constexpr Duration kPollInterval = milliseconds(20);
+constexpr Duration kServingTimeout = seconds(60);
 
 using Words = std::vector<std::string>;
 using Random = std::mt19937_64;
@@ -78,7 +78,7 @@
 
   void Run(const std::atomic<bool>& stopping, std::atomic<int>* changes) {
     while (!stopping.load()) {
-      if (random_() % 2 == 0 && changes->fetch_add(1) < kMostChanges) {
+      if (random_() % 2 == 0 && changes->fetch_add(1) < kMaxChanges) {
         Change();
       } else {
         Read();
@@ -87,9 +87,9 @@
   }
 
   // The entries are asked in a drawn order.
-  CommandEnd Give(Words words, const std::string& change) {
+  CommandEnd Execute(Words words, const std::string& change) {
     CommandEnd end;
-    for (const std::string& word : words) end.what += word + " ";
+    for (const std::string& word : words) end.command += word + " ";
     end.change = change;
     words.insert(words.begin(), options_.binary);
     if (!change.empty()) words.insert(words.end(), {"--change", change, "--wait", "1s"});
@@ -97,9 +97,9 @@
                  {"--json", "--entries", DrawEntries(), "--token-file", pool_->token_file()});
     const Time begun = LeaseClock().Now();
     end.status = RunCommand(words, output());
-    end.took = LeaseClock().Now() - begun;
-    const nlohmann::json told = ReadJson(output());
-    if (told.is_object()) end.version = told.value("version", int64_t{0});
+    end.duration = LeaseClock().Now() - begun;
+    const nlohmann::json output_json = ReadJson(output());
+    if (output_json.is_object()) end.version = output_json.value("version", int64_t{0});
     return end;
   }
 
@@ -112,17 +112,17 @@
     const Words words = publishes
                             ? Words{"config", "publish", "--zone-states", "keep", pool_->document()}
                             : Words{"zone", zone_in_ ? "out" : "in", zone_};
-    const CommandEnd end = Give(words, change);
+    const CommandEnd end = Execute(words, change);
     if (!publishes && end.version != 0) zone_in_ = !zone_in_;
-    history_->Ended(end);
+    history_->RecordCommand(end);
   }
 
   void Read() {
     static const std::array<Words, 4> commands = {
         {{"status"}, {"config", "show"}, {"config", "history"}, {"zone", "show"}}};
-    CommandEnd end = Give(commands.at(random_() % commands.size()), "");
+    CommandEnd end = Execute(commands.at(random_() % commands.size()), "");
     end.version = 0;
-    history_->Ended(end);
+    history_->RecordCommand(end);
   }
 
   std::string DrawEntries() {
@@ -152,34 +152,34 @@
   void Play(Duration length) {
     const Time until = LeaseClock().Now() + length;
     while (LeaseClock().Now() < until) {
-      const size_t spared = random_() % kEntryCount;
+      const size_t unaffected = random_() % kEntryCount;
       std::vector<Thread> series;
       for (size_t entry = 0; entry < kEntryCount; ++entry) {
-        if (entry == spared) continue;
-        series.emplace_back("faults", [this, entry, seed = random_()] { Trouble(entry, seed); });
+        if (entry == unaffected) continue;
+        series.emplace_back("faults", [this, entry, seed = random_()] { PlayFaults(entry, seed); });
       }
       for (Thread& each : series) each.Join();
-      AwaitAll();
+      WaitUntilAllServe();
     }
   }
 
   // Until every entry serves; whether they come to.
-  bool AwaitAll(bool published = true) const {
-    const Time until = LeaseClock().Now() + kServingLimit;
+  bool WaitUntilAllServe(bool published = true) const {
+    const Time until = LeaseClock().Now() + kServingTimeout;
     for (size_t entry = 0; entry < kEntryCount; ++entry) {
       while (!pool_->Serves(entry, published)) {
         if (LeaseClock().Now() > until) return false;
-        std::this_thread::sleep_for(kLookEvery);
+        std::this_thread::sleep_for(kPollInterval);
       }
     }
     return true;
   }
 
  private:
-  enum class Kind { kFreeze, kKill, kStop, kStopFrozen, kSilent, kCutBack, kReset, kCount };
+  enum class Kind { kFreeze, kKill, kStop, kStopFrozen, kSilent, kDropBackward, kReset, kCount };
 
   // Some faults on one entry, each over before the next.
-  void Trouble(size_t entry, uint64_t seed) const {
+  void PlayFaults(size_t entry, uint64_t seed) const {
     Random random(seed);
     const OperatorPool::Entry& target = *pool_->entries()[entry];
     for (uint64_t left = 1 + random() % 3; left > 0; --left) {
@@ -202,11 +202,11 @@
         process->Signal(SIGTERM);
         return Freeze(process, lasts);
       case Kind::kSilent:
-        return Disturb(target.operators.get(), RelayFault::kSilent, lasts);
-      case Kind::kCutBack:
-        return Disturb(target.operators.get(), RelayFault::kCutBack, lasts);
+        return ApplyRelayFault(target.operators.get(), RelayFault::kSilent, lasts);
+      case Kind::kDropBackward:
+        return ApplyRelayFault(target.operators.get(), RelayFault::kDropBackward, lasts);
       case Kind::kReset:
-        return Disturb(target.operators.get(), RelayFault::kReset, lasts);
+        return ApplyRelayFault(target.operators.get(), RelayFault::kReset, lasts);
       case Kind::kCount:
         return;
     }
@@ -218,10 +218,10 @@
     process->Signal(SIGCONT);
   }
 
-  static void Disturb(TcpRelay* way, RelayFault fault, Duration lasts) {
-    way->SetFault(fault);
+  static void ApplyRelayFault(TcpRelay* relay, RelayFault fault, Duration lasts) {
+    relay->SetFault(fault);
     std::this_thread::sleep_for(lasts);
-    way->SetFault(RelayFault::kNone);
+    relay->SetFault(RelayFault::kNone);
   }
 
   Random random_;
@@ -230,14 +230,14 @@
 
 void Play(const OperatorSoakOptions& options, OperatorHistory* history) {
   OperatorPool pool(options, [history](const std::string& name) {
-    history->Violation(name + " ended by itself");
+    history->RecordViolation(name + " ended by itself");
   });
   OperatorFaults faults(options.seed, &pool);
   Operator first(options, kOperators, "", &pool, history);
-  if (!faults.AwaitAll(false) ||
-      first.Give({"config", "publish", pool.document()}, "first").version != 1 ||
-      !faults.AwaitAll()) {
-    return history->Violation("the entries do not come to serve");
+  if (!faults.WaitUntilAllServe(false) ||
+      first.Execute({"config", "publish", pool.document()}, "first").version != 1 ||
+      !faults.WaitUntilAllServe()) {
+    return history->RecordViolation("the entries do not come to serve");
   }
   std::atomic<bool> stopping{false};
   std::atomic<int> changes{0};
@@ -251,9 +251,9 @@
   faults.Play(options.length);
   stopping.store(true);
   for (Thread& each : operators) each.Join();
-  if (!faults.AwaitAll()) return history->Violation("the entries do not come back");
-  first.Give({"config", "history"}, "");
-  history->CheckWhole(ReadJson(first.output()));
+  if (!faults.WaitUntilAllServe()) return history->RecordViolation("the entries do not come back");
+  first.Execute({"config", "history"}, "");
+  history->CheckAtEnd(ReadJson(first.output()));
 }
 
 }  // namespace
--- a/tests/soak/soak_callers.cc
+++ b/tests/soak/soak_callers.cc
@@ -11,28 +11,28 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kPatience{3000};
+constexpr milliseconds kCallTimeout{3000};
 // Of one in so many jobs' submissions: longer than an entry's stop may take.
-constexpr milliseconds kLongPatience{10000};
-constexpr size_t kLongPatienceOneIn = 5;
+constexpr milliseconds kLongCallTimeout{10000};
+constexpr size_t kLongCallTimeoutOneIn = 5;
 // A connection may end so soon after a request was sent on it that the request was never read.
-constexpr milliseconds kLossSlack{300};
-constexpr milliseconds kBetweenJobs{250};
-constexpr milliseconds kBetweenLooks{40};
+constexpr milliseconds kUnreadRequestLimit{300};
+constexpr milliseconds kSubmitInterval{250};
+constexpr milliseconds kPollInterval{40};
 constexpr milliseconds kRetryPause{100};
 // A second connection repeats a job at most so long after the first.
-constexpr int kLongestRepeatPauseMs = 900;
+constexpr int kMaxRepeatDelayMs = 900;
 // As the users' clients do.
-constexpr int kTries = 5;
-constexpr int kMostAttempts = 3;
+constexpr int kMaxCallAttempts = 5;
+constexpr int kMaxAttempts = 3;
 
 int Below(int bound, std::mt19937_64* random) {
   return static_cast<int>((*random)() % static_cast<uint64_t>(bound));
 }
 
-milliseconds PatienceFor(const SoakJob& job) {
-  const bool patient = std::hash<std::string>()(job.spec.id) % kLongPatienceOneIn == 0;
-  return patient ? kLongPatience : kPatience;
+milliseconds CallTimeoutFor(const SoakJob& job) {
+  const bool slow_caller = std::hash<std::string>()(job.spec.id) % kLongCallTimeoutOneIn == 0;
+  return slow_caller ? kLongCallTimeout : kCallTimeout;
 }
 
 bool OneIn(int chance, std::mt19937_64* random) { return Below(chance, random) == 0; }
@@ -59,7 +59,7 @@
     step.after = {0};
     job.spec.steps.push_back(step);
   }
-  if (OneIn(8, random)) job.failures = 1 + Below(kMostAttempts, random);
+  if (OneIn(8, random)) job.failures = 1 + Below(kMaxAttempts, random);
   return job;
 }
 
@@ -69,7 +69,7 @@
     threads_.emplace_back(
         "caller", [this, seed, caller] { Submit(seed + static_cast<uint64_t>(caller), caller); });
   }
-  threads_.emplace_back("asker", [this, seed] { Ask(seed); });
+  threads_.emplace_back("asker", [this, seed] { PollStates(seed); });
 }
 
 SoakCallers::~SoakCallers() {
@@ -82,15 +82,16 @@
     std::mt19937_64* random) {
   const auto& entries = system_->entries();
   SoakEntry* entry = entries[(*random)() % entries.size()].get();
-  const int life = entry->process->life();
+  const int incarnation = entry->process->incarnation();
   const Time sent = LeaseClock().Now();
   const platform::CallOutcome outcome = call(platform::Caller(entry->callers->port()));
   if (outcome != platform::CallOutcome::kConnectionLost) return outcome;
   const Duration waited = LeaseClock().Now() - sent;
-  const bool by_stop = entry->process->stops_in_order(life) && !entry->callers->FaultSince(sent);
-  if (by_stop && waited > kLossSlack) {
-    history_->Violation("a call was cut by the ordered stop of " + entry->name + " after " +
-                        FormatDuration(waited));
+  const bool by_stop =
+      entry->process->stops_gracefully(incarnation) && !entry->callers->HadFaultSince(sent);
+  if (by_stop && waited > kUnreadRequestLimit) {
+    history_->RecordViolation("a call was cut by the ordered stop of " + entry->name + " after " +
+                              FormatDuration(waited));
   }
   return platform::CallOutcome::kOutcomeUnknown;
 }
@@ -100,18 +101,18 @@
   for (int number = 0; submitting_.load(); ++number) {
     const SoakJob job =
         DrawJob("j" + std::to_string(caller) + "x" + std::to_string(number), &random);
-    history_->Made(job);
+    history_->RecordJob(job);
     SubmitOne(job, &random);
     if (OneIn(6, &random)) CancelOne(job, &random);
-    std::this_thread::sleep_for(kBetweenJobs);
+    std::this_thread::sleep_for(kSubmitInterval);
   }
 }
 
-bool SoakCallers::Try(const SoakJob& job, std::mt19937_64* random) {
-  const milliseconds patience = PatienceFor(job);
+bool SoakCallers::SubmitOnce(const SoakJob& job, std::mt19937_64* random) {
+  const milliseconds timeout = CallTimeoutFor(job);
   const platform::CallOutcome outcome =
-      Call([&](const platform::Caller& entry) { return entry.Submit(job.spec, patience); }, random);
-  history_->Submitted(job.spec.id, outcome, LeaseClock().Now());
+      Call([&](const platform::Caller& entry) { return entry.Submit(job.spec, timeout); }, random);
+  history_->RecordSubmission(job.spec.id, outcome, LeaseClock().Now());
   return outcome == platform::CallOutcome::kDone;
 }
 
@@ -120,36 +121,37 @@
   std::mt19937_64 second(std::hash<std::string>()(job.spec.id));
   Thread repeat;
   if (OneIn(2, &second)) {
-    const milliseconds pause(Below(kLongestRepeatPauseMs, &second));
+    const milliseconds pause(Below(kMaxRepeatDelayMs, &second));
     repeat = Thread("repeat", [this, job, pause, second]() mutable {
       std::this_thread::sleep_for(pause);
-      Try(job, &second);
+      SubmitOnce(job, &second);
     });
   }
-  for (int tries = 0; tries < kTries; ++tries) {
-    if (Try(job, random)) return;
+  for (int tries = 0; tries < kMaxCallAttempts; ++tries) {
+    if (SubmitOnce(job, random)) return;
     std::this_thread::sleep_for(kRetryPause);
   }
 }
 
 void SoakCallers::CancelOne(const SoakJob& job, std::mt19937_64* random) {
   std::this_thread::sleep_for(milliseconds(Below(800, random)));
-  history_->CancelSent(job.spec.id);
-  for (int tries = 0; tries < kTries; ++tries) {
-    const platform::CallOutcome outcome = Call(
-        [&](const platform::Caller& entry) { return entry.Cancel(job.spec, kPatience); }, random);
+  history_->RecordCancelSent(job.spec.id);
+  for (int tries = 0; tries < kMaxCallAttempts; ++tries) {
+    const platform::CallOutcome outcome =
+        Call([&](const platform::Caller& entry) { return entry.Cancel(job.spec, kCallTimeout); },
+             random);
     if (outcome == platform::CallOutcome::kDone) {
-      return history_->Cancelled(job.spec.id, LeaseClock().Now());
+      return history_->RecordCancelled(job.spec.id, LeaseClock().Now());
     }
     if (outcome == platform::CallOutcome::kUnknownJob) return;
     std::this_thread::sleep_for(kRetryPause);
   }
 }
 
-void SoakCallers::Ask(uint64_t seed) {
+void SoakCallers::PollStates(uint64_t seed) {
   std::mt19937_64 random(~seed);
   while (!stopping_.load()) {
-    std::this_thread::sleep_for(kBetweenLooks);
+    std::this_thread::sleep_for(kPollInterval);
     const std::vector<std::string> pending = history_->Pending();
     if (pending.empty()) continue;
     const std::string& id = pending[random() % pending.size()];
@@ -157,11 +159,11 @@
     pool::JobState state = pool::JobState::kQueued;
     const platform::CallOutcome outcome = Call(
         [&](const platform::Caller& entry) {
-          return entry.StateOf(history_->SpecOf(id), kPatience, &state);
+          return entry.StateOf(history_->SpecOf(id), kCallTimeout, &state);
         },
         &random);
-    if (outcome == platform::CallOutcome::kDone) history_->Shown(id, state);
-    if (outcome == platform::CallOutcome::kUnknownJob) history_->ShownUnknown(id, sent);
+    if (outcome == platform::CallOutcome::kDone) history_->RecordState(id, state);
+    if (outcome == platform::CallOutcome::kUnknownJob) history_->RecordUnknown(id, sent);
   }
 }
 
--- a/tests/soak/soak_callers.h
+++ b/tests/soak/soak_callers.h
@@ -30,14 +30,14 @@
  private:
   // One caller; it keeps the connections that it has.
   void Submit(uint64_t seed, int caller);
-  void Ask(uint64_t seed);
+  void PollStates(uint64_t seed);
   void SubmitOne(const SoakJob& job, std::mt19937_64* random);
   // Calls any entry. A call that an ordered stop has cut is a violation, and unclear besides.
   platform::CallOutcome Call(
       const std::function<platform::CallOutcome(const platform::Caller&)>& call,
       std::mt19937_64* random);
   // One try at any entry; whether the job was accepted.
-  bool Try(const SoakJob& job, std::mt19937_64* random);
+  bool SubmitOnce(const SoakJob& job, std::mt19937_64* random);
   void CancelOne(const SoakJob& job, std::mt19937_64* random);
 
   SoakSystem* const system_;
--- a/tests/soak/soak_faults.cc
+++ b/tests/soak/soak_faults.cc
@@ -20,17 +20,17 @@
     {FaultKind::kKillAgent, "kill_agent"},
     {FaultKind::kTermAgent, "term_agent"},
     {FaultKind::kPauseAgent, "pause_agent"},
-    {FaultKind::kEntryStoreWay, "entry_store_way"},
-    {FaultKind::kAgentStoreWay, "agent_store_way"},
-    {FaultKind::kSessionWay, "session_way"},
-    {FaultKind::kWorkerWay, "worker_way"},
-    {FaultKind::kCallerWay, "caller_way"},
+    {FaultKind::kEntryStoreRelay, "entry_store_way"},
+    {FaultKind::kAgentStoreRelay, "agent_store_way"},
+    {FaultKind::kSessionRelay, "session_way"},
+    {FaultKind::kWorkerRelay, "worker_way"},
+    {FaultKind::kCallerRelay, "caller_way"},
     {FaultKind::kStoreRefuses, "store_refuses"},
     {FaultKind::kStoreSlow, "store_slow"},
     {FaultKind::kStoreLosesAnswers, "store_loses_answers"},
     {FaultKind::kStoreForgets, "store_forgets"},
     {FaultKind::kWorkerCrash, "worker_crash"},
-    {FaultKind::kWorkerReborn, "worker_reborn"},
+    {FaultKind::kWorkerRestart, "worker_reborn"},
     {FaultKind::kWorkerDrains, "worker_drains"},
     {FaultKind::kZoneOut, "zone_out"},
     {FaultKind::kDocument, "document"},
@@ -39,29 +39,29 @@
     {FaultKind::kTermEntryTwice, "term_entry_twice"},
     {FaultKind::kPauseEntryInStop, "pause_entry_in_stop"},
     {FaultKind::kKillEntryInStop, "kill_entry_in_stop"},
-    {FaultKind::kHangUpEntry, "hang_up_entry"},
+    {FaultKind::kReloadEntry, "hang_up_entry"},
     {FaultKind::kRollAgents, "roll_agents"},
     {FaultKind::kDocuments, "documents"},
 }};
 // Those of DrawFaults come first in the table.
 constexpr size_t kSingleFaults = 22;
 
-constexpr std::array<RelayFault, 5> kWayFaults = {RelayFault::kSilent, RelayFault::kCutThere,
-                                                  RelayFault::kCutBack, RelayFault::kReset,
-                                                  RelayFault::kSlow};
-constexpr int kShortestPauseMs = 50;
-constexpr int kLongestPauseMs = 1500;
-constexpr int kShortestFaultMs = 200;
-constexpr int kLongestFaultMs = 6000;
-constexpr milliseconds kSlowStore{250};
+constexpr std::array<RelayFault, 5> kRelayFaults = {RelayFault::kSilent, RelayFault::kDropForward,
+                                                    RelayFault::kDropBackward, RelayFault::kReset,
+                                                    RelayFault::kSlow};
+constexpr int kMinPauseMs = 50;
+constexpr int kMaxPauseMs = 1500;
+constexpr int kMinFaultMs = 200;
+constexpr int kMaxFaultMs = 6000;
+constexpr milliseconds kStoreDelay{250};
 // The platform kills a process this long after it asked it to end.
-constexpr milliseconds kGrace{6000};
+constexpr milliseconds kStopGracePeriod{6000};
 constexpr milliseconds kRollGap{900};
 constexpr milliseconds kAgentRollGap{150};
 constexpr milliseconds kDocumentGap{60};
 constexpr int kDocumentsInSeries = 5;
 // Orders of an agent that stood still may be carried out so long after it goes on.
-constexpr milliseconds kOrdersOnTheirWay{2000};
+constexpr milliseconds kOrderDelayLimit{2000};
 
 }  // namespace
 
@@ -92,14 +92,14 @@
   std::vector<Fault> faults;
   Duration at{};
   while (true) {
-    at += milliseconds(between(kShortestPauseMs, kLongestPauseMs));
+    at += milliseconds(between(kMinPauseMs, kMaxPauseMs));
     if (at >= length) return faults;
     Fault fault;
     fault.at = at;
-    fault.lasts = milliseconds(between(kShortestFaultMs, kLongestFaultMs));
+    fault.lasts = milliseconds(between(kMinFaultMs, kMaxFaultMs));
     fault.kind = kNames[first + random() % (last - first)].first;
     fault.target = static_cast<uint32_t>(random());
-    fault.way = kWayFaults[random() % kWayFaults.size()];
+    fault.relay_fault = kRelayFaults[random() % kRelayFaults.size()];
     faults.push_back(fault);
   }
 }
@@ -118,20 +118,20 @@
   return system_->entries()[fault.target % system_->entries().size()].get();
 }
 
-SoakSide* FaultPlayer::SideOf(const Fault& fault) const {
-  return system_->sides()[fault.target % system_->sides().size()].get();
+SoakWorkerNode* FaultPlayer::WorkerNodeOf(const Fault& fault) const {
+  return system_->worker_nodes()[fault.target % system_->worker_nodes().size()].get();
 }
 
-TcpRelay* FaultPlayer::WayOf(const Fault& fault) const {
+TcpRelay* FaultPlayer::RelayOf(const Fault& fault) const {
   switch (fault.kind) {
-    case FaultKind::kEntryStoreWay:
+    case FaultKind::kEntryStoreRelay:
       return EntryOf(fault)->store.get();
-    case FaultKind::kAgentStoreWay:
-      return SideOf(fault)->store.get();
-    case FaultKind::kSessionWay:
+    case FaultKind::kAgentStoreRelay:
+      return WorkerNodeOf(fault)->store.get();
+    case FaultKind::kSessionRelay:
       return EntryOf(fault)->sessions.get();
-    case FaultKind::kWorkerWay:
-      return SideOf(fault)->worker_way.get();
+    case FaultKind::kWorkerRelay:
+      return WorkerNodeOf(fault)->worker_relay.get();
     default:
       return EntryOf(fault)->callers.get();
   }
@@ -147,19 +147,19 @@
 }
 
 std::vector<FaultPlayer::Step> FaultPlayer::TermSteps(const Fault& fault, SoakProcess* process) {
-  const auto life = std::make_shared<int>(0);
-  const auto ask = [process, life] {
-    *life = process->life();
+  const auto incarnation = std::make_shared<int>(0);
+  const auto ask = [process, incarnation] {
+    *incarnation = process->incarnation();
     process->Signal(SIGTERM);
   };
-  const auto kill = [this, process, life] {
-    if (!process->runs(*life)) return;
-    if (process->stops_in_order(*life)) {
-      history_->Violation(process->name() + " outlives its grace");
+  const auto kill = [this, process, incarnation] {
+    if (!process->runs(*incarnation)) return;
+    if (process->stops_gracefully(*incarnation)) {
+      history_->RecordViolation(process->name() + " outlives its grace");
     }
     process->Signal(SIGKILL);
   };
-  return {{fault.at, ask}, {fault.at + kGrace, kill}};
+  return {{fault.at, ask}, {fault.at + kStopGracePeriod, kill}};
 }
 
 std::vector<FaultPlayer::Step> FaultPlayer::StoreSteps(const Fault& fault,
@@ -169,10 +169,11 @@
 }
 
 std::vector<FaultPlayer::Step> FaultPlayer::WorkerSteps(const Fault& fault) {
-  SoakSide* side = SideOf(fault);
-  const bool same_id = fault.kind == FaultKind::kWorkerReborn;
-  return {{fault.at, [this, side] { system_->CrashWorker(side); }},
-          {fault.at + fault.lasts, [this, side, same_id] { system_->BearWorker(side, same_id); }}};
+  SoakWorkerNode* worker_node = WorkerNodeOf(fault);
+  const bool same_id = fault.kind == FaultKind::kWorkerRestart;
+  return {{fault.at, [this, worker_node] { system_->CrashWorker(worker_node); }},
+          {fault.at + fault.lasts,
+           [this, worker_node, same_id] { system_->StartWorker(worker_node, same_id); }}};
 }
 
 std::vector<FaultPlayer::Step> FaultPlayer::RollSteps(const Fault& fault,
@@ -197,19 +198,19 @@
   return steps;
 }
 
-std::vector<FaultPlayer::Step> FaultPlayer::CrossedStopSteps(const Fault& fault) {
+std::vector<FaultPlayer::Step> FaultPlayer::InterruptedStopSteps(const Fault& fault) {
   SoakProcess* process = EntryOf(fault)->process.get();
   std::vector<Step> steps = TermSteps(fault, process);
-  const Duration crossed = fault.at + fault.lasts / 2;
+  const Duration interrupted_at = fault.at + fault.lasts / 2;
   switch (fault.kind) {
     case FaultKind::kTermEntryTwice:
-      steps.push_back({crossed, [process] { process->Signal(SIGTERM); }});
+      steps.push_back({interrupted_at, [process] { process->Signal(SIGTERM); }});
       break;
     case FaultKind::kKillEntryInStop:
-      steps.push_back({crossed, [process] { process->Signal(SIGKILL); }});
+      steps.push_back({interrupted_at, [process] { process->Signal(SIGKILL); }});
       break;
     default:
-      steps.push_back({crossed, [process] { process->Signal(SIGSTOP); }});
+      steps.push_back({interrupted_at, [process] { process->Signal(SIGSTOP); }});
       steps.push_back({fault.at + fault.lasts, [process] { process->Signal(SIGCONT); }});
   }
   return steps;
@@ -217,35 +218,36 @@
 
 std::vector<FaultPlayer::Step> FaultPlayer::StepsOf(const Fault& fault) {
   const Duration end = fault.at + fault.lasts;
-  SoakSide* side = SideOf(fault);
+  SoakWorkerNode* worker_node = WorkerNodeOf(fault);
   switch (fault.kind) {
     case FaultKind::kKillEntry:
       return SignalSteps(fault, EntryOf(fault)->process.get(), SIGKILL, 0);
     case FaultKind::kKillAgent:
-      return SignalSteps(fault, side->process.get(), SIGKILL, 0);
+      return SignalSteps(fault, worker_node->process.get(), SIGKILL, 0);
     case FaultKind::kTermEntry:
       return TermSteps(fault, EntryOf(fault)->process.get());
     case FaultKind::kTermAgent:
-      return TermSteps(fault, side->process.get());
+      return TermSteps(fault, worker_node->process.get());
     case FaultKind::kRollEntries:
       return RollSteps(fault, ProcessesOf(system_->entries()), kRollGap);
     case FaultKind::kRollAgents:
-      return RollSteps(fault, ProcessesOf(system_->sides()), kAgentRollGap);
+      return RollSteps(fault, ProcessesOf(system_->worker_nodes()), kAgentRollGap);
     case FaultKind::kTermEntryTwice:
     case FaultKind::kKillEntryInStop:
     case FaultKind::kPauseEntryInStop:
-      return CrossedStopSteps(fault);
-    case FaultKind::kHangUpEntry:
+      return InterruptedStopSteps(fault);
+    case FaultKind::kReloadEntry:
       return SignalSteps(fault, EntryOf(fault)->process.get(), SIGHUP, 0);
     case FaultKind::kDocuments:
       return DocumentsSteps(fault);
     case FaultKind::kPauseEntry:
       return SignalSteps(fault, EntryOf(fault)->process.get(), SIGSTOP, SIGCONT);
     case FaultKind::kPauseAgent: {
-      std::vector<Step> steps = SignalSteps(fault, side->process.get(), SIGSTOP, SIGCONT);
-      const Duration disturbs = fault.lasts + kOrdersOnTheirWay;
-      steps.push_back(
-          {fault.at, [this, disturbs] { history_->Disturbed(LeaseClock().Now() + disturbs); }});
+      std::vector<Step> steps = SignalSteps(fault, worker_node->process.get(), SIGSTOP, SIGCONT);
+      const Duration suspension = fault.lasts + kOrderDelayLimit;
+      steps.push_back({fault.at, [this, suspension] {
+                         history_->SuspendTimeLimits(LeaseClock().Now() + suspension);
+                       }});
       return steps;
     }
     case FaultKind::kStoreRefuses:
@@ -253,17 +255,17 @@
     case FaultKind::kStoreLosesAnswers:
       return StoreSteps(fault, {false, true, milliseconds(0)});
     case FaultKind::kStoreSlow:
-      return StoreSteps(fault, {false, false, kSlowStore});
+      return StoreSteps(fault, {false, false, kStoreDelay});
     case FaultKind::kStoreForgets:
       return {{fault.at, [this] { system_->DropHistory(); }}};
     case FaultKind::kWorkerCrash:
-    case FaultKind::kWorkerReborn:
+    case FaultKind::kWorkerRestart:
       return WorkerSteps(fault);
     case FaultKind::kWorkerDrains:
-      return {{fault.at, [side] { side->worker->SetDraining(true); }},
-              {end, [side] { side->worker->SetDraining(false); }}};
+      return {{fault.at, [worker_node] { worker_node->worker->SetDraining(true); }},
+              {end, [worker_node] { worker_node->worker->SetDraining(false); }}};
     case FaultKind::kZoneOut: {
-      const std::string zone = side->zone;
+      const std::string zone = worker_node->zone;
       return {{fault.at, [this, zone] { system_->SetZone(zone, true); }},
               {end, [this, zone] { system_->SetZone(zone, false); }}};
     }
@@ -274,14 +276,14 @@
       for (const auto& entry : system_->entries()) {
         steps.push_back({fault.at, [&entry] { entry->process->Signal(SIGKILL); }});
       }
-      for (const auto& each : system_->sides()) {
+      for (const auto& each : system_->worker_nodes()) {
         steps.push_back({fault.at, [&each] { each->process->Signal(SIGKILL); }});
       }
       return steps;
     }
     default: {
-      TcpRelay* relay = WayOf(fault);
-      return {{fault.at, [relay, fault] { relay->SetFault(fault.way); }},
+      TcpRelay* relay = RelayOf(fault);
+      return {{fault.at, [relay, fault] { relay->SetFault(fault.relay_fault); }},
               {end, [relay] { relay->SetFault(RelayFault::kNone); }}};
     }
   }
@@ -295,7 +297,7 @@
                        LogEvent(LogLevel::kInfo, "fault",
                                 {{"kind", FaultKindName(fault.kind)},
                                  {"target", fault.target},
-                                 {"way", static_cast<int>(fault.way)},
+                                 {"way", static_cast<int>(fault.relay_fault)},
                                  {"lasts_s", Seconds(fault.lasts)}});
                      }});
   }
--- a/tests/soak/soak_faults.h
+++ b/tests/soak/soak_faults.h
@@ -19,17 +19,17 @@
   kKillAgent,
   kTermAgent,
   kPauseAgent,
-  kEntryStoreWay,
-  kAgentStoreWay,
-  kSessionWay,
-  kWorkerWay,
-  kCallerWay,
+  kEntryStoreRelay,
+  kAgentStoreRelay,
+  kSessionRelay,
+  kWorkerRelay,
+  kCallerRelay,
   kStoreRefuses,
   kStoreSlow,
   kStoreLosesAnswers,
   kStoreForgets,
   kWorkerCrash,
-  kWorkerReborn,
+  kWorkerRestart,
   kWorkerDrains,
   kZoneOut,
   kDocument,
@@ -39,7 +39,7 @@
   kTermEntryTwice,
   kPauseEntryInStop,
   kKillEntryInStop,
-  kHangUpEntry,
+  kReloadEntry,
   kRollAgents,
   kDocuments,
 };
@@ -51,7 +51,7 @@
   FaultKind kind = FaultKind::kKillEntry;
   // Which of the things that fit; taken modulo their number.
   uint32_t target = 0;
-  RelayFault way = RelayFault::kSilent;
+  RelayFault relay_fault = RelayFault::kSilent;
 };
 
 // Faults over `length`, in the order of time; the same for the same seed.
@@ -84,12 +84,12 @@
                               Duration gap);
   std::vector<Step> DocumentsSteps(const Fault& fault);
   // A stop in order into which another signal comes.
-  std::vector<Step> CrossedStopSteps(const Fault& fault);
+  std::vector<Step> InterruptedStopSteps(const Fault& fault);
   // A stop in order has to end the process within the platform's grace.
   std::vector<Step> TermSteps(const Fault& fault, SoakProcess* process);
-  TcpRelay* WayOf(const Fault& fault) const;
+  TcpRelay* RelayOf(const Fault& fault) const;
   SoakEntry* EntryOf(const Fault& fault) const;
-  SoakSide* SideOf(const Fault& fault) const;
+  SoakWorkerNode* WorkerNodeOf(const Fault& fault) const;
 
   SoakSystem* const system_;
   SoakHistory* const history_;
--- a/tests/soak/soak_history.cc
+++ b/tests/soak/soak_history.cc
@@ -14,28 +14,28 @@
 using pool::TaskName;
 
 // Nothing of a job begins later than this after its cancellation was answered.
-constexpr Duration kCancelBound = std::chrono::seconds(3);
+constexpr Duration kCancelLimit = std::chrono::seconds(3);
 // Nothing begins in a zone later than this after operators took it out.
-constexpr Duration kZoneBound = std::chrono::seconds(5);
+constexpr Duration kZoneOutLimit = std::chrono::seconds(5);
 // An accepted job is known everywhere after this.
-constexpr Duration kVisibleBound = std::chrono::seconds(3);
+constexpr Duration kVisibilityLimit = std::chrono::seconds(3);
 
 }  // namespace
 
-class SoakHistory::LifeWatch : public pool::WorkerHooks {
+class SoakHistory::IncarnationWatch : public pool::WorkerHooks {
  public:
-  LifeWatch(SoakHistory* history, std::string node, std::string zone)
+  IncarnationWatch(SoakHistory* history, std::string node, std::string zone)
       : history_(history), node_(std::move(node)), zone_(std::move(zone)) {}
 
   void OnStarted(const pool::StartCall& call) override { history_->OnStarted(this, call); }
   void OnEnded(const pool::EndedTask& end) override { history_->OnEnded(this, end); }
   void OnEndsAcknowledged(int64_t number) override {
     const std::lock_guard<std::mutex> lock(history_->mutex_);
-    while (kept_ < number) kept_at_[++kept_] = LeaseClock().Now();
+    while (last_acknowledged_ < number) acknowledged_at_[++last_acknowledged_] = LeaseClock().Now();
   }
   void OnLeaseExpired() override {
     const std::lock_guard<std::mutex> lock(history_->mutex_);
-    lapses_.push_back(LeaseClock().Now());
+    lease_expirations_.push_back(LeaseClock().Now());
   }
   int GangSize(const TaskId& task) override { return history_->GangSize(task); }
   bool ShouldFail(const pool::RunId& run) override { return history_->ShouldFail(run); }
@@ -47,11 +47,12 @@
   const std::string& node() const { return node_; }
   const std::string& zone() const { return zone_; }
   // Whether the end `number`, which came about at `ended`, was taken in.
-  bool TookIn(int64_t number, Time ended) const {
-    const auto kept = kept_at_.find(number);
-    if (kept == kept_at_.end()) return false;
-    return std::none_of(lapses_.begin(), lapses_.end(),
-                        [&](Time lapse) { return lapse > ended && lapse < kept->second; });
+  bool Acknowledged(int64_t number, Time ended) const {
+    const auto acknowledged = acknowledged_at_.find(number);
+    if (acknowledged == acknowledged_at_.end()) return false;
+    return std::none_of(lease_expirations_.begin(), lease_expirations_.end(), [&](Time expiration) {
+      return expiration > ended && expiration < acknowledged->second;
+    });
   }
 
  private:
@@ -59,30 +60,30 @@
   const std::string node_;
   const std::string zone_;
   // Guarded by the history's lock.
-  int64_t kept_ = 0;
-  std::map<int64_t, Time> kept_at_;
-  std::vector<Time> lapses_;
+  int64_t last_acknowledged_ = 0;
+  std::map<int64_t, Time> acknowledged_at_;
+  std::vector<Time> lease_expirations_;
 };
 
-void SoakHistory::Made(const SoakJob& job) {
+void SoakHistory::RecordJob(const SoakJob& job) {
   const std::lock_guard<std::mutex> lock(mutex_);
   jobs_[job.spec.id].job = job;
 }
 
-void SoakHistory::Submitted(const std::string& id, platform::CallOutcome outcome, Time now) {
+void SoakHistory::RecordSubmission(const std::string& id, platform::CallOutcome outcome, Time now) {
   const std::lock_guard<std::mutex> lock(mutex_);
   JobRecord& job = jobs_.at(id);
   if (outcome == platform::CallOutcome::kDone && !job.accepted) job.accepted = now;
-  if (outcome == platform::CallOutcome::kOutcomeUnknown) job.unclear = true;
+  if (outcome == platform::CallOutcome::kOutcomeUnknown) job.outcome_unknown = true;
   if (outcome == platform::CallOutcome::kRefused) ++refused_;
 }
 
-void SoakHistory::CancelSent(const std::string& id) {
+void SoakHistory::RecordCancelSent(const std::string& id) {
   const std::lock_guard<std::mutex> lock(mutex_);
   jobs_.at(id).cancel_sent = true;
 }
 
-void SoakHistory::Cancelled(const std::string& id, Time now) {
+void SoakHistory::RecordCancelled(const std::string& id, Time now) {
   const std::lock_guard<std::mutex> lock(mutex_);
   jobs_.at(id).cancelled = now;
 }
@@ -98,16 +99,16 @@
   return wanted.gang ? done > 0 : done == wanted.tasks;
 }
 
-void SoakHistory::Shown(const std::string& id, JobState state) {
+void SoakHistory::RecordState(const std::string& id, JobState state) {
   const std::lock_guard<std::mutex> lock(mutex_);
   JobRecord& job = jobs_.at(id);
-  const bool first = !job.over && pool::IsOver(state);
-  if (job.over && *job.over != state) {
-    ViolationLocked(id + " was shown as " + pool::JobStateName(*job.over) + " and then as " +
+  const bool first = !job.final_state && pool::IsOver(state);
+  if (job.final_state && *job.final_state != state) {
+    ViolationLocked(id + " was shown as " + pool::JobStateName(*job.final_state) + " and then as " +
                     pool::JobStateName(state));
   }
   if (!first) return;
-  job.over = state;
+  job.final_state = state;
   const JobSpec& spec = job.job.spec;
   if (state == JobState::kCompleted) {
     for (int step = 0; step < static_cast<int>(spec.steps.size()); ++step) {
@@ -122,56 +123,56 @@
   }
 }
 
-void SoakHistory::ShownUnknown(const std::string& id, Time sent) {
+void SoakHistory::RecordUnknown(const std::string& id, Time sent) {
   const std::lock_guard<std::mutex> lock(mutex_);
   const JobRecord& job = jobs_.at(id);
-  if (job.accepted && sent - *job.accepted > kVisibleBound) {
+  if (job.accepted && sent - *job.accepted > kVisibilityLimit) {
     ViolationLocked(id + " was accepted and is called unknown");
   }
 }
 
 std::unique_ptr<pool::WorkerHooks> SoakHistory::Watch(const std::string& node,
                                                       const std::string& zone) {
-  return std::make_unique<LifeWatch>(this, node, zone);
+  return std::make_unique<IncarnationWatch>(this, node, zone);
 }
 
-void SoakHistory::LifeOver(pool::WorkerHooks* watch) {
+void SoakHistory::EndIncarnation(pool::WorkerHooks* watch) {
   const std::lock_guard<std::mutex> lock(mutex_);
   for (auto& [task, record] : tasks_) {
     std::erase_if(record.live, [&](const auto& row) { return row.second == watch; });
   }
 }
 
-void SoakHistory::ZoneOut(const std::string& zone, Time now) {
+void SoakHistory::RecordZoneOut(const std::string& zone, Time now) {
   const std::lock_guard<std::mutex> lock(mutex_);
   zones_out_[zone] = now;
 }
 
-void SoakHistory::ZoneIn(const std::string& zone) {
+void SoakHistory::RecordZoneIn(const std::string& zone) {
   const std::lock_guard<std::mutex> lock(mutex_);
   zones_out_.erase(zone);
 }
 
-void SoakHistory::Disturbed(Time until) {
+void SoakHistory::SuspendTimeLimits(Time until) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  disturbed_until_ = std::max(disturbed_until_, until);
+  time_limits_suspended_until_ = std::max(time_limits_suspended_until_, until);
 }
 
-void SoakHistory::OnStarted(LifeWatch* life, const pool::StartCall& call) {
+void SoakHistory::OnStarted(IncarnationWatch* incarnation, const pool::StartCall& call) {
   const std::lock_guard<std::mutex> lock(mutex_);
   const Time now = LeaseClock().Now();
   const TaskId& task = call.run.task;
   const auto found = jobs_.find(task.job);
   if (found == jobs_.end()) return ViolationLocked(TaskName(task) + " begins; nobody sent its job");
-  CheckBegin(*life, call, found->second, now);
-  ++found->second.begun;
+  CheckStart(*incarnation, call, found->second, now);
+  ++found->second.starts;
   if (!call.checkpoint.empty()) ++resumed_;
   TaskRecord& record = tasks_[task];
-  record.live[call.run.number] = life;
-  record.begun.push_back(now);
+  record.live[call.run.number] = incarnation;
+  record.starts.push_back(now);
 }
 
-void SoakHistory::CheckBegin(const LifeWatch& life, const pool::StartCall& call,
+void SoakHistory::CheckStart(const IncarnationWatch& incarnation, const pool::StartCall& call,
                              const JobRecord& job, Time now) {
   const TaskId& task = call.run.task;
   const std::string name = TaskName(task);
@@ -179,37 +180,38 @@
   if (task.step >= static_cast<int>(spec.steps.size())) {
     return ViolationLocked(name + " begins; there is no such step");
   }
-  if (!call.checkpoint.empty() && checkpoints_[KeptAs(spec, task)].count(call.checkpoint) == 0) {
+  if (!call.checkpoint.empty() &&
+      checkpoints_[CheckpointOwner(spec, task)].count(call.checkpoint) == 0) {
     ViolationLocked(name + " begins from a checkpoint that it never saved");
   }
   if (call.payload != spec.payload) ViolationLocked(name + " begins with another payload");
   for (const auto& [number, other] : tasks_[task].live) {
-    ViolationLocked(name + " begins at " + life.node() + " while its run " +
+    ViolationLocked(name + " begins at " + incarnation.node() + " while its run " +
                     std::to_string(number) + " goes on at " + other->node());
   }
   for (const int earlier : spec.steps[static_cast<size_t>(task.step)].after) {
     if (!StepDone(spec, earlier)) ViolationLocked(name + " begins before its turn");
   }
-  CheckBounds(life, task, job, now);
+  CheckTimeLimits(incarnation, task, job, now);
 }
 
-void SoakHistory::CheckBounds(const LifeWatch& life, const TaskId& task, const JobRecord& job,
-                              Time now) {
-  if (now < disturbed_until_) return;
-  if (job.cancelled && now - *job.cancelled > kCancelBound) {
+void SoakHistory::CheckTimeLimits(const IncarnationWatch& incarnation, const TaskId& task,
+                                  const JobRecord& job, Time now) {
+  if (now < time_limits_suspended_until_) return;
+  if (job.cancelled && now - *job.cancelled > kCancelLimit) {
     ViolationLocked(TaskName(task) + " begins long after its job was cancelled");
   }
-  const auto out = zones_out_.find(life.zone());
-  if (out != zones_out_.end() && now - out->second > kZoneBound) {
-    ViolationLocked(TaskName(task) + " begins in zone " + life.zone() + ", which is out");
+  const auto out = zones_out_.find(incarnation.zone());
+  if (out != zones_out_.end() && now - out->second > kZoneOutLimit) {
+    ViolationLocked(TaskName(task) + " begins in zone " + incarnation.zone() + ", which is out");
   }
 }
 
-void SoakHistory::OnEnded(LifeWatch* life, const pool::EndedTask& end) {
+void SoakHistory::OnEnded(IncarnationWatch* incarnation, const pool::EndedTask& end) {
   const std::lock_guard<std::mutex> lock(mutex_);
   TaskRecord& record = tasks_[end.run.task];
   record.live.erase(end.run.number);
-  const ListedEnd listed = {life, end.number, LeaseClock().Now()};
+  const ListedEnd listed = {incarnation, end.number, LeaseClock().Now()};
   if (end.kind == EndKind::kFailed) record.failed.push_back(listed);
   if (end.kind == EndKind::kDone) record.done.push_back(listed);
 }
@@ -221,7 +223,7 @@
   return static_cast<int>(tasks_[run.task].failed.size()) < job->second.job.failures;
 }
 
-TaskId SoakHistory::KeptAs(const JobSpec& spec, const TaskId& task) {
+TaskId SoakHistory::CheckpointOwner(const JobSpec& spec, const TaskId& task) {
   const bool gang = spec.steps[static_cast<size_t>(task.step)].gang;
   return {task.job, task.occurrence, task.step, gang ? 0 : task.index};
 }
@@ -243,7 +245,8 @@
 void SoakHistory::OnCheckpointSaved(const TaskId& task, const std::string& checkpoint) {
   const std::lock_guard<std::mutex> lock(mutex_);
   const auto job = jobs_.find(task.job);
-  if (job != jobs_.end()) checkpoints_[KeptAs(job->second.job.spec, task)].insert(checkpoint);
+  if (job != jobs_.end())
+    checkpoints_[CheckpointOwner(job->second.job.spec, task)].insert(checkpoint);
 }
 
 int SoakHistory::GangSize(const TaskId& task) const {
@@ -256,7 +259,7 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   std::vector<std::string> pending;
   for (const auto& [id, job] : jobs_) {
-    if (job.accepted && !job.over) pending.push_back(id);
+    if (job.accepted && !job.final_state) pending.push_back(id);
   }
   return pending;
 }
@@ -267,39 +270,39 @@
 }
 
 void SoakHistory::CheckJob(const std::string& id, const JobRecord& job) {
-  if (job.accepted && !job.over) ViolationLocked(id + " was accepted and never ends");
-  const bool refused = !job.accepted && !job.unclear;
-  if (refused && job.begun > 0) ViolationLocked(id + " was refused each time and runs");
+  if (job.accepted && !job.final_state) ViolationLocked(id + " was accepted and never ends");
+  const bool refused = !job.accepted && !job.outcome_unknown;
+  if (refused && job.starts > 0) ViolationLocked(id + " was refused each time and runs");
 }
 
-std::optional<Time> SoakHistory::TakenIn(const std::vector<ListedEnd>& ends, int count) {
+std::optional<Time> SoakHistory::AcknowledgedAt(const std::vector<ListedEnd>& ends, int count) {
   for (const ListedEnd& end : ends) {
-    if (end.life->TookIn(end.number, end.at)) --count;
+    if (end.incarnation->Acknowledged(end.number, end.at)) --count;
     if (count == 0) return end.at;
   }
   return std::nullopt;
 }
 
 void SoakHistory::CheckTask(const TaskId& task, const TaskRecord& record) {
-  const auto begins_after = [&](std::optional<Time> time) {
-    return time && std::any_of(record.begun.begin(), record.begun.end(),
-                               [&](Time begun) { return begun > *time; });
+  const auto starts_after = [&](std::optional<Time> time) {
+    return time && std::any_of(record.starts.begin(), record.starts.end(),
+                               [&](Time starts) { return starts > *time; });
   };
-  if (begins_after(TakenIn(record.done, 1))) {
+  if (starts_after(AcknowledgedAt(record.done, 1))) {
     ViolationLocked(TaskName(task) + " begins again after its end was taken in");
   }
-  if (begins_after(TakenIn(record.failed, max_attempts_))) {
+  if (starts_after(AcknowledgedAt(record.failed, max_attempts_))) {
     ViolationLocked(TaskName(task) + " begins beyond its tries");
   }
 }
 
-void SoakHistory::CheckWhole() {
+void SoakHistory::CheckAtEnd() {
   const std::lock_guard<std::mutex> lock(mutex_);
   for (const auto& [id, job] : jobs_) CheckJob(id, job);
   for (const auto& [task, record] : tasks_) CheckTask(task, record);
 }
 
-void SoakHistory::Violation(const std::string& what) {
+void SoakHistory::RecordViolation(const std::string& what) {
   const std::lock_guard<std::mutex> lock(mutex_);
   ViolationLocked(what);
 }
@@ -320,13 +323,13 @@
   std::map<std::string, int> ends;
   for (const auto& [id, job] : jobs_) {
     accepted += job.accepted ? 1 : 0;
-    if (job.over) ++ends[pool::JobStateName(*job.over)];
+    if (job.final_state) ++ends[pool::JobStateName(*job.final_state)];
   }
-  size_t begun = 0;
-  for (const auto& [task, record] : tasks_) begun += record.begun.size();
+  size_t starts = 0;
+  for (const auto& [task, record] : tasks_) starts += record.starts.size();
   std::string out = std::to_string(jobs_.size()) + " jobs, " + std::to_string(accepted) +
                     " accepted, " + std::to_string(refused_) + " calls refused, " +
-                    std::to_string(begun) + " runs, " + std::to_string(resumed_) +
+                    std::to_string(starts) + " runs, " + std::to_string(resumed_) +
                     " from a checkpoint";
   for (const auto& [state, count] : ends) out += ", " + std::to_string(count) + " " + state;
   return out;
--- a/tests/soak/soak_main.cc
+++ b/tests/soak/soak_main.cc
@@ -22,11 +22,11 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr int kMostAttempts = 3;
-constexpr Duration kLookEvery = milliseconds(50);
-constexpr size_t kMostShown = 20;
+constexpr int kMaxAttempts = 3;
+constexpr Duration kPollInterval = milliseconds(50);
+constexpr size_t kMaxViolationsShown = 20;
 // For processes to start and a planner to be found.
-constexpr seconds kStartLimit{60};
+constexpr seconds kStartTimeout{60};
 
 struct SoakOptions {
   SoakSystemOptions system;
@@ -34,31 +34,31 @@
   seconds length{15};
   // After the last fault every accepted job has to end within this. A change of planner costs 15 s
   // where agents can't be heard, and jobs wait for each other after it.
-  seconds ending{90};
+  seconds completion_timeout{90};
   int callers = 3;
   // Signals and changes in series beside the other faults.
   bool series = false;
   // SIGHUP as well: it ends a process that has not come to its first statement yet.
-  bool hang_ups = false;
+  bool sends_sighup = false;
 };
 
 bool WaitFor(Duration limit, const std::function<bool()>& condition) {
   const Time until = LeaseClock().Now() + limit;
   while (!condition()) {
     if (LeaseClock().Now() >= until) return false;
-    std::this_thread::sleep_for(kLookEvery);
+    std::this_thread::sleep_for(kPollInterval);
   }
   return true;
 }
 
 bool Serves(SoakSystem* system) {
-  pool::JobSpec nobodys;
-  nobodys.id = "unknown";
-  nobodys.queue = "batch";
+  pool::JobSpec unknown_job;
+  unknown_job.id = "unknown";
+  unknown_job.queue = "batch";
   pool::JobState state = pool::JobState::kQueued;
   for (const auto& entry : system->entries()) {
     const platform::CallOutcome outcome =
-        platform::Caller(entry->callers->port()).StateOf(nobodys, seconds(1), &state);
+        platform::Caller(entry->callers->port()).StateOf(unknown_job, seconds(1), &state);
     if (outcome != platform::CallOutcome::kUnknownJob) return false;
   }
   return true;
@@ -73,32 +73,32 @@
 }
 
 int Soak(const SoakOptions& options) {
-  SoakHistory history(kMostAttempts);
+  SoakHistory history(kMaxAttempts);
   {
     SoakSystem system(options.system, &history);
-    if (!WaitFor(kStartLimit, [&] { return Serves(&system); })) {
-      history.Violation("the entries do not come to serve");
+    if (!WaitFor(kStartTimeout, [&] { return Serves(&system); })) {
+      history.RecordViolation("the entries do not come to serve");
     } else {
       SoakCallers callers(options.seed, options.callers, &system, &history);
       std::vector<Fault> faults = DrawFaults(options.seed, options.length);
       if (options.series) {
         std::vector<Fault> series = DrawSeries(options.seed, options.length);
-        if (!options.hang_ups) {
+        if (!options.sends_sighup) {
           std::erase_if(series,
-                        [](const Fault& fault) { return fault.kind == FaultKind::kHangUpEntry; });
+                        [](const Fault& fault) { return fault.kind == FaultKind::kReloadEntry; });
         }
         faults.insert(faults.end(), series.begin(), series.end());
       }
       FaultPlayer(&system, &history).Play(faults);
       system.Heal();
       callers.StopSubmitting();
-      WaitFor(options.ending, [&] { return history.Pending().empty(); });
+      WaitFor(options.completion_timeout, [&] { return history.Pending().empty(); });
     }
-    history.CheckWhole();
+    history.CheckAtEnd();
   }
   const std::vector<std::string> violations = history.violations();
   std::cout << "seed " << options.seed << ": " << history.Summary() << "\n";
-  const size_t shown = std::min(violations.size(), kMostShown);
+  const size_t shown = std::min(violations.size(), kMaxViolationsShown);
   for (size_t i = 0; i < shown; ++i) std::cout << "  VIOLATION " << violations[i] << "\n";
   if (violations.size() > shown) {
     std::cout << "  and " << violations.size() - shown << " more\n";
@@ -124,7 +124,7 @@
   options.system.workers = parsed["workers"].as<int>();
   options.callers = parsed["callers"].as<int>();
   options.seed = parsed["seed"].as<uint64_t>();
-  options.hang_ups = parsed.count("hang-ups") > 0;
+  options.sends_sighup = parsed.count("hang-ups") > 0;
   options.series = parsed.count("series") > 0;
   options.length = seconds(parsed["seconds"].as<int>());
   const std::filesystem::path folder =
--- a/tests/soak/soak_process.cc
+++ b/tests/soak/soak_process.cc
@@ -14,7 +14,7 @@
 namespace turmericshift::soak {
 namespace {
 
-constexpr Duration kLookEvery = std::chrono::milliseconds(10);
+constexpr Duration kPollInterval = std::chrono::milliseconds(10);
 // The platform starts a process again after a short delay.
 constexpr Duration kRestartDelay = std::chrono::milliseconds(200);
 
@@ -22,10 +22,10 @@
 
 SoakProcess::SoakProcess(const SoakProcessOptions& options,
                          std::function<void(const nlohmann::json&)> started,
-                         std::function<void(const std::string&)> ends_by_itself)
+                         std::function<void(const std::string&)> on_unexpected_end)
     : options_(options),
-      started_(std::move(started)),
-      ends_by_itself_(std::move(ends_by_itself)),
+      on_started_(std::move(started)),
+      on_unexpected_end_(std::move(on_unexpected_end)),
       thread_("process", [this] { Run(); }) {}
 
 SoakProcess::~SoakProcess() {
@@ -38,14 +38,14 @@
   const std::lock_guard<std::mutex> lock(signal_mutex_);
   const pid_t pid = pid_.load();
   if (pid <= 0) return;
-  if (signal == SIGKILL || signal == SIGTERM) asked_to_end_.store(true);
-  if (signal == SIGTERM) terms_.fetch_add(1);
-  if (signal == SIGKILL || signal == SIGSTOP) cut_.store(true);
+  if (signal == SIGKILL || signal == SIGTERM) end_requested_.store(true);
+  if (signal == SIGTERM) sigterm_count_.fetch_add(1);
+  if (signal == SIGKILL || signal == SIGSTOP) interrupted_.store(true);
   kill(pid, signal);
 }
 
-bool SoakProcess::stops_in_order(int life) const {
-  return life_.load() == life && terms_.load() == 1 && !cut_.load();
+bool SoakProcess::stops_gracefully(int incarnation) const {
+  return incarnation_.load() == incarnation && sigterm_count_.load() == 1 && !interrupted_.load();
 }
 
 pid_t SoakProcess::Spawn(const std::string& output) const {
@@ -68,22 +68,22 @@
   _exit(127);
 }
 
-bool SoakProcess::TellStarted(const std::string& output) const {
+bool SoakProcess::ReportStarted(const std::string& output) const {
   std::ifstream lines(output);
   std::string line;
   while (std::getline(lines, line)) {
     const nlohmann::json event = nlohmann::json::parse(line, nullptr, false);
     if (!event.is_object() || event.value("event", "") != options_.started_event) continue;
-    started_(event);
+    on_started_(event);
     return true;
   }
   return false;
 }
 
-int SoakProcess::Attend(pid_t pid, const std::string& output) {
-  bool told = false;
+int SoakProcess::WaitForEnd(pid_t pid, const std::string& output) {
+  bool reported = false;
   while (true) {
-    if (!told) told = TellStarted(output);
+    if (!reported) reported = ReportStarted(output);
     {
       const std::lock_guard<std::mutex> lock(signal_mutex_);
       int status = 0;
@@ -92,26 +92,26 @@
         return status;
       }
     }
-    std::this_thread::sleep_for(kLookEvery);
+    std::this_thread::sleep_for(kPollInterval);
   }
 }
 
 void SoakProcess::Run() {
   while (!stopping_.load()) {
-    const int life = life_.fetch_add(1) + 1;
+    const int incarnation = incarnation_.fetch_add(1) + 1;
     const std::string output =
-        options_.folder + "/" + options_.name + "." + std::to_string(life) + ".log";
-    asked_to_end_.store(false);
-    terms_.store(0);
-    cut_.store(false);
+        options_.folder + "/" + options_.name + "." + std::to_string(incarnation) + ".log";
+    end_requested_.store(false);
+    sigterm_count_.store(0);
+    interrupted_.store(false);
     const pid_t pid = Spawn(output);
     pid_.store(pid);
     // The owner may have looked for a process to end before there was one.
     if (stopping_.load()) Signal(SIGKILL);
-    const int status = Attend(pid, output);
+    const int status = WaitForEnd(pid, output);
     LogEvent(LogLevel::kInfo, "process_over",
-             {{"name", options_.name}, {"life", life}, {"status", status}});
-    if (!asked_to_end_.load()) ends_by_itself_(options_.name);
+             {{"name", options_.name}, {"life", incarnation}, {"status", status}});
+    if (!end_requested_.load()) on_unexpected_end_(options_.name);
     std::this_thread::sleep_for(kRestartDelay);
   }
 }
--- a/tests/soak/soak_process.h
+++ b/tests/soak/soak_process.h
@@ -29,9 +29,9 @@
 class SoakProcess {
  public:
   // `started` gets the fields of the process's own line `started`, from a thread of this.
-  // `ends_by_itself` hears of ends that no signal of ours asked for.
+  // `on_unexpected_end` hears of ends that no signal of ours asked for.
   SoakProcess(const SoakProcessOptions& options, std::function<void(const nlohmann::json&)> started,
-              std::function<void(const std::string&)> ends_by_itself);
+              std::function<void(const std::string&)> on_unexpected_end);
   // Kills it.
   ~SoakProcess();
   SoakProcess(const SoakProcess&) = delete;
@@ -41,27 +41,27 @@
   // Sends a signal to the life that runs now, if any.
   void Signal(int signal);
   // The process started again is another than the one that ran at `life`.
-  int life() const { return life_.load(); }
-  bool runs(int life) const { return life_.load() == life && pid_.load() > 0; }
+  int incarnation() const { return incarnation_.load(); }
+  bool runs(int incarnation) const { return incarnation_.load() == incarnation && pid_.load() > 0; }
   // Whether `life` was asked to end in order and nothing else was done to it.
-  bool stops_in_order(int life) const;
+  bool stops_gracefully(int incarnation) const;
 
  private:
   void Run();
   pid_t Spawn(const std::string& output) const;
   // Waits for the line `started`, then for the end; returns the wait status.
-  int Attend(pid_t pid, const std::string& output);
-  bool TellStarted(const std::string& output) const;
+  int WaitForEnd(pid_t pid, const std::string& output);
+  bool ReportStarted(const std::string& output) const;
 
   const SoakProcessOptions options_;
-  const std::function<void(const nlohmann::json&)> started_;
-  const std::function<void(const std::string&)> ends_by_itself_;
+  const std::function<void(const nlohmann::json&)> on_started_;
+  const std::function<void(const std::string&)> on_unexpected_end_;
   std::mutex signal_mutex_;
   std::atomic<pid_t> pid_{0};
-  std::atomic<int> life_{0};
-  std::atomic<bool> asked_to_end_{false};
-  std::atomic<int> terms_{0};
-  std::atomic<bool> cut_{false};
+  std::atomic<int> incarnation_{0};
+  std::atomic<bool> end_requested_{false};
+  std::atomic<int> sigterm_count_{0};
+  std::atomic<bool> interrupted_{false};
   std::atomic<bool> stopping_{false};
   Thread thread_;
 };
--- a/tests/soak/soak_system.cc
+++ b/tests/soak/soak_system.cc
@@ -17,7 +17,7 @@
 constexpr double kSlowClock = 0.98;
 
 // The platform kills an entry this long after it asked it to end.
-constexpr int kStopSeconds = 6;
+constexpr int kStopLimitSeconds = 6;
 
 std::string Loopback(int port) { return "127.0.0.1:" + std::to_string(port); }
 
@@ -27,14 +27,14 @@
     : options_(options), history_(history), store_server_(&log_) {
   PublishDocument();
   for (int number = 0; number < options_.entries; ++number) AddEntry(number);
-  for (int number = 0; number < options_.workers; ++number) AddSide(number);
+  for (int number = 0; number < options_.workers; ++number) AddWorkerNode(number);
 }
 
 SoakSystem::~SoakSystem() {
   for (const auto& entry : entries_) entry->process.reset();
-  for (const auto& side : sides_) side->process.reset();
+  for (const auto& worker_node : worker_nodes_) worker_node->process.reset();
   // Workers end before the watches that they tell.
-  for (const auto& side : sides_) side->worker.reset();
+  for (const auto& worker_node : worker_nodes_) worker_node->worker.reset();
 }
 
 const std::vector<std::string>& SoakSystem::zones() {
@@ -50,7 +50,7 @@
 }
 
 void SoakSystem::ProcessEndedByItself(const std::string& name) {
-  history_->Violation(name + " ended by itself");
+  history_->RecordViolation(name + " ended by itself");
 }
 
 void SoakSystem::AddEntry(int number) {
@@ -63,7 +63,7 @@
   const std::string settings =
       "[process]\nname = " + entry->name +
       "\navailability_zone = " + zones()[static_cast<size_t>(number) % zones().size()] +
-      "\nadapter = users\nstop_limit_s = " + std::to_string(kStopSeconds) +
+      "\nadapter = users\nstop_limit_s = " + std::to_string(kStopLimitSeconds) +
       "\n[listen]\ncallers = " + options_.ip + ":0\nreadiness = " + options_.ip +
       ":0\nsessions = " + options_.ip +
       ":0\nsessions_reached_at = " + Loopback(entry->sessions->port()) +
@@ -77,52 +77,54 @@
       started, [this](const std::string& name) { ProcessEndedByItself(name); });
 }
 
-void SoakSystem::AddSide(int number) {
-  sides_.push_back(std::make_unique<SoakSide>());
-  SoakSide* side = sides_.back().get();
-  side->name = "agent-" + std::to_string(number);
-  side->zone = zones()[static_cast<size_t>(number) % zones().size()];
+void SoakSystem::AddWorkerNode(int number) {
+  worker_nodes_.push_back(std::make_unique<SoakWorkerNode>());
+  SoakWorkerNode* worker_node = worker_nodes_.back().get();
+  worker_node->name = "agent-" + std::to_string(number);
+  worker_node->zone = zones()[static_cast<size_t>(number) % zones().size()];
   platform::FakeWorkerServerOptions worker;
   worker.service = "plans";
   worker.agent_ip = options_.ip;
-  worker.zone = side->zone;
+  worker.zone = worker_node->zone;
   worker.rack = "r" + std::to_string(number / kWorkersInRack);
   worker.machine = "vm-" + std::to_string(number);
   worker.capacity = kCapacity;
   worker.clock_rate = number % 3 == 0 ? kSlowClock : 1.0;
-  side->worker = std::make_unique<platform::FakeWorkerServer>(worker, &board_);
-  side->worker_way = std::make_unique<TcpRelay>(side->worker->port());
-  side->store = std::make_unique<TcpRelay>(store_server_.port());
-  BearWorker(side, false);
-  const std::string settings = "[process]\nname = " + side->name +
-                               "\navailability_zone = " + side->zone +
-                               "\nadapter = users\n[listen]\nannouncements = " + options_.ip +
-                               ":0\n[worker]\naddress = " + Loopback(side->worker_way->port()) +
-                               "\n[store]\naddress = " + Loopback(side->store->port()) + "\n";
-  const auto started = [side](const nlohmann::json& event) {
-    side->worker->SetAgentPort(event.at("announcements").get<int>());
+  worker_node->worker = std::make_unique<platform::FakeWorkerServer>(worker, &gang_tracker_);
+  worker_node->worker_relay = std::make_unique<TcpRelay>(worker_node->worker->port());
+  worker_node->store = std::make_unique<TcpRelay>(store_server_.port());
+  StartWorker(worker_node, false);
+  const std::string settings =
+      "[process]\nname = " + worker_node->name + "\navailability_zone = " + worker_node->zone +
+      "\nadapter = users\n[listen]\nannouncements = " + options_.ip +
+      ":0\n[worker]\naddress = " + Loopback(worker_node->worker_relay->port()) +
+      "\n[store]\naddress = " + Loopback(worker_node->store->port()) + "\n";
+  const auto started = [worker_node](const nlohmann::json& event) {
+    worker_node->worker->SetAgentPort(event.at("announcements").get<int>());
   };
-  side->process = std::make_unique<SoakProcess>(
-      SoakProcessOptions{side->name, CommandFor("agent", side->name, settings), options_.folder},
+  worker_node->process = std::make_unique<SoakProcess>(
+      SoakProcessOptions{worker_node->name, CommandFor("agent", worker_node->name, settings),
+                         options_.folder},
       started, [this](const std::string& name) { ProcessEndedByItself(name); });
 }
 
-void SoakSystem::CrashWorker(SoakSide* side) {
-  if (!side->life) return;
+void SoakSystem::CrashWorker(SoakWorkerNode* worker_node) {
+  if (!worker_node->incarnation) return;
   // What was told to the life that ends is told to nobody; its port answers nobody.
-  side->worker_way->SetFault(RelayFault::kReset);
-  side->worker->Crash();
-  history_->LifeOver(side->life.get());
-  past_lives_.push_back(std::move(side->life));
+  worker_node->worker_relay->SetFault(RelayFault::kReset);
+  worker_node->worker->Crash();
+  history_->EndIncarnation(worker_node->incarnation.get());
+  past_incarnations_.push_back(std::move(worker_node->incarnation));
 }
 
-void SoakSystem::BearWorker(SoakSide* side, bool same_id) {
-  if (side->life) return;
-  if (!same_id) ++side->lives;
-  side->life = history_->Watch(side->name, side->zone);
-  side->worker->StartWorker(side->name + "-worker-" + std::to_string(side->lives),
-                            side->life.get());
-  side->worker_way->SetFault(RelayFault::kNone);
+void SoakSystem::StartWorker(SoakWorkerNode* worker_node, bool same_id) {
+  if (worker_node->incarnation) return;
+  if (!same_id) ++worker_node->incarnations;
+  worker_node->incarnation = history_->Watch(worker_node->name, worker_node->zone);
+  worker_node->worker->StartWorker(
+      worker_node->name + "-worker-" + std::to_string(worker_node->incarnations),
+      worker_node->incarnation.get());
+  worker_node->worker_relay->SetFault(RelayFault::kNone);
 }
 
 void SoakSystem::Append(const KeyedRecord& record) {
@@ -132,9 +134,9 @@
 void SoakSystem::SetZone(const std::string& zone, bool out) {
   Append(platform::ZoneRecord(zone, out));
   if (out) {
-    history_->ZoneOut(zone, LeaseClock().Now());
+    history_->RecordZoneOut(zone, LeaseClock().Now());
   } else {
-    history_->ZoneIn(zone);
+    history_->RecordZoneIn(zone);
   }
 }
 
@@ -151,16 +153,16 @@
   for (const std::string& zone : zones()) SetZone(zone, false);
   for (const auto& entry : entries_) {
     entry->process->Signal(SIGCONT);
-    for (TcpRelay* way : {entry->callers.get(), entry->sessions.get(), entry->store.get()}) {
-      way->SetFault(RelayFault::kNone);
+    for (TcpRelay* relay : {entry->callers.get(), entry->sessions.get(), entry->store.get()}) {
+      relay->SetFault(RelayFault::kNone);
     }
   }
-  for (const auto& side : sides_) {
-    side->process->Signal(SIGCONT);
-    side->store->SetFault(RelayFault::kNone);
-    side->worker->SetDraining(false);
-    BearWorker(side.get(), true);
-    side->worker_way->SetFault(RelayFault::kNone);
+  for (const auto& worker_node : worker_nodes_) {
+    worker_node->process->Signal(SIGCONT);
+    worker_node->store->SetFault(RelayFault::kNone);
+    worker_node->worker->SetDraining(false);
+    StartWorker(worker_node.get(), true);
+    worker_node->worker_relay->SetFault(RelayFault::kNone);
   }
 }
 
--- a/tests/soak/soak_system.h
+++ b/tests/soak/soak_system.h
@@ -38,14 +38,14 @@
 };
 
 // A worker with the agent beside it.
-struct SoakSide {
+struct SoakWorkerNode {
   std::string name;
   std::string zone;
   std::unique_ptr<platform::FakeWorkerServer> worker;
-  std::unique_ptr<TcpRelay> worker_way;
+  std::unique_ptr<TcpRelay> worker_relay;
   std::unique_ptr<TcpRelay> store;
-  std::unique_ptr<pool::WorkerHooks> life;
-  int lives = 0;
+  std::unique_ptr<pool::WorkerHooks> incarnation;
+  int incarnations = 0;
   std::unique_ptr<SoakProcess> process;
 };
 
@@ -58,13 +58,13 @@
   SoakSystem& operator=(const SoakSystem&) = delete;
 
   const std::vector<std::unique_ptr<SoakEntry>>& entries() const { return entries_; }
-  const std::vector<std::unique_ptr<SoakSide>>& sides() const { return sides_; }
+  const std::vector<std::unique_ptr<SoakWorkerNode>>& worker_nodes() const { return worker_nodes_; }
   platform::FakeStoreServer& store() { return store_server_; }
   static const std::vector<std::string>& zones();
 
-  // The worker dies with all that it runs; it is away until BearWorker.
-  void CrashWorker(SoakSide* side);
-  void BearWorker(SoakSide* side, bool same_id);
+  // The worker dies with all that it runs; it is away until StartWorker.
+  void CrashWorker(SoakWorkerNode* worker_node);
+  void StartWorker(SoakWorkerNode* worker_node, bool same_id);
   void SetZone(const std::string& zone, bool out);
   // The document again, under the next version.
   void PublishDocument();
@@ -75,7 +75,7 @@
 
  private:
   void AddEntry(int number);
-  void AddSide(int number);
+  void AddWorkerNode(int number);
   std::vector<std::string> CommandFor(const std::string& role, const std::string& name,
                                       const std::string& settings) const;
   void ProcessEndedByItself(const std::string& name);
@@ -84,12 +84,12 @@
   const SoakSystemOptions options_;
   SoakHistory* const history_;
   MemoryKeyedLog log_;
-  pool::GangTracker board_;
+  pool::GangTracker gang_tracker_;
   platform::FakeStoreServer store_server_;
   int64_t version_ = 0;
   // Lives that are over; their workers may still be in a call.
-  std::vector<std::unique_ptr<pool::WorkerHooks>> past_lives_;
-  std::vector<std::unique_ptr<SoakSide>> sides_;
+  std::vector<std::unique_ptr<pool::WorkerHooks>> past_incarnations_;
+  std::vector<std::unique_ptr<SoakWorkerNode>> worker_nodes_;
   std::vector<std::unique_ptr<SoakEntry>> entries_;
 };
 
--- a/tests/stand_ins/faulty_link.cc
+++ b/tests/stand_ins/faulty_link.cc
@@ -9,92 +9,94 @@
 namespace turmericshift {
 namespace {
 
-constexpr int kLongestDelayMillis = 20;
-constexpr int kLatestMailMillis = 150;
-constexpr Duration kLossNoticed = std::chrono::milliseconds(10);
-constexpr int kLongestRunMillis = 4;
+constexpr int kMaxDelayMillis = 20;
+constexpr int kMaxLateDeliveryMillis = 150;
+constexpr Duration kLossDetectionDelay = std::chrono::milliseconds(10);
+constexpr int kMaxRunMillis = 4;
 
 }  // namespace
 
-bool Dice::Roll(double chance) {
+bool SharedRandom::Chance(double chance) {
   if (chance <= 0) return false;
   const std::lock_guard<std::mutex> lock(mutex_);
   return std::uniform_real_distribution<double>(0, 1)(random_) < chance;
 }
 
-int Dice::Below(int bound) {
+int SharedRandom::Below(int bound) {
   const std::lock_guard<std::mutex> lock(mutex_);
   return std::uniform_int_distribution<int>(0, bound - 1)(random_);
 }
 
-LinkFaults LinkWorld::faults() const {
+LinkFaults LinkState::faults() const {
   const std::lock_guard<std::mutex> lock(mutex);
   return current;
 }
 
-void LinkWorld::SetFaults(const LinkFaults& faults) {
+void LinkState::SetFaults(const LinkFaults& faults) {
   const std::lock_guard<std::mutex> lock(mutex);
   current = faults;
 }
 
 ServiceAnswer FaultyLink::Serve(const ServiceRequest& request) {
-  const LinkFaults faults = world_->faults();
-  Dice& dice = world_->dice;
-  if (dice.Roll(faults.silent)) Hang(request.time_left);
-  if (dice.Roll(faults.lost)) Hang(kLossNoticed);
-  if (dice.Roll(faults.late)) {
+  const LinkFaults faults = link_state_->faults();
+  SharedRandom& random = link_state_->random;
+  if (random.Chance(faults.silent)) Hang(request.time_left);
+  if (random.Chance(faults.lost)) Hang(kLossDetectionDelay);
+  if (random.Chance(faults.late)) {
     DeliverLate(request);
-    Lose();
+    ThrowConnectionLost();
   }
-  if (dice.Roll(faults.duplicated)) DeliverLate(request);
-  if (dice.Roll(faults.delayed)) {
-    std::this_thread::sleep_for(std::chrono::milliseconds(dice.Below(kLongestDelayMillis)));
+  if (random.Chance(faults.duplicated)) DeliverLate(request);
+  if (random.Chance(faults.delayed)) {
+    std::this_thread::sleep_for(std::chrono::milliseconds(random.Below(kMaxDelayMillis)));
   }
   ServiceAnswer answer = Deliver(request);
-  if (dice.Roll(faults.answer_lost)) Lose();
-  return Garble(std::move(answer), faults);
+  if (random.Chance(faults.answer_lost)) ThrowConnectionLost();
+  return ApplyAnswerFaults(std::move(answer), faults);
 }
 
-ServiceAnswer FaultyLink::Garble(ServiceAnswer answer, const LinkFaults& faults) {
-  ServiceAnswer another;
+ServiceAnswer FaultyLink::ApplyAnswerFaults(ServiceAnswer answer, const LinkFaults& faults) {
+  ServiceAnswer previous_answer;
   {
-    const std::lock_guard<std::mutex> lock(world_->mutex);
-    another = std::exchange(world_->another, answer);
+    const std::lock_guard<std::mutex> lock(link_state_->mutex);
+    previous_answer = std::exchange(link_state_->previous_answer, answer);
   }
-  if (world_->planted == PlantedFault::kSwapsAnswers && !another.request_id.empty()) {
-    another.request_id = answer.request_id;
-    return another;
+  if (link_state_->injected_bug == InjectedBug::kSwapsAnswers &&
+      !previous_answer.request_id.empty()) {
+    previous_answer.request_id = answer.request_id;
+    return previous_answer;
   }
-  if (world_->dice.Roll(faults.crossed)) return another;
-  if (world_->dice.Roll(faults.cut)) answer.body.resize(answer.body.size() / 2);
+  if (link_state_->random.Chance(faults.swapped)) return previous_answer;
+  if (link_state_->random.Chance(faults.truncated)) answer.body.resize(answer.body.size() / 2);
   return answer;
 }
 
 ServiceAnswer FaultyLink::Deliver(const ServiceRequest& request) {
-  const std::shared_lock<std::shared_mutex> lock(box_->alive);
-  if (box_->dead.load()) Lose();
-  ServiceAnswer answer = box_->agent->Serve(request);
-  if (world_->planted == PlantedFault::kRunsTwice) {
+  const std::shared_lock<std::shared_mutex> lock(agent_process_->alive);
+  if (agent_process_->dead.load()) ThrowConnectionLost();
+  ServiceAnswer answer = agent_process_->agent->Serve(request);
+  if (link_state_->injected_bug == InjectedBug::kRunsTwice) {
     ServiceRequest again = request;
     again.idempotency_key.clear();
     again.request_id = SendingId(CallerRequestId(request.request_id), 99);
-    box_->agent->Serve(again);
+    agent_process_->agent->Serve(again);
   }
-  if (world_->planted == PlantedFault::kLiesNotRun) {
+  if (link_state_->injected_bug == InjectedBug::kFalseNotRun) {
     throw Error(ErrorKind::kOverloaded, Outcome::kNotRun, "a planted lie");
   }
-  if (box_->dead.load()) Lose();
+  if (agent_process_->dead.load()) ThrowConnectionLost();
   return answer;
 }
 
 void FaultyLink::DeliverLate(const ServiceRequest& request) {
-  const Duration delay = std::chrono::milliseconds(world_->dice.Below(kLatestMailMillis));
-  world_->mail.Submit([box = box_, request, delay] {
+  const Duration delay =
+      std::chrono::milliseconds(link_state_->random.Below(kMaxLateDeliveryMillis));
+  link_state_->late_deliveries.Submit([agent_process = agent_process_, request, delay] {
     std::this_thread::sleep_for(delay);
-    const std::shared_lock<std::shared_mutex> lock(box->alive);
-    if (box->dead.load()) return;
+    const std::shared_lock<std::shared_mutex> lock(agent_process->alive);
+    if (agent_process->dead.load()) return;
     try {
-      box->agent->Serve(request);
+      agent_process->agent->Serve(request);
     } catch (const Error&) {
       // Nobody waits for it any more.
     }
@@ -102,18 +104,18 @@
 }
 
 void FaultyLink::Cancel(const std::string& request_id) {
-  const std::shared_lock<std::shared_mutex> lock(box_->alive);
-  if (!box_->dead.load()) box_->agent->Cancel(request_id);
+  const std::shared_lock<std::shared_mutex> lock(agent_process_->alive);
+  if (!agent_process_->dead.load()) agent_process_->agent->Cancel(request_id);
 }
 
 SeenAnswer FaultyLink::Resolve(const SeenQuestion& question, Duration timeout) {
-  const LinkFaults faults = world_->faults();
-  if (world_->dice.Roll(faults.silent)) Hang(timeout);
-  if (world_->dice.Roll(faults.lost)) Hang(kLossNoticed);
-  const std::shared_lock<std::shared_mutex> lock(box_->alive);
-  if (box_->dead.load()) Lose();
-  SeenAnswer answer = box_->agent->Resolve(question, timeout);
-  if (world_->dice.Roll(faults.answer_lost)) Lose();
+  const LinkFaults faults = link_state_->faults();
+  if (link_state_->random.Chance(faults.silent)) Hang(timeout);
+  if (link_state_->random.Chance(faults.lost)) Hang(kLossDetectionDelay);
+  const std::shared_lock<std::shared_mutex> lock(agent_process_->alive);
+  if (agent_process_->dead.load()) ThrowConnectionLost();
+  SeenAnswer answer = agent_process_->agent->Resolve(question, timeout);
+  if (link_state_->random.Chance(faults.answer_lost)) ThrowConnectionLost();
   return answer;
 }
 
@@ -127,30 +129,32 @@
   std::unique_lock<std::mutex> lock(mutex_);
   changed_.wait_for(lock, limit, [this] { return dropped_; });
   lock.unlock();
-  Lose();
+  ThrowConnectionLost();
 }
 
-void FaultyLink::Lose() { throw Error(ErrorKind::kConnectionLost, "the link has lost it"); }
+void FaultyLink::ThrowConnectionLost() {
+  throw Error(ErrorKind::kConnectionLost, "the link has lost it");
+}
 
 ServiceAnswer CountingTarget::Perform(const ServiceRequest& request) {
-  TargetChances chances;
+  TargetFaults faults;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    chances = chances_;
+    faults = faults_;
   }
-  if (dice_->Roll(chances.refused)) {
+  if (random_->Chance(faults.refused)) {
     throw Error(ErrorKind::kUnavailable, Outcome::kNotRun, "the target refuses the connection");
   }
   history_->Add(RunEvent{agent_, request.request_id, request.idempotency_key, request.body});
-  std::this_thread::sleep_for(std::chrono::milliseconds(dice_->Below(kLongestRunMillis)));
+  std::this_thread::sleep_for(std::chrono::milliseconds(random_->Below(kMaxRunMillis)));
   {
     std::unique_lock<std::mutex> lock(mutex_);
     ++running_;
     changed_.notify_all();
-    changed_.wait(lock, [this] { return !held_; });
+    changed_.wait(lock, [this] { return !blocked_; });
     --running_;
   }
-  if (dice_->Roll(chances.answer_lost)) {
+  if (random_->Chance(faults.answer_lost)) {
     throw Error(ErrorKind::kConnectionLost, Outcome::kUnknown, "the target's answer was lost");
   }
   ServiceAnswer answer;
@@ -160,15 +164,15 @@
   return answer;
 }
 
-void CountingTarget::Hold(bool held) {
+void CountingTarget::SetBlocked(bool blocked) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  held_ = held;
+  blocked_ = blocked;
   changed_.notify_all();
 }
 
-void CountingTarget::SetChances(const TargetChances& chances) {
+void CountingTarget::SetFaults(const TargetFaults& faults) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  chances_ = chances;
+  faults_ = faults;
 }
 
 int CountingTarget::running() const {
--- a/tests/stand_ins/faulty_link.h
+++ b/tests/stand_ins/faulty_link.h
@@ -25,21 +25,21 @@
   double duplicated = 0;
   double answer_lost = 0;
   // Another request's answer comes in its place, or only half of its own.
-  double crossed = 0;
-  double cut = 0;
+  double swapped = 0;
+  double truncated = 0;
   double delayed = 0;
   // Hangs until the link is dropped or the time is over.
   double silent = 0;
 };
 
 // Faults of the path itself, to show that the check finds them.
-enum class PlantedFault { kNone, kRunsTwice, kSwapsAnswers, kLiesNotRun };
+enum class InjectedBug { kNone, kRunsTwice, kSwapsAnswers, kFalseNotRun };
 
 // Seeded dice that several threads share.
-class Dice {
+class SharedRandom {
  public:
-  explicit Dice(uint64_t seed) : random_(seed) {}
-  bool Roll(double chance);
+  explicit SharedRandom(uint64_t seed) : random_(seed) {}
+  bool Chance(double chance);
   int Below(int bound);
 
  private:
@@ -48,31 +48,31 @@
 };
 
 // An agent process as the network sees it: calls end with a lost connection once it is killed.
-struct AgentBox {
+struct AgentProcess {
   std::shared_mutex alive;
   std::atomic<bool> dead{false};
   AgentPort* agent = nullptr;
 };
 
 // Shared by all links of one run.
-struct LinkWorld {
-  explicit LinkWorld(uint64_t seed) : dice(seed) {}
+struct LinkState {
+  explicit LinkState(uint64_t seed) : random(seed) {}
   LinkFaults faults() const;
   void SetFaults(const LinkFaults& faults);
 
-  Dice dice;
-  PlantedFault planted = PlantedFault::kNone;
+  SharedRandom random;
+  InjectedBug injected_bug = InjectedBug::kNone;
   mutable std::mutex mutex;
   LinkFaults current;
-  ServiceAnswer another;
+  ServiceAnswer previous_answer;
   // Delivers what is late; last, so that it ends first.
-  ThreadPool mail{"late-mail", 16};
+  ThreadPool late_deliveries{"late-mail", 16};
 };
 
 class FaultyLink : public AgentPort {
  public:
-  FaultyLink(LinkWorld* world, std::shared_ptr<AgentBox> box)
-      : world_(world), box_(std::move(box)) {}
+  FaultyLink(LinkState* link_state, std::shared_ptr<AgentProcess> agent_process)
+      : link_state_(link_state), agent_process_(std::move(agent_process)) {}
 
   ServiceAnswer Serve(const ServiceRequest& request) override;
   void Cancel(const std::string& request_id) override;
@@ -87,43 +87,43 @@
 
  private:
   ServiceAnswer Deliver(const ServiceRequest& request);
-  ServiceAnswer Garble(ServiceAnswer answer, const LinkFaults& faults);
+  ServiceAnswer ApplyAnswerFaults(ServiceAnswer answer, const LinkFaults& faults);
   void DeliverLate(const ServiceRequest& request);
   void Hang(Duration limit);
-  [[noreturn]] static void Lose();
+  [[noreturn]] static void ThrowConnectionLost();
 
-  LinkWorld* const world_;
-  const std::shared_ptr<AgentBox> box_;
+  LinkState* const link_state_;
+  const std::shared_ptr<AgentProcess> agent_process_;
   std::mutex mutex_;
   std::condition_variable changed_;
   bool dropped_ = false;
 };
 
 // Chances from 0 to 1.
-struct TargetChances {
+struct TargetFaults {
   double refused = 0;
   double answer_lost = 0;
 };
 
 class CountingTarget : public TargetService {
  public:
-  CountingTarget(std::string agent, RequestHistory* history, Dice* dice)
-      : agent_(std::move(agent)), history_(history), dice_(dice) {}
+  CountingTarget(std::string agent, RequestHistory* history, SharedRandom* random)
+      : agent_(std::move(agent)), history_(history), random_(random) {}
   ServiceAnswer Perform(const ServiceRequest& request) override;
   // While held, what runs does not end.
-  void Hold(bool held);
-  void SetChances(const TargetChances& chances);
+  void SetBlocked(bool blocked);
+  void SetFaults(const TargetFaults& faults);
   int running() const;
 
  private:
   const std::string agent_;
   RequestHistory* const history_;
-  Dice* const dice_;
+  SharedRandom* const random_;
   mutable std::mutex mutex_;
   std::condition_variable changed_;
-  bool held_ = false;
+  bool blocked_ = false;
   int running_ = 0;
-  TargetChances chances_;
+  TargetFaults faults_;
 };
 
 }  // namespace turmericshift
--- a/tests/stand_ins/pool_simulation.cc
+++ b/tests/stand_ins/pool_simulation.cc
@@ -1,8 +1,9 @@
+#include "tests/stand_ins/pool_simulation.h"
+
 #include <algorithm>
 #include <utility>
 
 #include "core/error.h"
-#include "tests/stand_ins/pool_simulation.h"
 
 namespace turmericshift::pool {
 namespace {
@@ -11,13 +12,13 @@
 
 constexpr Duration kTick = std::chrono::milliseconds(10);
 // Agents poll and hold this often; news goes out with the next tick.
-constexpr int kTicksBetweenHolds = 5;
+constexpr int kTicksBetweenHoldCalls = 5;
 // Stops take half of the time that they may.
-constexpr int kStopShare = 2;
+constexpr int kStopTimeDivisor = 2;
 constexpr Duration kPollWait = std::chrono::milliseconds(500);
-constexpr Duration kPollPatience = std::chrono::milliseconds(1200);
-constexpr Duration kLatePatience = std::chrono::milliseconds(1300);
-constexpr Duration kAdviceTakes = std::chrono::milliseconds(100);
+constexpr Duration kPollTimeout = std::chrono::milliseconds(1200);
+constexpr Duration kMaxLagAllowance = std::chrono::milliseconds(1300);
+constexpr Duration kAdviceDelay = std::chrono::milliseconds(100);
 constexpr Duration kTicketValid = std::chrono::milliseconds(3000);
 constexpr int64_t kWallStartMs = 1'700'000'000'000;
 
@@ -29,7 +30,7 @@
     std::string checkpoint;
     Time started{};
     Duration worked{};
-    Time alone_since{};
+    Time incomplete_since{};
     std::optional<Time> stop_at;
   };
 
@@ -48,7 +49,7 @@
   // While a poll is out, when it was sent.
   std::optional<Time> poll_sent;
   // Something has come about that the planner should hear of at once.
-  bool news = false;
+  bool has_update = false;
   Duration planner_lag{};
 };
 
@@ -162,7 +163,7 @@
   return &specs_.at(task.job).steps.at(static_cast<size_t>(task.step));
 }
 
-Duration PoolSimulation::TimeOf(const TaskId& task) const {
+Duration PoolSimulation::DurationOf(const TaskId& task) const {
   return actual_duration ? actual_duration(task) : StepOf(task)->estimate;
 }
 
@@ -171,9 +172,9 @@
   ++ticks_;
   TickStore();
   for (auto& row : workers_) TickWorker(row.second.get());
-  BreakGangs();
+  EndBrokenGangs();
   for (auto& row : workers_) TickAgent(row.second.get());
-  if (!planner_held_up_) {
+  if (!planner_paused_) {
     planner_->SetOperatorState(std::make_shared<OperatorState>(operators_), now_);
     planner_->NoteDurable();
     planner_->Plan(wall_ms(), now_);
@@ -183,27 +184,27 @@
 }
 
 void PoolSimulation::TickAdvice() {
-  if (question_ && now_ - asked_ >= kAdviceTakes) {
+  if (advice_request_ && now_ - advice_requested_at_ >= kAdviceDelay) {
     AdviceResponse answer;
     answer.valid_for = kTicketValid;
-    for (const AdvisedWorker& each : question_->workers) {
+    for (const AdvisedWorker& each : advice_request_->workers) {
       const std::string node = each.id.substr(0, each.id.find('/'));
-      if (advises && !advises(question_->step.job, node)) continue;
+      if (advises && !advises(advice_request_->step.job, node)) continue;
       answer.allowed.push_back(
-          {each.id, question_->step.job + "@" + each.id + "@" +
+          {each.id, advice_request_->step.job + "@" + each.id + "@" +
                         std::to_string(wall_ms() + kTicketValid.count() / 1000000)});
     }
-    planner_->advice().Take(*question_, answer, asked_);
+    planner_->advice().Take(*advice_request_, answer, advice_requested_at_);
     planner_->NoteAdvice();
-    question_.reset();
+    advice_request_.reset();
   }
-  if (question_) return;
-  question_ = planner_->advice().Next(now_);
-  asked_ = now_;
-  if (question_) ++advice_requests_;
+  if (advice_request_) return;
+  advice_request_ = planner_->advice().Next(now_);
+  advice_requested_at_ = now_;
+  if (advice_request_) ++advice_requests_;
 }
 
-bool PoolSimulation::TicketHolds(const Worker& worker, const StartCall& call) const {
+bool PoolSimulation::TicketIsValid(const Worker& worker, const StartCall& call) const {
   const auto spec = specs_.find(call.run.task.job);
   if (spec == specs_.end()) return true;
   const Queue* queue = operators_.config.FindQueue(spec->second.queue);
@@ -215,7 +216,7 @@
 }
 
 void PoolSimulation::TickStore() {
-  if (store_down_ || planner_held_up_) return;
+  if (store_down_ || planner_paused_) return;
   planner_->ConfirmLeadership(now_);
   for (KeyedRecord& record : planner_->outbox().Take()) {
     record.offset = offset_++;
@@ -247,12 +248,12 @@
       if (step.checkpoints) live.checkpoint = std::to_string(live.worked.count());
       ended_runs.push_back({run, EndKind::kStopped});
     } else if (step.gang && !GangComplete(run)) {
-      if (now_ - live.alone_since > bounds_.gang_wait)
+      if (now_ - live.incomplete_since > bounds_.gang_wait)
         ended_runs.push_back({run, EndKind::kPartialGang});
     } else {
       if (!worker->stuck) live.worked += kTick;
-      live.alone_since = now_;
-      if (live.worked < TimeOf(run.task)) continue;
+      live.incomplete_since = now_;
+      if (live.worked < DurationOf(run.task)) continue;
       const bool failed = fails && fails(run, worker->spec.node);
       ended_runs.push_back({run, failed ? EndKind::kFailed : EndKind::kDone});
     }
@@ -275,7 +276,7 @@
   }
 }
 
-void PoolSimulation::BreakGangs() {
+void PoolSimulation::EndBrokenGangs() {
   for (const SimulatedRun& ended_run : std::vector<SimulatedRun>(runs_)) {
     if (!ended_run.finished || ended_run.ended != now_ || !StepOf(ended_run.run.task)->gang)
       continue;
@@ -296,10 +297,10 @@
 }
 
 void PoolSimulation::StartRun(Worker* worker, const StartOrder& order, Time until) {
-  std::string why;
-  worker->news = true;
-  const std::optional<StartCall> call = worker->agent->PrepareStart(order, until, &why, now_);
-  if (!call) return worker->agent->StartNotSent(order.run, why);
+  std::string reason;
+  worker->has_update = true;
+  const std::optional<StartCall> call = worker->agent->PrepareStart(order, until, &reason, now_);
+  if (!call) return worker->agent->StartNotSent(order.run, reason);
   OrderAnswer answer = OrderAnswer::kAccepted;
   Room free = worker->spec.capacity;
   for (const auto& live : worker->live) free -= StepOf(live.first.task)->need;
@@ -310,7 +311,7 @@
     answer = OrderAnswer::kStaleRun;
   } else if (wall_ms() >= call->lease_until) {
     answer = OrderAnswer::kExpired;
-  } else if (!TicketHolds(*worker, *call)) {
+  } else if (!TicketIsValid(*worker, *call)) {
     answer = OrderAnswer::kTicketRejected;
     ++rejected_tickets_;
   } else if (!free.Holds(StepOf(order.run.task)->need)) {
@@ -333,7 +334,7 @@
   live.run = order.run;
   live.checkpoint = order.checkpoint;
   live.started = now_;
-  live.alone_since = now_;
+  live.incomplete_since = now_;
   if (!order.checkpoint.empty()) live.worked = Duration(std::stoll(order.checkpoint));
   worker->live[order.run] = live;
   runs_.push_back({order.run, worker->spec.node, now_, {}, EndKind::kDone, false});
@@ -357,7 +358,7 @@
   const AgentOrders todo = agent.HandleOrders(orders, sent, now_);
   for (const RunId& stop : todo.stops) {
     const auto live = worker->live.find(stop);
-    if (live != worker->live.end()) live->second.stop_at = now_ + bounds_.stop / kStopShare;
+    if (live != worker->live.end()) live->second.stop_at = now_ + bounds_.stop / kStopTimeDivisor;
     int64_t& newest = worker->newest_over[stop.task];
     newest = std::max(newest, stop.number);
     agent.HandleStopAnswer(stop, OrderAnswer::kAccepted, now_);
@@ -368,37 +369,38 @@
 }
 
 void PoolSimulation::SendReport(Worker* worker) {
-  if (worker->news) {
-    worker->news = false;
-    mailbox_.push_back({worker->spec.node, worker->agent->Report(Duration::zero(), now_), now_});
+  if (worker->has_update) {
+    worker->has_update = false;
+    unread_reports_.push_back(
+        {worker->spec.node, worker->agent->Report(Duration::zero(), now_), now_});
   }
-  const Duration patience = kPollPatience + std::min(2 * worker->planner_lag, kLatePatience);
-  if (worker->poll_sent && now_ - *worker->poll_sent < patience) return;
+  const Duration timeout = kPollTimeout + std::min(2 * worker->planner_lag, kMaxLagAllowance);
+  if (worker->poll_sent && now_ - *worker->poll_sent < timeout) return;
   worker->poll_sent = now_;
-  mailbox_.push_back({worker->spec.node, worker->agent->Report(kPollWait, now_), now_});
+  unread_reports_.push_back({worker->spec.node, worker->agent->Report(kPollWait, now_), now_});
 }
 
 void PoolSimulation::ReadReports() {
-  for (int left = reports_per_tick_.value_or(0); left > 0 && !mailbox_.empty(); --left) {
-    SentReport sent = std::move(mailbox_.front());
-    mailbox_.pop_front();
+  for (int left = reports_per_tick_.value_or(0); left > 0 && !unread_reports_.empty(); --left) {
+    SentReport sent = std::move(unread_reports_.front());
+    unread_reports_.pop_front();
     planner_->ApplyReport(sent.report, wall_ms(), now_);
     if (sent.report.wait == Duration::zero()) {
       Answer(sent);
     } else {
       const std::string node = sent.node;
-      held_[node] = {std::move(sent), now_ + kPollWait};
+      waiting_polls_[node] = {std::move(sent), now_ + kPollWait};
     }
   }
-  for (auto held = held_.begin(); held != held_.end();) {
-    const auto& [poll, until] = held->second;
+  for (auto waiting = waiting_polls_.begin(); waiting != waiting_polls_.end();) {
+    const auto& [poll, until] = waiting->second;
     if (now_ < until && !planner_->HasPendingOrders(poll.node)) {
-      ++held;
+      ++waiting;
       continue;
     }
     planner_->NotePollAnswered(poll.node, now_);
     Answer(poll);
-    held = held_.erase(held);
+    waiting = waiting_polls_.erase(waiting);
   }
 }
 
@@ -420,7 +422,7 @@
   Announce(worker);
   if (reports_per_tick_) {
     SendReport(worker);
-  } else if (cut_.count(worker->spec.node) == 0) {
+  } else if (isolated_.count(worker->spec.node) == 0) {
     const AgentReport report = agent.Report(Duration::zero(), now_);
     planner_->ApplyReport(report, wall_ms(), now_);
     agent.ReportDelivered(report);
@@ -432,7 +434,7 @@
 
 void PoolSimulation::TickHold(Worker* worker) {
   AgentState& agent = *worker->agent;
-  if (ticks_ % kTicksBetweenHolds != 0 || agent.epoch() == 0) return;
+  if (ticks_ % kTicksBetweenHoldCalls != 0 || agent.epoch() == 0) return;
   const HoldCall hold = agent.NextHold(Duration::zero(), now_);
   if (hold.fence < worker->fence) return;
   worker->fence = hold.fence;
@@ -445,11 +447,11 @@
   lists.start_time_ms = worker->start_time_ms;
   lists.clock = wall_ms();
   for (const auto& [run, live] : worker->live) {
-    const int percent = static_cast<int>(100 * live.worked / TimeOf(run.task));
+    const int percent = static_cast<int>(100 * live.worked / DurationOf(run.task));
     lists.running.push_back({run, live.checkpoint, percent});
   }
   for (const auto& [number, end] : worker->ended) lists.ended.push_back(end);
-  worker->news = agent.HandleLists(lists, hold.fence, now_, now_) || worker->news;
+  worker->has_update = agent.HandleLists(lists, hold.fence, now_, now_) || worker->has_update;
 }
 
 StepSpec SampleStep(int tasks, int accelerators, Duration estimate) {
--- a/tests/stand_ins/pool_simulation.h
+++ b/tests/stand_ins/pool_simulation.h
@@ -66,8 +66,8 @@
   // The planner is gone at once and another takes over from what the store has kept.
   void ReplacePlanner();
   // No word between the agent and any planner; the worker runs on.
-  void Isolate(const std::string& node) { cut_.insert(node); }
-  void Heal(const std::string& node) { cut_.erase(node); }
+  void Isolate(const std::string& node) { isolated_.insert(node); }
+  void Heal(const std::string& node) { isolated_.erase(node); }
   // The worker dies with all that it runs and comes back as a new life.
   void RestartWorker(const std::string& node);
   // The agent's process is replaced; the worker runs on.
@@ -80,7 +80,7 @@
   // ones do; the report that they gave up is read all the same.
   void SetReportsPerTick(int reports) { reports_per_tick_ = reports; }
   // The planner does nothing at all.
-  void SetPlannerPaused(bool held_up) { planner_held_up_ = held_up; }
+  void SetPlannerPaused(bool paused) { planner_paused_ = paused; }
   Duration planner_lag() const { return planner_->lag(); }
   // Appends are not answered.
   void SetStoreDown(bool down) { store_down_ = down; }
@@ -100,7 +100,7 @@
   void Tick();
   void TickStore();
   void TickAdvice();
-  bool TicketHolds(const Worker& worker, const StartCall& call) const;
+  bool TicketIsValid(const Worker& worker, const StartCall& call) const;
   void TickWorker(Worker* worker);
   void TickAgent(Worker* worker);
   void Announce(Worker* worker);
@@ -112,11 +112,11 @@
   void TickHold(Worker* worker);
   void StartRun(Worker* worker, const StartOrder& order, Time until);
   void EndRun(Worker* worker, const RunId& run, EndKind end_kind);
-  void BreakGangs();
+  void EndBrokenGangs();
   void ForgetUnreportedEnds(const Worker& worker);
   bool GangComplete(const RunId& run) const;
   const StepSpec* StepOf(const TaskId& task) const;
-  Duration TimeOf(const TaskId& task) const;
+  Duration DurationOf(const TaskId& task) const;
   int64_t wall_ms() const;
   Worker& worker(const std::string& node);
 
@@ -134,17 +134,17 @@
   int incarnations_ = 0;
   bool store_down_ = false;
   // What the advice service is asked now, and since when.
-  std::optional<AdviceRequest> question_;
-  Time asked_{};
+  std::optional<AdviceRequest> advice_request_;
+  Time advice_requested_at_{};
   int advice_requests_ = 0;
   int rejected_tickets_ = 0;
-  std::set<std::string> cut_;
+  std::set<std::string> isolated_;
   // Without a number every report is taken at once.
   std::optional<int> reports_per_tick_;
-  bool planner_held_up_ = false;
-  std::deque<SentReport> mailbox_;
+  bool planner_paused_ = false;
+  std::deque<SentReport> unread_reports_;
   // Polls that wait for news, and until when.
-  std::map<std::string, std::pair<SentReport, Time>> held_;
+  std::map<std::string, std::pair<SentReport, Time>> waiting_polls_;
   std::vector<SimulatedRun> runs_;
   std::set<TaskId> done_;
   std::vector<std::string> violations_;
--- a/tests/stand_ins/request_cluster.cc
+++ b/tests/stand_ins/request_cluster.cc
@@ -11,7 +11,7 @@
 namespace turmericshift {
 namespace {
 
-constexpr Duration kAwaitLimit = std::chrono::seconds(10);
+constexpr Duration kWaitTimeout = std::chrono::seconds(10);
 constexpr Duration kAwaitPoll = std::chrono::milliseconds(2);
 constexpr Duration kLeaveLimit = std::chrono::seconds(10);
 
@@ -27,33 +27,35 @@
 // Connects one agent to entries by their index.
 class DirectConnector : public EntryConnector {
  public:
-  DirectConnector(const RequestCluster* cluster, LinkWorld* world, std::shared_ptr<AgentBox> box)
-      : cluster_(cluster), world_(world), box_(std::move(box)) {}
+  DirectConnector(const RequestCluster* cluster, LinkState* link_state,
+                  std::shared_ptr<AgentProcess> agent_process)
+      : cluster_(cluster), link_state_(link_state), agent_process_(std::move(agent_process)) {}
 
   std::shared_ptr<EntryPort> Connect(const std::string& address, const AgentHello& hello,
                                      AgentPort* agent) override {
-    box_->agent = agent;
+    agent_process_->agent = agent;
     std::shared_ptr<TestEntry> entry = cluster_->entry(std::stoul(address));
-    entry->directory.Open(hello, std::make_shared<FaultyLink>(world_, box_), DefaultClock().Now());
-    return std::make_shared<BeatPort>(std::move(entry), hello);
+    entry->directory.Open(hello, std::make_shared<FaultyLink>(link_state_, agent_process_),
+                          DefaultClock().Now());
+    return std::make_shared<HeartbeatPort>(std::move(entry), hello);
   }
 
  private:
   const RequestCluster* const cluster_;
-  LinkWorld* const world_;
-  const std::shared_ptr<AgentBox> box_;
+  LinkState* const link_state_;
+  const std::shared_ptr<AgentProcess> agent_process_;
 };
 
 }  // namespace
 
-EntryBeat BeatPort::Heartbeat(const AgentBeat& beat, Duration /*timeout*/) {
+EntryBeat HeartbeatPort::Heartbeat(const AgentBeat& beat, Duration /*timeout*/) {
   if (entry_->gone.load()) throw Error(ErrorKind::kConnectionLost, "the entry has gone");
   entry_->directory.RecordHeartbeat(hello_, beat, DefaultClock().Now());
   return {};
 }
 
-void Await(const std::string& what, const std::function<bool()>& holds) {
-  const Time limit = DefaultClock().Now() + kAwaitLimit;
+void WaitUntil(const std::string& what, const std::function<bool()>& holds) {
+  const Time limit = DefaultClock().Now() + kWaitTimeout;
   while (!holds()) {
     if (DefaultClock().Now() > limit) {
       ADD_FAILURE() << what;
@@ -64,23 +66,23 @@
 }
 
 TestEntry::TestEntry(LogService* log)
-    : replicated_requests({kKeptKeys, size_t{1} << 20, kKeptKeys}),
+    : replicated_requests({kRetainedKeys, size_t{1} << 20, kRetainedKeys}),
       stream(Stream::kRequests, log, &replicated_requests, &metrics),
       router(QuickOptions(), std::make_unique<TwoChoices>(1), &directory, &stream,
              &replicated_requests, nullptr, &metrics) {}
 
-RequestCluster::RequestCluster(int entries, int agents, uint64_t seed) : world_(seed) {
+RequestCluster::RequestCluster(int entries, int agents, uint64_t seed) : link_state_(seed) {
   for (int index = 0; index < entries; ++index) {
     entries_.push_back(std::make_shared<TestEntry>(&log_));
   }
   for (int index = 0; index < agents; ++index) {
     TestAgent agent;
     agent.name = "worker-" + std::to_string(index);
-    agent.target = std::make_unique<CountingTarget>(agent.name, &history_, &world_.dice);
+    agent.target = std::make_unique<CountingTarget>(agent.name, &history_, &link_state_.random);
     agents_.push_back(std::move(agent));
   }
   for (size_t index = 0; index < agents_.size(); ++index) StartAgent(index);
-  AwaitSessions();
+  WaitForSessions();
 }
 
 RequestCluster::~RequestCluster() {
@@ -102,9 +104,9 @@
   for (size_t entry = 0; entry < entries_.size(); ++entry) {
     options.entries.push_back(std::to_string(entry));
   }
-  agent.box = std::make_shared<AgentBox>();
+  agent.agent_process = std::make_shared<AgentProcess>();
   agent.metrics = std::make_unique<MetricsRegistry>();
-  agent.connector = std::make_unique<DirectConnector>(this, &world_, agent.box);
+  agent.connector = std::make_unique<DirectConnector>(this, &link_state_, agent.agent_process);
   agent.server = std::make_unique<AgentServer>(options, agent.connector.get(), agent.target.get(),
                                                nullptr, agent.metrics.get());
 }
@@ -112,9 +114,9 @@
 void RequestCluster::KillAgent(size_t index) {
   TestAgent& agent = agents_[index];
   if (!agent.server) return;
-  agent.box->dead.store(true);
+  agent.agent_process->dead.store(true);
   // Calls in it end without an answer; then nothing uses it any more.
-  const std::unique_lock<std::shared_mutex> lock(agent.box->alive);
+  const std::unique_lock<std::shared_mutex> lock(agent.agent_process->alive);
   agent.server.reset();
 }
 
@@ -134,7 +136,8 @@
 void RequestCluster::Reconnect(size_t agent, size_t entry) {
   AgentDirectory& directory = this->entry(entry)->directory;
   directory.Open(directory.Find(agents_[agent].name).hello,
-                 std::make_shared<FaultyLink>(&world_, agents_[agent].box), DefaultClock().Now());
+                 std::make_shared<FaultyLink>(&link_state_, agents_[agent].agent_process),
+                 DefaultClock().Now());
 }
 
 std::shared_ptr<TestEntry> RequestCluster::entry(size_t index) const {
@@ -142,11 +145,11 @@
   return entries_[index];
 }
 
-void RequestCluster::AwaitSessions() {
-  Await("the agents did not come to know the entries", [this] {
+void RequestCluster::WaitForSessions() {
+  WaitUntil("the agents did not come to know the entries", [this] {
     for (size_t index = 0; index < entries(); ++index) {
       const auto known =
-          entry(index)->directory.Candidates(kTestService, DefaultClock().Now(), kAwaitLimit);
+          entry(index)->directory.Candidates(kTestService, DefaultClock().Now(), kWaitTimeout);
       if (known.size() != agents_.size()) return false;
       if (!entry(index)->stream.view().ever_fresh) return false;
     }
--- a/tests/stand_ins/request_cluster.h
+++ b/tests/stand_ins/request_cluster.h
@@ -23,7 +23,7 @@
 struct TestEntry {
   explicit TestEntry(LogService* log);
   // Small, so that a test can outlive them.
-  static constexpr size_t kKeptKeys = 64;
+  static constexpr size_t kRetainedKeys = 64;
 
   MetricsRegistry metrics;
   ReplicatedRequests replicated_requests;
@@ -35,9 +35,9 @@
 };
 
 // One agent's session with such an entry.
-class BeatPort : public EntryPort {
+class HeartbeatPort : public EntryPort {
  public:
-  BeatPort(std::shared_ptr<TestEntry> entry, AgentHello hello)
+  HeartbeatPort(std::shared_ptr<TestEntry> entry, AgentHello hello)
       : entry_(std::move(entry)), hello_(std::move(hello)) {}
   EntryBeat Heartbeat(const AgentBeat& beat, Duration timeout) override;
 
@@ -49,7 +49,7 @@
 struct TestAgent {
   std::string name;
   std::unique_ptr<CountingTarget> target;
-  std::shared_ptr<AgentBox> box;
+  std::shared_ptr<AgentProcess> agent_process;
   std::unique_ptr<EntryConnector> connector;
   std::unique_ptr<AgentServer> server;
   std::unique_ptr<MetricsRegistry> metrics;
@@ -74,13 +74,13 @@
   // The agent opens another connection to the entry beside the one it has.
   void Reconnect(size_t agent, size_t entry);
   // Waits until every entry knows every agent that runs.
-  void AwaitSessions();
+  void WaitForSessions();
 
   std::shared_ptr<TestEntry> entry(size_t index) const;
   TestAgent& agent(size_t index) { return agents_[index]; }
   size_t entries() const { return entries_.size(); }
   size_t agents() const { return agents_.size(); }
-  LinkWorld& world() { return world_; }
+  LinkState& link_state() { return link_state_; }
   MemoryLog& log() { return log_; }
   RequestHistory& history() { return history_; }
 
@@ -94,10 +94,10 @@
   std::atomic<int> next_request_{1};
   std::vector<TestAgent> agents_;
   // Last, so that late messages end before what they are delivered to.
-  LinkWorld world_;
+  LinkState link_state_;
 };
 
 // Waits for a condition that other threads bring about; fails the test when it does not come.
-void Await(const std::string& what, const std::function<bool()>& holds);
+void WaitUntil(const std::string& what, const std::function<bool()>& holds);
 
 }  // namespace turmericshift
--- a/tests/stand_ins/tcp_relay.cc
+++ b/tests/stand_ins/tcp_relay.cc
@@ -26,7 +26,7 @@
 }
 
 // One chunk from one end to the other; false once the sending end has closed.
-bool Pass(int from, int to) {
+bool CopyChunk(int from, int to) {
   std::array<char, kChunkBytes> chunk{};
   const ssize_t size = recv(from, chunk.data(), chunk.size(), 0);
   if (size <= 0) return false;
@@ -45,7 +45,7 @@
   int near = -1;
   int far = -1;
   std::atomic<bool> silent{false};
-  std::atomic<bool> over{false};
+  std::atomic<bool> closed{false};
   Thread thread;
 };
 
@@ -73,7 +73,7 @@
   fault_changed_.store(LeaseClock().Now());
 }
 
-bool TcpRelay::FaultSince(Time since) const {
+bool TcpRelay::HadFaultSince(Time since) const {
   return fault_.load() != RelayFault::kNone || fault_changed_.load() >= since;
 }
 
@@ -82,14 +82,14 @@
   for (const auto& pair : pairs_) pair->silent.store(true);
 }
 
-void TcpRelay::DropOver() {
+void TcpRelay::RemoveClosedPairs() {
   const std::lock_guard<std::mutex> lock(mutex_);
-  std::erase_if(pairs_, [](const auto& pair) { return pair->over.load(); });
+  std::erase_if(pairs_, [](const auto& pair) { return pair->closed.load(); });
 }
 
 void TcpRelay::Accept() {
   while (!stopping_.load()) {
-    DropOver();
+    RemoveClosedPairs();
     pollfd waiting{listener_, POLLIN, 0};
     if (poll(&waiting, 1, kPollMillis) <= 0) continue;
     auto pair = std::make_unique<Pair>();
@@ -107,13 +107,13 @@
     }
     connections_.fetch_add(1);
     Pair* raw = pair.get();
-    pair->thread = Thread("relay-pair", [this, raw] { Carry(raw); });
+    pair->thread = Thread("relay-pair", [this, raw] { Forward(raw); });
     const std::lock_guard<std::mutex> lock(mutex_);
     pairs_.push_back(std::move(pair));
   }
 }
 
-void TcpRelay::Carry(Pair* pair) const {
+void TcpRelay::Forward(Pair* pair) const {
   bool open = true;
   while (open && !stopping_.load()) {
     const RelayFault fault = fault_.load();
@@ -124,18 +124,18 @@
     }
     // What is not carried is not read either, so that neither end learns anything.
     const bool silent = pair->silent.load() || fault == RelayFault::kSilent;
-    const bool there = !silent && fault != RelayFault::kCutThere;
-    const bool back = !silent && fault != RelayFault::kCutBack;
+    const bool forward = !silent && fault != RelayFault::kDropForward;
+    const bool backward = !silent && fault != RelayFault::kDropBackward;
     std::array<pollfd, 2> ends{
-        {{there ? pair->near : -1, POLLIN, 0}, {back ? pair->far : -1, POLLIN, 0}}};
+        {{forward ? pair->near : -1, POLLIN, 0}, {backward ? pair->far : -1, POLLIN, 0}}};
     if (poll(ends.data(), ends.size(), kPollMillis) <= 0) continue;
     if (fault == RelayFault::kSlow) usleep(kSlowMicros);
-    if (ends[0].revents != 0) open = Pass(pair->near, pair->far);
-    if (open && ends[1].revents != 0) open = Pass(pair->far, pair->near);
+    if (ends[0].revents != 0) open = CopyChunk(pair->near, pair->far);
+    if (open && ends[1].revents != 0) open = CopyChunk(pair->far, pair->near);
   }
   close(pair->near);
   close(pair->far);
-  pair->over.store(true);
+  pair->closed.store(true);
 }
 
 }  // namespace turmericshift
--- a/tests/stand_ins/tcp_relay.h
+++ b/tests/stand_ins/tcp_relay.h
@@ -19,8 +19,8 @@
   // Nothing is carried either way; what was sent arrives when the fault is over.
   kSilent,
   // Nothing is carried from those who connect, or back to them.
-  kCutThere,
-  kCutBack,
+  kDropForward,
+  kDropBackward,
   // Open connections are reset, new ones too.
   kReset,
   // Whatever is carried takes a fifth of a second longer.
@@ -40,7 +40,7 @@
   void Silence();
   void SetFault(RelayFault fault);
   // Whether a fault has been in force at any time since `since`, by the clock for leases.
-  bool FaultSince(Time since) const;
+  bool HadFaultSince(Time since) const;
   // New connections go there.
   void Retarget(int to) { to_.store(to); }
   int connections() const { return connections_.load(); }
@@ -48,9 +48,9 @@
  private:
   struct Pair;
   void Accept();
-  void Carry(Pair* pair) const;
+  void Forward(Pair* pair) const;
   // Pairs whose connections have closed.
-  void DropOver();
+  void RemoveClosedPairs();
 
   const std::string ip_;
   std::atomic<int> to_;
