--- a/tests/soak/operator_history.cc
+++ b/tests/soak/operator_history.cc
@@ -8,7 +8,8 @@
 namespace turmericshift::soak {
 namespace {
 
-// For a command, however many entries are silent; its wait for "in force" included.
+// Limit for a command, including its wait for the change to be in force, however many entries are
+// silent.
 constexpr Duration kCommandTimeLimit = std::chrono::seconds(10);
 
 constexpr auto kDone = static_cast<int>(ExitCode::kDone);
@@ -27,8 +28,10 @@
   ends_.push_back(end);
   longest_ = std::max(longest_, end.duration);
   if (end.duration > kCommandTimeLimit) AddViolation("too long: " + Describe(end));
-  if (end.status != kDone && end.status != kFailed) AddViolation("not settled: " + Describe(end));
-  if (end.change.empty() && end.status != kDone) AddViolation("not read: " + Describe(end));
+  if (end.status != kDone && end.status != kFailed)
+    AddViolation("outcome not determined: " + Describe(end));
+  if (end.change.empty() && end.status != kDone)
+    AddViolation("read command failed: " + Describe(end));
 }
 
 void OperatorHistory::RecordViolation(const std::string& what) {
@@ -42,7 +45,8 @@
   int64_t last = 0;
   for (const nlohmann::json& each : history) {
     const auto version = each.at("version").get<int64_t>();
-    if (last != 0 && version != last + 1) AddViolation("no version after " + std::to_string(last));
+    if (last != 0 && version != last + 1)
+      AddViolation("gap in the versions after " + std::to_string(last));
     last = version;
     const bool first = versions.emplace(each.at("change").get<std::string>(), version).second;
     if (!first) AddViolation("made twice: " + each.dump());
@@ -56,10 +60,11 @@
                                   const std::map<std::string, int64_t>& versions) {
   const auto found = versions.find(end.change);
   const int64_t made = found == versions.end() ? 0 : found->second;
-  // A change that was accepted tells its version, also when the wait after it has failed.
-  if (end.version != 0 && made != end.version) AddViolation("said done, is not: " + Describe(end));
+  // An accepted change reports its version, even if the subsequent wait failed.
+  if (end.version != 0 && made != end.version)
+    AddViolation("reported as done but not in the history: " + Describe(end));
   if (end.version == 0 && end.status == kFailed && made != 0) {
-    AddViolation("said not done, is done: " + Describe(end));
+    AddViolation("reported as not done but in the history: " + Describe(end));
   }
 }
 
--- a/tests/soak/operator_history.h
+++ b/tests/soak/operator_history.h
@@ -1,4 +1,4 @@
-// What operators were told during a soak, and whether it was true. Shared between threads.
+// Records the outcomes reported to operators during a soak and checks them. Thread-safe.
 #pragma once
 
 #include <map>
@@ -13,22 +13,22 @@
 
 // How one command ended.
 struct CommandEnd {
-  // "zone out a", for people.
+  // The command line for messages, such as "zone out a".
   std::string command;
-  // "" for a command that changes nothing.
+  // Identifier of the change; empty for a command that changes nothing.
   std::string change;
   int status = -1;
-  // That it was told; 0: none.
+  // The version that the command reported; 0 if none.
   int64_t version = 0;
   Duration duration{};
 };
 
 class OperatorHistory {
  public:
-  // A command was given while at least one entry served until its end.
+  // Records a command during which at least one entry served without interruption.
   void RecordCommand(const CommandEnd& end);
   void RecordViolation(const std::string& violation);
-  // `history`: what `config history --json` shows once all is over.
+  // `history`: the output of `config history --json` after all commands have ended.
   void CheckAtEnd(const nlohmann::json& history);
   std::vector<std::string> violations() const;
   std::string Summary() const;
--- a/tests/soak/operator_pool.h
+++ b/tests/soak/operator_pool.h
@@ -1,4 +1,5 @@
-// Entries and agents of one environment as processes, with what operators need to reach them.
+// Runs entries and agents of one environment as processes, and provides addresses and files that
+// operators need.
 #pragma once
 
 #include <atomic>
@@ -24,15 +25,14 @@
     std::unique_ptr<SoakProcess> process;
   };
 
-  // `on_unexpected_end` hears of processes that end without having been asked to.
+  // `on_unexpected_end` is called with the name of a process that ends unexpectedly.
   OperatorPool(const OperatorSoakOptions& options,
                std::function<void(const std::string&)> on_unexpected_end);
 
   std::vector<std::unique_ptr<Entry>>& entries() { return entries_; }
-  // Whether the entry answers operators and is ready, as far as it can be before a document was
-  // published.
+  // Whether the entry answers operators. Once a document is `published`, it must also be ready.
   bool Serves(size_t entry, bool published) const;
-  // "IP:port" of an entry as operators reach it.
+  // "IP:port" at which operators reach the entry.
   std::string AddressOf(size_t entry) const;
   std::string token_file() const { return options_.folder + "/operator"; }
   std::string document() const { return options_.folder + "/environment.ini"; }
--- a/tests/soak/operator_soak.cc
+++ b/tests/soak/operator_soak.cc
@@ -25,7 +25,7 @@
 using std::chrono::seconds;
 
 constexpr size_t kOperators = 2;
-// The history shows so many versions; all that are made must be in it.
+// The history shows at most this many versions, and every change must appear in it.
 constexpr int kMaxChanges = 60;
 constexpr Duration kPollInterval = milliseconds(20);
 constexpr Duration kServingTimeout = seconds(60);
@@ -37,7 +37,7 @@
   return milliseconds(std::uniform_int_distribution<int64_t>(least.count(), most.count())(*random));
 }
 
-// Runs a command with its output in `path`; its exit status.
+// Runs a command with its output in `path`; returns its exit status, or -1 if a signal ended it.
 int RunCommand(const Words& words, const std::string& path) {
   std::vector<char*> arguments;
   for (const std::string& word : words) arguments.push_back(const_cast<char*>(word.c_str()));
@@ -63,10 +63,10 @@
   return nlohmann::json::parse(file, nullptr, false);
 }
 
-// An operator who gives one command after the other.
+// An operator that runs one command after the other.
 class Operator {
  public:
-  // `zone`: the one that this operator takes out and brings back; nobody else does.
+  // `zone`: the zone that only this operator takes out and brings back.
   Operator(const OperatorSoakOptions& options, size_t number, const std::string& zone,
            const OperatorPool* pool, OperatorHistory* history)
       : options_(options),
@@ -86,7 +86,7 @@
     }
   }
 
-  // The entries are asked in a drawn order.
+  // Runs a command that contacts the entries in random order.
   CommandEnd Execute(Words words, const std::string& change) {
     CommandEnd end;
     for (const std::string& word : words) end.command += word + " ";
@@ -144,7 +144,7 @@
   bool zone_in_ = true;
 };
 
-// Brings faults about on all entries but one, in series that overlap, until the time is up.
+// Injects overlapping series of faults into all entries but one until the time is over.
 class OperatorFaults {
  public:
   OperatorFaults(uint64_t seed, OperatorPool* pool) : random_(seed), pool_(pool) {}
@@ -163,7 +163,7 @@
     }
   }
 
-  // Until every entry serves; whether they come to.
+  // Waits until every entry serves; returns false on a timeout.
   bool WaitUntilAllServe(bool published = true) const {
     const Time until = LeaseClock().Now() + kServingTimeout;
     for (size_t entry = 0; entry < kEntryCount; ++entry) {
@@ -178,7 +178,7 @@
  private:
   enum class Kind { kFreeze, kKill, kStop, kStopFrozen, kSilent, kDropBackward, kReset, kCount };
 
-  // Some faults on one entry, each over before the next.
+  // Injects one to three consecutive faults into one entry.
   void PlayFaults(size_t entry, uint64_t seed) const {
     Random random(seed);
     const OperatorPool::Entry& target = *pool_->entries()[entry];
@@ -237,7 +237,7 @@
   if (!faults.WaitUntilAllServe(false) ||
       first.Execute({"config", "publish", pool.document()}, "first").version != 1 ||
       !faults.WaitUntilAllServe()) {
-    return history->RecordViolation("the entries do not come to serve");
+    return history->RecordViolation("the entries did not start to serve in time");
   }
   std::atomic<bool> stopping{false};
   std::atomic<int> changes{0};
@@ -251,7 +251,8 @@
   faults.Play(options.length);
   stopping.store(true);
   for (Thread& each : operators) each.Join();
-  if (!faults.WaitUntilAllServe()) return history->RecordViolation("the entries do not come back");
+  if (!faults.WaitUntilAllServe())
+    return history->RecordViolation("the entries did not recover in time");
   first.Execute({"config", "history"}, "");
   history->CheckAtEnd(ReadJson(first.output()));
 }
--- a/tests/soak/operator_soak.h
+++ b/tests/soak/operator_soak.h
@@ -1,5 +1,5 @@
-// The operators' part of the soak: their commands, as processes, while entries are frozen, killed,
-// stopped in order and out of reach.
+// The operator soak: runs operators' commands as processes while entries are frozen, killed,
+// stopped gracefully and unreachable.
 #pragma once
 
 #include <chrono>
@@ -10,17 +10,18 @@
 
 struct OperatorSoakOptions {
   std::string binary;
-  // Gets settings and logs.
+  // Folder for settings and logs.
   std::string folder;
-  // A loopback address that nobody else uses.
+  // A loopback address that no other process uses.
   std::string ip = "127.0.0.1";
   uint64_t seed = 1;
   std::chrono::seconds length{15};
 };
 
-// Prints what it saw; returns 0 when all promises were kept, 1 otherwise. The promises: while one
-// entry serves, a command ends in time and is settled; what was said done stands in the history as
-// the version that was told, what was said not done never does; versions follow each other.
+// Prints a summary; returns 0 if all guarantees held and 1 otherwise. Guarantees: while one entry
+// serves, each command ends in time with a known outcome; a change reported as done is in the
+// history under the reported version, and a change reported as not done is not; versions have no
+// gaps.
 int RunOperatorSoak(const OperatorSoakOptions& options);
 
 }  // namespace turmericshift::soak
--- a/tests/soak/soak_callers.cc
+++ b/tests/soak/soak_callers.cc
@@ -12,17 +12,17 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds kCallTimeout{3000};
-// Of one in so many jobs' submissions: longer than an entry's stop may take.
+// Timeout for one in kLongCallTimeoutOneIn jobs: longer than the stop of an entry may take.
 constexpr milliseconds kLongCallTimeout{10000};
 constexpr size_t kLongCallTimeoutOneIn = 5;
-// A connection may end so soon after a request was sent on it that the request was never read.
+// A connection that ends within this time may have closed before the request was read.
 constexpr milliseconds kUnreadRequestLimit{300};
 constexpr milliseconds kSubmitInterval{250};
 constexpr milliseconds kPollInterval{40};
 constexpr milliseconds kRetryPause{100};
-// A second connection repeats a job at most so long after the first.
+// Maximum delay after which a second connection repeats a submission.
 constexpr int kMaxRepeatDelayMs = 900;
-// As the users' clients do.
+// Users' clients make the same number of attempts.
 constexpr int kMaxCallAttempts = 5;
 constexpr int kMaxAttempts = 3;
 
@@ -51,7 +51,7 @@
   step.need = {2000, 1024, 1 + Below(4, random)};
   step.estimate = time;
   step.gang = OneIn(3, random);
-  // Not drawn: the jobs of a seed stay as they are otherwise.
+  // Derived from the id instead of `random`, so that a seed still yields the same jobs.
   step.checkpoints = std::hash<std::string>()(id) % 2 == 0;
   job.spec.steps.push_back(step);
   if (OneIn(3, random)) {
@@ -117,7 +117,8 @@
 }
 
 void SoakCallers::SubmitOne(const SoakJob& job, std::mt19937_64* random) {
-  // Seeds draw the same jobs with and without the second connection.
+  // A separate generator, so that a seed draws the same jobs with and without the second
+  // connection.
   std::mt19937_64 second(std::hash<std::string>()(job.spec.id));
   Thread repeat;
   if (OneIn(2, &second)) {
--- a/tests/soak/soak_callers.h
+++ b/tests/soak/soak_callers.h
@@ -1,5 +1,5 @@
-// Callers of a soak: they hand jobs in, again where an answer is missing, some also while the first
-// try still waits, ask what became of them and cancel some.
+// Callers of a soak: they submit jobs, retry when an answer is missing (some while the first
+// attempt is still pending), poll the states of jobs and cancel some of them.
 #pragma once
 
 #include <atomic>
@@ -18,25 +18,26 @@
 
 class SoakCallers {
  public:
-  // Both must outlive the callers, who begin at once.
+  // Starts the callers immediately; `system` and `history` must outlive them.
   SoakCallers(uint64_t seed, int callers, SoakSystem* system, SoakHistory* history);
   ~SoakCallers();
   SoakCallers(const SoakCallers&) = delete;
   SoakCallers& operator=(const SoakCallers&) = delete;
 
-  // No new jobs from now on; those that were accepted are still asked for.
+  // Stops submitting new jobs; the states of accepted jobs are still polled.
   void StopSubmitting() { submitting_.store(false); }
 
  private:
-  // One caller; it keeps the connections that it has.
+  // The loop of one caller, which submits and cancels jobs.
   void Submit(uint64_t seed, int caller);
   void PollStates(uint64_t seed);
   void SubmitOne(const SoakJob& job, std::mt19937_64* random);
-  // Calls any entry. A call that an ordered stop has cut is a violation, and unclear besides.
+  // Calls a random entry. A call interrupted by a graceful stop is recorded as a violation, and its
+  // outcome is unknown.
   platform::CallOutcome Call(
       const std::function<platform::CallOutcome(const platform::Caller&)>& call,
       std::mt19937_64* random);
-  // One try at any entry; whether the job was accepted.
+  // Submits the job once to a random entry; returns whether it was accepted.
   bool SubmitOnce(const SoakJob& job, std::mt19937_64* random);
   void CancelOne(const SoakJob& job, std::mt19937_64* random);
 
@@ -47,7 +48,7 @@
   std::vector<Thread> threads_;
 };
 
-// A job like those of the users: some of one step, some of two, some gangs, some that fail.
+// Draws a job like those of users, with one or two steps; some jobs are gangs, and some fail.
 SoakJob DrawJob(const std::string& id, std::mt19937_64* random);
 
 }  // namespace turmericshift::soak
--- a/tests/soak/soak_faults.cc
+++ b/tests/soak/soak_faults.cc
@@ -43,7 +43,7 @@
     {FaultKind::kRollAgents, "roll_agents"},
     {FaultKind::kDocuments, "documents"},
 }};
-// Those of DrawFaults come first in the table.
+// The first rows of the table are the faults of DrawFaults.
 constexpr size_t kSingleFaults = 22;
 
 constexpr std::array<RelayFault, 5> kRelayFaults = {RelayFault::kSilent, RelayFault::kDropForward,
@@ -54,13 +54,13 @@
 constexpr int kMinFaultMs = 200;
 constexpr int kMaxFaultMs = 6000;
 constexpr milliseconds kStoreDelay{250};
-// The platform kills a process this long after it asked it to end.
+// The platform kills a process this long after SIGTERM.
 constexpr milliseconds kStopGracePeriod{6000};
 constexpr milliseconds kRollGap{900};
 constexpr milliseconds kAgentRollGap{150};
 constexpr milliseconds kDocumentGap{60};
 constexpr int kDocumentsInSeries = 5;
-// Orders of an agent that stood still may be carried out so long after it goes on.
+// Orders of a paused agent may still be executed this long after it resumes.
 constexpr milliseconds kOrderDelayLimit{2000};
 
 }  // namespace
@@ -74,7 +74,7 @@
 
 namespace {
 
-// The processes of entries, or of agents.
+// Returns the processes of entries or worker nodes.
 template <typename Owners>
 std::vector<SoakProcess*> ProcessesOf(const Owners& owners) {
   std::vector<SoakProcess*> processes;
--- a/tests/soak/soak_faults.h
+++ b/tests/soak/soak_faults.h
@@ -1,5 +1,5 @@
-// Draws faults from a seed and brings them about, each at its time and over after a while. They
-// overlap and come in series.
+// Draws overlapping faults and series of faults from a seed, and injects each at its time for its
+// duration.
 #pragma once
 
 #include <cstdint>
@@ -49,20 +49,20 @@
   Duration at{};
   Duration lasts{};
   FaultKind kind = FaultKind::kKillEntry;
-  // Which of the things that fit; taken modulo their number.
+  // Index of the affected entry or worker node, taken modulo their number.
   uint32_t target = 0;
   RelayFault relay_fault = RelayFault::kSilent;
 };
 
-// Faults over `length`, in the order of time; the same for the same seed.
+// Draws faults for a soak of `length`, sorted by time; a seed always yields the same faults.
 std::vector<Fault> DrawFaults(uint64_t seed, Duration length);
-// Signals, restarts and changes of which each comes before the one before it is over. To be played
-// beside DrawFaults, whose faults stay as they are.
+// Draws signals, restarts and changes that each begin before the previous one has ended. They are
+// played in addition to the faults of DrawFaults, which do not change.
 std::vector<Fault> DrawSeries(uint64_t seed, Duration length);
 
 class FaultPlayer {
  public:
-  // Both must outlive the player.
+  // `system` and `history` must outlive the player.
   FaultPlayer(SoakSystem* system, SoakHistory* history) : system_(system), history_(history) {}
   // Plays the faults in real time and returns when the last one is over.
   void Play(const std::vector<Fault>& faults);
@@ -73,19 +73,19 @@
     std::function<void()> act;
   };
 
-  // What the fault does and, if it lasts, what ends it.
+  // The steps that start the fault and, if it has a duration, end it.
   std::vector<Step> StepsOf(const Fault& fault);
   static std::vector<Step> SignalSteps(const Fault& fault, SoakProcess* process, int first,
                                        int last);
   std::vector<Step> StoreSteps(const Fault& fault, const platform::StoreFaults& faults);
   std::vector<Step> WorkerSteps(const Fault& fault);
-  // Ordered stops of all, one after the other.
+  // Stops all processes gracefully, one every `gap`.
   std::vector<Step> RollSteps(const Fault& fault, const std::vector<SoakProcess*>& processes,
                               Duration gap);
   std::vector<Step> DocumentsSteps(const Fault& fault);
-  // A stop in order into which another signal comes.
+  // A graceful stop during which another signal arrives.
   std::vector<Step> InterruptedStopSteps(const Fault& fault);
-  // A stop in order has to end the process within the platform's grace.
+  // A graceful stop, which must end the process within the platform's grace period.
   std::vector<Step> TermSteps(const Fault& fault, SoakProcess* process);
   TcpRelay* RelayOf(const Fault& fault) const;
   SoakEntry* EntryOf(const Fault& fault) const;
--- a/tests/soak/soak_history.cc
+++ b/tests/soak/soak_history.cc
@@ -13,11 +13,11 @@
 using pool::TaskId;
 using pool::TaskName;
 
-// Nothing of a job begins later than this after its cancellation was answered.
+// No task of a job may start later than this after its cancellation was answered.
 constexpr Duration kCancelLimit = std::chrono::seconds(3);
-// Nothing begins in a zone later than this after operators took it out.
+// No task may start in a zone later than this after operators took the zone out.
 constexpr Duration kZoneOutLimit = std::chrono::seconds(5);
-// An accepted job is known everywhere after this.
+// All entries know an accepted job after this time.
 constexpr Duration kVisibilityLimit = std::chrono::seconds(3);
 
 }  // namespace
@@ -46,7 +46,7 @@
 
   const std::string& node() const { return node_; }
   const std::string& zone() const { return zone_; }
-  // Whether the end `number`, which came about at `ended`, was taken in.
+  // Whether the end `number`, which occurred at `ended`, was acknowledged under a valid lease.
   bool Acknowledged(int64_t number, Time ended) const {
     const auto acknowledged = acknowledged_at_.find(number);
     if (acknowledged == acknowledged_at_.end()) return false;
@@ -59,7 +59,7 @@
   SoakHistory* const history_;
   const std::string node_;
   const std::string zone_;
-  // Guarded by the history's lock.
+  // The fields below are guarded by the history's mutex.
   int64_t last_acknowledged_ = 0;
   std::map<int64_t, Time> acknowledged_at_;
   std::vector<Time> lease_expirations_;
@@ -95,7 +95,7 @@
     const auto task = tasks_.find({spec.id, 0, step, index});
     if (task != tasks_.end() && !task->second.done.empty()) ++done;
   }
-  // One end of a gang stands for all of them.
+  // The members of a gang end together, so one end is sufficient.
   return wanted.gang ? done > 0 : done == wanted.tasks;
 }
 
@@ -104,22 +104,23 @@
   JobRecord& job = jobs_.at(id);
   const bool first = !job.final_state && pool::IsOver(state);
   if (job.final_state && *job.final_state != state) {
-    ViolationLocked(id + " was shown as " + pool::JobStateName(*job.final_state) + " and then as " +
-                    pool::JobStateName(state));
+    ViolationLocked(id + " was reported as " + pool::JobStateName(*job.final_state) +
+                    " and then as " + pool::JobStateName(state));
   }
   if (!first) return;
   job.final_state = state;
   const JobSpec& spec = job.job.spec;
   if (state == JobState::kCompleted) {
     for (int step = 0; step < static_cast<int>(spec.steps.size()); ++step) {
-      if (!StepDone(spec, step)) ViolationLocked(id + " is shown as completed and is not");
+      if (!StepDone(spec, step))
+        ViolationLocked(id + " is reported as completed but has unfinished tasks");
     }
   }
   if (state == JobState::kCancelled && !job.cancel_sent) {
-    ViolationLocked(id + " is shown as cancelled and nobody asked for it");
+    ViolationLocked(id + " is reported as cancelled without a cancellation request");
   }
   if (state == JobState::kFailed && job.job.failures < max_attempts_) {
-    ViolationLocked(id + " is shown as failed without cause");
+    ViolationLocked(id + " is reported as failed without enough failed runs");
   }
 }
 
@@ -127,7 +128,7 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   const JobRecord& job = jobs_.at(id);
   if (job.accepted && sent - *job.accepted > kVisibilityLimit) {
-    ViolationLocked(id + " was accepted and is called unknown");
+    ViolationLocked(id + " was accepted but is reported as unknown");
   }
 }
 
@@ -163,7 +164,8 @@
   const Time now = LeaseClock().Now();
   const TaskId& task = call.run.task;
   const auto found = jobs_.find(task.job);
-  if (found == jobs_.end()) return ViolationLocked(TaskName(task) + " begins; nobody sent its job");
+  if (found == jobs_.end())
+    return ViolationLocked(TaskName(task) + " starts but its job was never submitted");
   CheckStart(*incarnation, call, found->second, now);
   ++found->second.starts;
   if (!call.checkpoint.empty()) ++resumed_;
@@ -178,19 +180,20 @@
   const std::string name = TaskName(task);
   const JobSpec& spec = job.job.spec;
   if (task.step >= static_cast<int>(spec.steps.size())) {
-    return ViolationLocked(name + " begins; there is no such step");
+    return ViolationLocked(name + " starts but its step does not exist");
   }
   if (!call.checkpoint.empty() &&
       checkpoints_[CheckpointOwner(spec, task)].count(call.checkpoint) == 0) {
-    ViolationLocked(name + " begins from a checkpoint that it never saved");
+    ViolationLocked(name + " starts from a checkpoint that it never saved");
   }
-  if (call.payload != spec.payload) ViolationLocked(name + " begins with another payload");
+  if (call.payload != spec.payload) ViolationLocked(name + " starts with a wrong payload");
   for (const auto& [number, other] : tasks_[task].live) {
-    ViolationLocked(name + " begins at " + incarnation.node() + " while its run " +
-                    std::to_string(number) + " goes on at " + other->node());
+    ViolationLocked(name + " starts at " + incarnation.node() + " while its run " +
+                    std::to_string(number) + " still runs at " + other->node());
   }
   for (const int earlier : spec.steps[static_cast<size_t>(task.step)].after) {
-    if (!StepDone(spec, earlier)) ViolationLocked(name + " begins before its turn");
+    if (!StepDone(spec, earlier))
+      ViolationLocked(name + " starts before a step that it depends on has completed");
   }
   CheckTimeLimits(incarnation, task, job, now);
 }
@@ -199,11 +202,11 @@
                                   const JobRecord& job, Time now) {
   if (now < time_limits_suspended_until_) return;
   if (job.cancelled && now - *job.cancelled > kCancelLimit) {
-    ViolationLocked(TaskName(task) + " begins long after its job was cancelled");
+    ViolationLocked(TaskName(task) + " starts too long after its job was cancelled");
   }
   const auto out = zones_out_.find(incarnation.zone());
   if (out != zones_out_.end() && now - out->second > kZoneOutLimit) {
-    ViolationLocked(TaskName(task) + " begins in zone " + incarnation.zone() + ", which is out");
+    ViolationLocked(TaskName(task) + " starts in zone " + incarnation.zone() + ", which is out");
   }
 }
 
@@ -270,9 +273,9 @@
 }
 
 void SoakHistory::CheckJob(const std::string& id, const JobRecord& job) {
-  if (job.accepted && !job.final_state) ViolationLocked(id + " was accepted and never ends");
+  if (job.accepted && !job.final_state) ViolationLocked(id + " was accepted but never ended");
   const bool refused = !job.accepted && !job.outcome_unknown;
-  if (refused && job.starts > 0) ViolationLocked(id + " was refused each time and runs");
+  if (refused && job.starts > 0) ViolationLocked(id + " was refused each time but ran");
 }
 
 std::optional<Time> SoakHistory::AcknowledgedAt(const std::vector<ListedEnd>& ends, int count) {
@@ -289,10 +292,10 @@
                                [&](Time starts) { return starts > *time; });
   };
   if (starts_after(AcknowledgedAt(record.done, 1))) {
-    ViolationLocked(TaskName(task) + " begins again after its end was taken in");
+    ViolationLocked(TaskName(task) + " starts again after its end was acknowledged");
   }
   if (starts_after(AcknowledgedAt(record.failed, max_attempts_))) {
-    ViolationLocked(TaskName(task) + " begins beyond its tries");
+    ViolationLocked(TaskName(task) + " starts after its maximum number of failed runs");
   }
 }
 
--- a/tests/soak/soak_history.h
+++ b/tests/soak/soak_history.h
@@ -1,5 +1,4 @@
-// What callers and workers saw during a soak, and whether the promises were kept. Shared between
-// threads.
+// Records what callers and workers saw during a soak, and checks the guarantees. Thread-safe.
 #pragma once
 
 #include <map>
@@ -15,45 +14,45 @@
 
 namespace turmericshift::soak {
 
-// A job as its caller made it.
+// A job as its caller created it.
 struct SoakJob {
   pool::JobSpec spec;
-  // So many runs of its first task end failed.
+  // Number of runs of the job's first task that fail.
   int failures = 0;
 };
 
 class SoakHistory {
  public:
-  // `max_attempts`: failed runs of a task that its queue allows.
+  // `max_attempts`: number of failed runs after which a task is not run again.
   explicit SoakHistory(int max_attempts) : max_attempts_(max_attempts) {}
 
-  // What callers saw. A job is noted before it is first sent.
+  // Observations of callers. A job is recorded before it is first submitted.
   void RecordJob(const SoakJob& job);
   void RecordSubmission(const std::string& id, platform::CallOutcome outcome, Time now);
   void RecordCancelSent(const std::string& id);
   void RecordCancelled(const std::string& id, Time now);
-  // A call sent at `sent` was told this state.
+  // Records a state that a caller received.
   void RecordState(const std::string& id, pool::JobState state);
   void RecordUnknown(const std::string& id, Time sent);
 
-  // What workers see: one watch for each life.
+  // Creates the hooks that record observations of one incarnation of a worker.
   std::unique_ptr<pool::WorkerHooks> Watch(const std::string& node, const std::string& zone);
   void EndIncarnation(pool::WorkerHooks* watch);
 
-  // What operators did.
+  // Changes made by operators.
   void RecordZoneOut(const std::string& zone, Time now);
   void RecordZoneIn(const std::string& zone);
-  // Bounds in time don't hold before `until`: a process beside a worker stood still.
+  // Suspends the checks of time limits until `until`, because a paused agent may delay orders.
   void SuspendTimeLimits(Time until);
 
   void RecordViolation(const std::string& what);
-  // Jobs that were accepted and not yet shown as over.
+  // Accepted jobs for which no caller has received a final state.
   std::vector<std::string> Pending() const;
   pool::JobSpec SpecOf(const std::string& id) const;
-  // What can only be told once everything is over.
+  // Checks the guarantees that can be decided only at the end of the soak.
   void CheckAtEnd();
   std::vector<std::string> violations() const;
-  // One line of figures.
+  // Totals for the report, in one line.
   std::string Summary() const;
 
  private:
@@ -67,7 +66,7 @@
     std::optional<pool::JobState> final_state;
     int starts = 0;
   };
-  // An end and the life that lists it.
+  // The end of a run and the worker incarnation that reports it.
   struct ListedEnd {
     IncarnationWatch* incarnation = nullptr;
     int64_t number = 0;
@@ -83,12 +82,12 @@
   void OnStarted(IncarnationWatch* incarnation, const pool::StartCall& call);
   void OnEnded(IncarnationWatch* incarnation, const pool::EndedTask& end);
   bool ShouldFail(const pool::RunId& run);
-  // Null for a task of no job that was made. Wants the lock.
+  // Returns null for a task of an unknown job. The caller must hold the lock.
   const pool::StepSpec* FindStep(const pool::TaskId& task) const;
   int GangSize(const pool::TaskId& task) const;
   bool SavesCheckpoints(const pool::TaskId& task) const;
   void OnCheckpointSaved(const pool::TaskId& task, const std::string& checkpoint);
-  // Members of a gang share their checkpoints: the first stands for all.
+  // The task under which checkpoints are recorded; for a gang its first member, as all share them.
   static pool::TaskId CheckpointOwner(const pool::JobSpec& spec, const pool::TaskId& task);
   void CheckStart(const IncarnationWatch& incarnation, const pool::StartCall& call,
                   const JobRecord& job, Time now);
@@ -96,9 +95,9 @@
                        const JobRecord& job, Time now);
   void CheckJob(const std::string& id, const JobRecord& job);
   void CheckTask(const pool::TaskId& task, const TaskRecord& record);
-  // Of these ends, when the `count`th that the system has taken in came about; empty if there are
-  // fewer. An end counts as taken in when its worker was told that it is kept, unless the worker's
-  // lease ran out between the two: the system may take the task for lost then.
+  // When the `count`th acknowledged end among `ends` occurred; empty if there are fewer. An end
+  // counts once its worker has received the acknowledgement, unless the worker's lease expired in
+  // between: the system may then consider the task lost.
   static std::optional<Time> AcknowledgedAt(const std::vector<ListedEnd>& ends, int count);
   bool StepDone(const pool::JobSpec& spec, int step) const;
   void ViolationLocked(const std::string& what);
@@ -107,7 +106,7 @@
   mutable std::mutex mutex_;
   std::map<std::string, JobRecord> jobs_;
   std::map<pool::TaskId, TaskRecord> tasks_;
-  // What each task, or gang, has saved.
+  // Checkpoints saved by each task or gang.
   std::map<pool::TaskId, std::set<std::string>> checkpoints_;
   std::map<std::string, Time> zones_out_;
   Time time_limits_suspended_until_{};
--- a/tests/soak/soak_main.cc
+++ b/tests/soak/soak_main.cc
@@ -1,5 +1,5 @@
-// The fault soak: a pool of real processes under faults drawn from a seed, with the promises
-// checked from what callers and workers see. Exit code 0 when all were kept, 1 otherwise.
+// The fault soak: runs a pool of real processes under faults drawn from a seed, and checks the
+// guarantees from the view of callers and workers. Exit code 0 if all held, 1 otherwise.
 #include <unistd.h>
 
 #include <algorithm>
@@ -25,20 +25,20 @@
 constexpr int kMaxAttempts = 3;
 constexpr Duration kPollInterval = milliseconds(50);
 constexpr size_t kMaxViolationsShown = 20;
-// For processes to start and a planner to be found.
+// Limit for the processes to start and elect a planner.
 constexpr seconds kStartTimeout{60};
 
 struct SoakOptions {
   SoakSystemOptions system;
   uint64_t seed = 1;
   seconds length{15};
-  // After the last fault every accepted job has to end within this. A change of planner costs 15 s
-  // where agents can't be heard, and jobs wait for each other after it.
+  // Every accepted job must end within this time after the last fault. A change of planner takes 15
+  // s if agents are unreachable, and jobs then queue behind each other.
   seconds completion_timeout{90};
   int callers = 3;
-  // Signals and changes in series beside the other faults.
+  // Adds series of signals and changes to the other faults.
   bool series = false;
-  // SIGHUP as well: it ends a process that has not come to its first statement yet.
+  // Includes SIGHUP, which ends a process that has not yet reached its first statement.
   bool sends_sighup = false;
 };
 
@@ -64,7 +64,7 @@
   return true;
 }
 
-// A loopback address that no other soak on this machine has now.
+// A loopback address that no other running soak on this host uses.
 std::string OwnAddress() {
   constexpr pid_t kOctet = 100;
   const pid_t pid = getpid();
@@ -77,7 +77,7 @@
   {
     SoakSystem system(options.system, &history);
     if (!WaitFor(kStartTimeout, [&] { return Serves(&system); })) {
-      history.RecordViolation("the entries do not come to serve");
+      history.RecordViolation("the entries did not start to serve in time");
     } else {
       SoakCallers callers(options.seed, options.callers, &system, &history);
       std::vector<Fault> faults = DrawFaults(options.seed, options.length);
--- a/tests/soak/soak_process.cc
+++ b/tests/soak/soak_process.cc
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr Duration kPollInterval = std::chrono::milliseconds(10);
-// The platform starts a process again after a short delay.
+// The platform restarts a process after a short delay.
 constexpr Duration kRestartDelay = std::chrono::milliseconds(200);
 
 }  // namespace
@@ -34,7 +34,7 @@
 }
 
 void SoakProcess::Signal(int signal) {
-  // The process is reaped under the same lock, so that its id can't be another's by now.
+  // The process is reaped under the same lock, so its id cannot have been reused.
   const std::lock_guard<std::mutex> lock(signal_mutex_);
   const pid_t pid = pid_.load();
   if (pid <= 0) return;
@@ -60,7 +60,7 @@
     close(file);
     return pid;
   }
-  // Left behind by a soak that was killed, it would go on calling ports that are others' by now.
+  // A process that outlives a killed soak would keep calling ports that others may use by now.
   prctl(PR_SET_PDEATHSIG, SIGKILL);
   dup2(file, STDOUT_FILENO);
   dup2(file, STDERR_FILENO);
@@ -106,7 +106,7 @@
     interrupted_.store(false);
     const pid_t pid = Spawn(output);
     pid_.store(pid);
-    // The owner may have looked for a process to end before there was one.
+    // The destructor may have run before there was a process to kill.
     if (stopping_.load()) Signal(SIGKILL);
     const int status = WaitForEnd(pid, output);
     LogEvent(LogLevel::kInfo, "process_over",
--- a/tests/soak/soak_process.h
+++ b/tests/soak/soak_process.h
@@ -1,5 +1,5 @@
-// A process of the system under soak: started, signalled from outside, and started again when it
-// has ended, as the platform does.
+// A process of the system under soak. It receives signals and is restarted whenever it ends, as the
+// platform does.
 #pragma once
 
 #include <sys/types.h>
@@ -20,36 +20,37 @@
   std::string name;
   // Program and arguments.
   std::vector<std::string> command;
-  // Gets a file for the standard output of each life.
+  // Folder for one output file per incarnation of the process.
   std::string folder;
-  // The line that says where it listens.
+  // The log event in which the process reports its ports.
   std::string started_event = "started";
 };
 
 class SoakProcess {
  public:
-  // `started` gets the fields of the process's own line `started`, from a thread of this.
-  // `on_unexpected_end` hears of ends that no signal of ours asked for.
+  // `started` is called with the fields of the process's start event, in a thread of this class.
+  // `on_unexpected_end` is called when the process ends without a SIGTERM or SIGKILL
+  // sent by Signal.
   SoakProcess(const SoakProcessOptions& options, std::function<void(const nlohmann::json&)> started,
               std::function<void(const std::string&)> on_unexpected_end);
-  // Kills it.
+  // Kills the process.
   ~SoakProcess();
   SoakProcess(const SoakProcess&) = delete;
   SoakProcess& operator=(const SoakProcess&) = delete;
 
   const std::string& name() const { return options_.name; }
-  // Sends a signal to the life that runs now, if any.
+  // Sends a signal to the current incarnation, if it is running.
   void Signal(int signal);
-  // The process started again is another than the one that ran at `life`.
+  // Number of the current incarnation; each restart increments it.
   int incarnation() const { return incarnation_.load(); }
   bool runs(int incarnation) const { return incarnation_.load() == incarnation && pid_.load() > 0; }
-  // Whether `life` was asked to end in order and nothing else was done to it.
+  // Whether `incarnation` received one SIGTERM and neither SIGKILL nor SIGSTOP.
   bool stops_gracefully(int incarnation) const;
 
  private:
   void Run();
   pid_t Spawn(const std::string& output) const;
-  // Waits for the line `started`, then for the end; returns the wait status.
+  // Waits for the start event, then for the end of the process; returns its wait status.
   int WaitForEnd(pid_t pid, const std::string& output);
   bool ReportStarted(const std::string& output) const;
 
--- a/tests/soak/soak_system.cc
+++ b/tests/soak/soak_system.cc
@@ -13,10 +13,10 @@
 constexpr Duration kNoTimeout = std::chrono::seconds(1);
 constexpr int kWorkersInRack = 3;
 constexpr pool::Room kCapacity = {64'000, 131'072, 8};
-// Every third worker's clock runs slow by as much as is allowed.
+// The clock of every third worker runs at this rate, the slowest that is allowed.
 constexpr double kSlowClock = 0.98;
 
-// The platform kills an entry this long after it asked it to end.
+// The platform kills an entry this long after SIGTERM.
 constexpr int kStopLimitSeconds = 6;
 
 std::string Loopback(int port) { return "127.0.0.1:" + std::to_string(port); }
@@ -33,7 +33,7 @@
 SoakSystem::~SoakSystem() {
   for (const auto& entry : entries_) entry->process.reset();
   for (const auto& worker_node : worker_nodes_) worker_node->process.reset();
-  // Workers end before the watches that they tell.
+  // Workers must end before the hooks that they call.
   for (const auto& worker_node : worker_nodes_) worker_node->worker.reset();
 }
 
@@ -110,7 +110,7 @@
 
 void SoakSystem::CrashWorker(SoakWorkerNode* worker_node) {
   if (!worker_node->incarnation) return;
-  // What was told to the life that ends is told to nobody; its port answers nobody.
+  // Calls to the ended incarnation are lost, and its port refuses connections.
   worker_node->worker_relay->SetFault(RelayFault::kReset);
   worker_node->worker->Crash();
   history_->EndIncarnation(worker_node->incarnation.get());
--- a/tests/soak/soak_system.h
+++ b/tests/soak/soak_system.h
@@ -1,5 +1,5 @@
-// A whole pool under soak: entries and agents as processes, store and workers of this process, and
-// a relay on each way between them.
+// A complete pool under soak: entries and agents are processes, store and workers run in this
+// process, and each path between them has a relay.
 #pragma once
 
 #include <memory>
@@ -18,22 +18,22 @@
 struct SoakSystemOptions {
   // The program under soak.
   std::string binary;
-  // For settings and logs.
+  // Folder for settings and logs.
   std::string folder;
-  // Loopback address of the processes, another for each soak: a port that one has left may be
-  // another's by now, and who comes back to it must not meet a foreign pool.
+  // Loopback address of the processes, different for each soak: a reused port must not connect a
+  // process to the pool of another soak.
   std::string ip = "127.0.0.1";
   int entries = 3;
   int workers = 6;
 };
 
-// An entry and the ways to it and from it.
+// An entry with the relays of its connections.
 struct SoakEntry {
   std::string name;
   std::unique_ptr<TcpRelay> callers;
   std::unique_ptr<TcpRelay> sessions;
   std::unique_ptr<TcpRelay> store;
-  // Last, so that it ends before its ways.
+  // Declared last, so that the process ends before its relays.
   std::unique_ptr<SoakProcess> process;
 };
 
@@ -66,11 +66,11 @@
   void CrashWorker(SoakWorkerNode* worker_node);
   void StartWorker(SoakWorkerNode* worker_node, bool same_id);
   void SetZone(const std::string& zone, bool out);
-  // The document again, under the next version.
+  // Publishes the same document under the next version.
   void PublishDocument();
-  // The store forgets its history; the newest records stay.
+  // Makes the store drop its history; the newest record of each key stays.
   void DropHistory();
-  // Ends every fault that lasts.
+  // Ends all current faults.
   void Heal();
 
  private:
@@ -87,7 +87,7 @@
   pool::GangTracker gang_tracker_;
   platform::FakeStoreServer store_server_;
   int64_t version_ = 0;
-  // Lives that are over; their workers may still be in a call.
+  // Ended incarnations, kept because their workers may still be in a call.
   std::vector<std::unique_ptr<pool::WorkerHooks>> past_incarnations_;
   std::vector<std::unique_ptr<SoakWorkerNode>> worker_nodes_;
   std::vector<std::unique_ptr<SoakEntry>> entries_;
--- a/tests/stand_ins/faulty_link.cc
+++ b/tests/stand_ins/faulty_link.cc
@@ -82,7 +82,7 @@
     agent_process_->agent->Serve(again);
   }
   if (link_state_->injected_bug == InjectedBug::kFalseNotRun) {
-    throw Error(ErrorKind::kOverloaded, Outcome::kNotRun, "a planted lie");
+    throw Error(ErrorKind::kOverloaded, Outcome::kNotRun, "injected bug: the request ran");
   }
   if (agent_process_->dead.load()) ThrowConnectionLost();
   return answer;
@@ -98,7 +98,7 @@
     try {
       agent_process->agent->Serve(request);
     } catch (const Error&) {
-      // Nobody waits for it any more.
+      // The caller was already told that the connection is lost.
     }
   });
 }
@@ -133,7 +133,7 @@
 }
 
 void FaultyLink::ThrowConnectionLost() {
-  throw Error(ErrorKind::kConnectionLost, "the link has lost it");
+  throw Error(ErrorKind::kConnectionLost, "the link lost the message");
 }
 
 ServiceAnswer CountingTarget::Perform(const ServiceRequest& request) {
@@ -143,7 +143,7 @@
     faults = faults_;
   }
   if (random_->Chance(faults.refused)) {
-    throw Error(ErrorKind::kUnavailable, Outcome::kNotRun, "the target refuses the connection");
+    throw Error(ErrorKind::kUnavailable, Outcome::kNotRun, "the target refused the connection");
   }
   history_->Add(RunEvent{agent_, request.request_id, request.idempotency_key, request.body});
   std::this_thread::sleep_for(std::chrono::milliseconds(random_->Below(kMaxRunMillis)));
--- a/tests/stand_ins/faulty_link.h
+++ b/tests/stand_ins/faulty_link.h
@@ -1,4 +1,4 @@
-// An agent's port with the faults of a network between, and a target that counts what it runs.
+// An agent port with simulated network faults, and a target that records each request it runs.
 #pragma once
 
 #include <atomic>
@@ -16,26 +16,27 @@
 
 namespace turmericshift {
 
-// Chances from 0 to 1.
+// Probabilities from 0 to 1 that a fault hits a message.
 struct LinkFaults {
-  // Never arrives.
+  // The request never arrives.
   double lost = 0;
-  // Arrives after its sender was told that the connection is lost.
+  // The request arrives after its sender was told that the connection is lost.
   double late = 0;
   double duplicated = 0;
   double answer_lost = 0;
-  // Another request's answer comes in its place, or only half of its own.
+  // The answer of another request is returned instead.
   double swapped = 0;
+  // Only the first half of the answer arrives.
   double truncated = 0;
   double delayed = 0;
-  // Hangs until the link is dropped or the time is over.
+  // The call hangs until the link is dropped or the call's timeout expires.
   double silent = 0;
 };
 
-// Faults of the path itself, to show that the check finds them.
+// Bugs of the request path, injected to show that the history check detects them.
 enum class InjectedBug { kNone, kRunsTwice, kSwapsAnswers, kFalseNotRun };
 
-// Seeded dice that several threads share.
+// Seeded random number generator that several threads share.
 class SharedRandom {
  public:
   explicit SharedRandom(uint64_t seed) : random_(seed) {}
@@ -47,14 +48,14 @@
   std::mt19937_64 random_;
 };
 
-// An agent process as the network sees it: calls end with a lost connection once it is killed.
+// An agent process as the network sees it: calls fail with a lost connection once it is killed.
 struct AgentProcess {
   std::shared_mutex alive;
   std::atomic<bool> dead{false};
   AgentPort* agent = nullptr;
 };
 
-// Shared by all links of one run.
+// Faults and random generator that all links of one test run share.
 struct LinkState {
   explicit LinkState(uint64_t seed) : random(seed) {}
   LinkFaults faults() const;
@@ -65,7 +66,7 @@
   mutable std::mutex mutex;
   LinkFaults current;
   ServiceAnswer previous_answer;
-  // Delivers what is late; last, so that it ends first.
+  // Delivers late requests. Declared last, so that its threads end before the state they use.
   ThreadPool late_deliveries{"late-mail", 16};
 };
 
@@ -99,7 +100,7 @@
   bool dropped_ = false;
 };
 
-// Chances from 0 to 1.
+// Probabilities from 0 to 1 that a request of the target fails this way.
 struct TargetFaults {
   double refused = 0;
   double answer_lost = 0;
@@ -110,7 +111,7 @@
   CountingTarget(std::string agent, RequestHistory* history, SharedRandom* random)
       : agent_(std::move(agent)), history_(history), random_(random) {}
   ServiceAnswer Perform(const ServiceRequest& request) override;
-  // While held, what runs does not end.
+  // While the target is blocked, running requests do not end.
   void SetBlocked(bool blocked);
   void SetFaults(const TargetFaults& faults);
   int running() const;
--- a/tests/stand_ins/pool_simulation.cc
+++ b/tests/stand_ins/pool_simulation.cc
@@ -11,9 +11,9 @@
 using std::chrono::milliseconds;
 
 constexpr Duration kTick = std::chrono::milliseconds(10);
-// Agents poll and hold this often; news goes out with the next tick.
+// Agents send a hold call to their worker every 50 ms; updates are reported with the next tick.
 constexpr int kTicksBetweenHoldCalls = 5;
-// Stops take half of the time that they may.
+// A stop takes half of the time allowed for it.
 constexpr int kStopTimeDivisor = 2;
 constexpr Duration kPollWait = std::chrono::milliseconds(500);
 constexpr Duration kPollTimeout = std::chrono::milliseconds(1200);
@@ -46,9 +46,9 @@
   std::map<RunId, Live> live;
   std::map<int64_t, EndedTask> ended;
   std::map<TaskId, int64_t> newest_over;
-  // While a poll is out, when it was sent.
+  // When the outstanding poll was sent; empty if there is none.
   std::optional<Time> poll_sent;
-  // Something has come about that the planner should hear of at once.
+  // The agent has an update that it must report to the planner immediately.
   bool has_update = false;
   Duration planner_lag{};
 };
@@ -139,8 +139,8 @@
   one.newest_over.clear();
 }
 
-// Ends that nobody took in before the worker died or its lease ran out count as never seen: their
-// tasks are rightly run again.
+// Ends that were not acknowledged before the worker died or its lease expired are forgotten:
+// running their tasks again is correct.
 void PoolSimulation::ForgetUnreportedEnds(const Worker& worker) {
   for (const auto& row : worker.ended) {
     if (row.second.kind == EndKind::kDone) done_.erase(row.second.run.task);
@@ -408,7 +408,7 @@
   const AgentOrders orders = planner_->Orders(sent.node, now_);
   Worker& to = worker(sent.node);
   if (sent.report.wait > Duration::zero()) {
-    // The agent has given that connection up.
+    // The agent has abandoned this poll, so its answer is discarded.
     if (to.poll_sent != sent.sent) return;
     to.poll_sent.reset();
   }
--- a/tests/stand_ins/pool_simulation.h
+++ b/tests/stand_ins/pool_simulation.h
@@ -1,6 +1,5 @@
-// A pool in passed-in time: the planner's and the agents' own decisions over workers of a few
-// lines, so that a load pattern or a failure is replayed in milliseconds and always in the same
-// way.
+// Simulates a pool in virtual time: the real planner and agent states drive simple simulated
+// workers, so that a load pattern or failure is replayed deterministically within milliseconds.
 #pragma once
 
 #include <deque>
@@ -24,7 +23,7 @@
   Room capacity = {64'000, 131'072, 8};
 };
 
-// One run as a worker saw it.
+// One run of a task as its worker saw it.
 struct SimulatedRun {
   RunId run;
   std::string node;
@@ -40,11 +39,11 @@
                  const PoolBounds& bounds = {});
   ~PoolSimulation();
 
-  // How long a run of a task takes on a sound worker; the step's estimate unless set.
+  // Run time of a task on a healthy worker; the step's estimate if unset.
   std::function<Duration(const TaskId&)> actual_duration;
-  // Whether a run ends failed.
+  // Whether a run fails when its time is over; no run fails if unset.
   std::function<bool(const RunId&, const std::string& node)> fails;
-  // Whom the advice service names for an advised job; everybody unless set.
+  // Whether the advice service allows a worker for an advised job; all workers if unset.
   std::function<bool(const std::string& job, const std::string& node)> advises;
 
   void Submit(const JobSpec& spec);
@@ -53,40 +52,40 @@
   // Runs until the job is in `state`; false when that takes longer than `limit`.
   bool RunUntil(const std::string& id, JobState state, Duration limit);
   JobState StateOf(const std::string& id) const;
-  // All that the store has kept.
+  // The jobs whose records are durable in the store.
   const JobTable& job_table() const { return job_table_; }
   const std::vector<SimulatedRun>& runs() const { return runs_; }
   std::vector<SimulatedRun> RunsOf(const std::string& job) const;
   Time now() const { return now_; }
-  // Questions that the advice service has been asked.
+  // Number of requests sent to the advice service.
   int advice_requests() const { return advice_requests_; }
-  // Starts that a worker turned away for their ticket.
+  // Number of starts that workers rejected because of an invalid ticket.
   int rejected_tickets() const { return rejected_tickets_; }
 
-  // The planner is gone at once and another takes over from what the store has kept.
+  // Replaces the planner immediately; its successor recovers from the durable records.
   void ReplacePlanner();
-  // No word between the agent and any planner; the worker runs on.
+  // Stops all messages between the agent and any planner; the worker keeps running.
   void Isolate(const std::string& node) { isolated_.insert(node); }
   void Heal(const std::string& node) { isolated_.erase(node); }
-  // The worker dies with all that it runs and comes back as a new life.
+  // The worker dies with all its runs and restarts as a new incarnation.
   void RestartWorker(const std::string& node);
-  // The agent's process is replaced; the worker runs on.
+  // Replaces the agent's process; the worker keeps running.
   void RestartAgent(const std::string& node);
   void Drain(const std::string& node);
-  // What runs at the worker makes no progress.
+  // While a worker is stuck, its runs make no progress.
   void SetStuck(const std::string& node, bool stuck);
-  // The planner takes so many reports each hundredth of a second, in the order in which they came;
-  // the others wait. Agents poll each half second and, unanswered for 1.2 s, ask anew, as the real
-  // ones do; the report that they gave up is read all the same.
+  // Limits the planner to `reports` reports per tick of 10 ms, in order of arrival; the others
+  // wait. Agents poll every 500 ms and repeat a poll that is unanswered for 1.2 s, as real agents
+  // do; the planner still reads the report of the abandoned poll.
   void SetReportsPerTick(int reports) { reports_per_tick_ = reports; }
-  // The planner does nothing at all.
+  // While paused, the planner does nothing.
   void SetPlannerPaused(bool paused) { planner_paused_ = paused; }
   Duration planner_lag() const { return planner_->lag(); }
-  // Appends are not answered.
+  // While the store is down, appends are not answered.
   void SetStoreDown(bool down) { store_down_ = down; }
   void SetOperators(const OperatorState& operators);
 
-  // What must never be, as sentences; empty when all was well.
+  // Violated invariants as sentences; empty if all invariants held.
   const std::vector<std::string>& violations() const { return violations_; }
 
  private:
@@ -105,7 +104,7 @@
   void TickAgent(Worker* worker);
   void Announce(Worker* worker);
   void HandleOrders(Worker* worker, const AgentOrders& orders, Time sent);
-  // Agents and planner that talk by SetReportsPerTick.
+  // Exchange of reports and orders when SetReportsPerTick limits the planner.
   void SendReport(Worker* worker);
   void ReadReports();
   void Answer(const SentReport& sent);
@@ -133,26 +132,26 @@
   int ticks_ = 0;
   int incarnations_ = 0;
   bool store_down_ = false;
-  // What the advice service is asked now, and since when.
+  // The pending request to the advice service, and when it was sent.
   std::optional<AdviceRequest> advice_request_;
   Time advice_requested_at_{};
   int advice_requests_ = 0;
   int rejected_tickets_ = 0;
   std::set<std::string> isolated_;
-  // Without a number every report is taken at once.
+  // If unset, the planner reads each report immediately.
   std::optional<int> reports_per_tick_;
   bool planner_paused_ = false;
   std::deque<SentReport> unread_reports_;
-  // Polls that wait for news, and until when.
+  // Polls that wait for pending orders, with the time at which they are answered anyway.
   std::map<std::string, std::pair<SentReport, Time>> waiting_polls_;
   std::vector<SimulatedRun> runs_;
   std::set<TaskId> done_;
   std::vector<std::string> violations_;
 };
 
-// A step of equal tasks of an accelerator each and a share of the processors.
+// A step of equal tasks, each with `accelerators` accelerators and a share of the processors.
 StepSpec SampleStep(int tasks, int accelerators, Duration estimate);
-// A job of one step.
+// A job with a single step.
 JobSpec SampleJob(const std::string& id, const std::string& queue, const std::string& workspace,
                   const StepSpec& step);
 // Queues "urgent" (priority 0), "batch" (1) and "bulk" (2) of service "plans"; workspaces "one" and
--- a/tests/stand_ins/request_cluster.cc
+++ b/tests/stand_ins/request_cluster.cc
@@ -24,7 +24,7 @@
   return options;
 }
 
-// Connects one agent to entries by their index.
+// Connects one agent to entries, whose addresses are their indexes.
 class DirectConnector : public EntryConnector {
  public:
   DirectConnector(const RequestCluster* cluster, LinkState* link_state,
@@ -49,7 +49,7 @@
 }  // namespace
 
 EntryBeat HeartbeatPort::Heartbeat(const AgentBeat& beat, Duration /*timeout*/) {
-  if (entry_->gone.load()) throw Error(ErrorKind::kConnectionLost, "the entry has gone");
+  if (entry_->gone.load()) throw Error(ErrorKind::kConnectionLost, "the entry is gone");
   entry_->directory.RecordHeartbeat(hello_, beat, DefaultClock().Now());
   return {};
 }
@@ -87,7 +87,7 @@
 
 RequestCluster::~RequestCluster() {
   for (size_t index = 0; index < agents_.size(); ++index) KillAgent(index);
-  // Ends reads that wait at the head.
+  // Ends reads that wait for new records.
   LogFaults down;
   down.reads_fail = true;
   log_.SetFaults(down);
@@ -115,7 +115,7 @@
   TestAgent& agent = agents_[index];
   if (!agent.server) return;
   agent.agent_process->dead.store(true);
-  // Calls in it end without an answer; then nothing uses it any more.
+  // Running calls of the agent end without an answer; after that the server can be destroyed.
   const std::unique_lock<std::shared_mutex> lock(agent.agent_process->alive);
   agent.server.reset();
 }
@@ -146,7 +146,7 @@
 }
 
 void RequestCluster::WaitForSessions() {
-  WaitUntil("the agents did not come to know the entries", [this] {
+  WaitUntil("not every entry has a session with every agent", [this] {
     for (size_t index = 0; index < entries(); ++index) {
       const auto known =
           entry(index)->directory.Candidates(kTestService, DefaultClock().Now(), kWaitTimeout);
--- a/tests/stand_ins/request_cluster.h
+++ b/tests/stand_ins/request_cluster.h
@@ -1,5 +1,5 @@
-// Several entries and agents in one process with faults at the ports between them and at the log,
-// without sockets.
+// Runs several entries and agents in one process without sockets, and injects faults into the ports
+// between them and into the log.
 #pragma once
 
 #include <atomic>
@@ -19,10 +19,10 @@
 
 inline constexpr const char* kTestService = "planner";
 
-// The part of an entry that carries requests.
+// The part of an entry that routes requests.
 struct TestEntry {
   explicit TestEntry(LogService* log);
-  // Small, so that a test can outlive them.
+  // Number of idempotency keys that an entry retains; small, so that a test can exceed it.
   static constexpr size_t kRetainedKeys = 64;
 
   MetricsRegistry metrics;
@@ -30,11 +30,11 @@
   StreamClient stream;
   AgentDirectory directory;
   RequestRouter router;
-  // Its machine has gone: agents find nobody there.
+  // Set once the entry's VM is gone: agents can no longer reach the entry.
   std::atomic<bool> gone{false};
 };
 
-// One agent's session with such an entry.
+// The session of one agent with a TestEntry.
 class HeartbeatPort : public EntryPort {
  public:
   HeartbeatPort(std::shared_ptr<TestEntry> entry, AgentHello hello)
@@ -62,18 +62,18 @@
   RequestCluster(const RequestCluster&) = delete;
   RequestCluster& operator=(const RequestCluster&) = delete;
 
-  // Sends the request to that entry, records what came of it and returns that.
+  // Sends a request to the entry, records the outcome in the history and returns it.
   AnswerEvent Call(size_t entry, const std::string& key, const std::string& body, Duration limit);
 
-  // Replaces the entry by a fresh one; calls in it go on, as in a process that is cut off.
+  // Replaces the entry by a new one; calls in the old entry continue, as in an isolated process.
   void ReplaceEntry(size_t index);
-  // Ends the agent's process, gracefully or at once, and starts it anew.
+  // Ends the agent's process, gracefully or immediately, and starts a new one.
   void RestartAgent(size_t index, bool graceful);
   // The agent's process ends and does not come back.
   void KillAgent(size_t index);
-  // The agent opens another connection to the entry beside the one it has.
+  // Opens a second connection from the agent to the entry.
   void Reconnect(size_t agent, size_t entry);
-  // Waits until every entry knows every agent that runs.
+  // Waits until every entry has a session with every running agent.
   void WaitForSessions();
 
   std::shared_ptr<TestEntry> entry(size_t index) const;
@@ -93,11 +93,11 @@
   std::vector<std::shared_ptr<TestEntry>> entries_;
   std::atomic<int> next_request_{1};
   std::vector<TestAgent> agents_;
-  // Last, so that late messages end before what they are delivered to.
+  // Declared last, so that late deliveries end before their receivers are destroyed.
   LinkState link_state_;
 };
 
-// Waits for a condition that other threads bring about; fails the test when it does not come.
+// Waits for `holds` to return true; fails the test with the message `what` on a timeout.
 void WaitUntil(const std::string& what, const std::function<bool()>& holds);
 
 }  // namespace turmericshift
--- a/tests/stand_ins/request_history.cc
+++ b/tests/stand_ins/request_history.cc
@@ -37,7 +37,7 @@
       violations.push_back("answer of another request: " + event.request_id);
     }
     if (event.outcome == Outcome::kNotRun && run_requests.contains(event.request_id)) {
-      violations.push_back("told not_run and ran: " + event.request_id + " " + event.error);
+      violations.push_back("reported as not_run but ran: " + event.request_id + " " + event.error);
     }
   }
   return violations;
--- a/tests/stand_ins/request_history.h
+++ b/tests/stand_ins/request_history.h
@@ -1,4 +1,4 @@
-// What callers and targets saw of requests in one run, and the check of what must always hold.
+// Records what callers and targets saw of requests, and checks the invariants.
 #pragma once
 
 #include <mutex>
@@ -9,7 +9,7 @@
 
 namespace turmericshift {
 
-// A target began to do the work of a request.
+// A target started to run a request.
 struct RunEvent {
   std::string agent;
   std::string request_id;
@@ -17,19 +17,19 @@
   std::string body;
 };
 
-// A caller was answered.
+// A caller received an answer or an error.
 struct AnswerEvent {
   std::string request_id;
   std::string key;
   std::string body;
   Outcome outcome = Outcome::kUnknown;
-  // Of an answer; an error has none.
+  // False if the caller received an error.
   bool answered = false;
   std::string answer;
   std::string error;
 };
 
-// What a target answers to `body`.
+// The answer of a target to a request with `body`.
 std::string AnswerTo(const std::string& body);
 
 class RequestHistory {
@@ -38,7 +38,7 @@
   void Add(const AnswerEvent& event);
 
   // One line for each violation: a key or an unrepeatable request that ran more than once, an
-  // answer that belongs to another request, a "not run" that ran.
+  // answer that belongs to another request, or a request that ran after "not_run" was reported.
   std::vector<std::string> Violations() const;
   size_t answered() const;
   // The events as JSON lines, runs first.
--- a/tests/stand_ins/tcp_relay.cc
+++ b/tests/stand_ins/tcp_relay.cc
@@ -25,7 +25,7 @@
   return address;
 }
 
-// One chunk from one end to the other; false once the sending end has closed.
+// Copies one chunk from one end to the other; false once the sending end has closed.
 bool CopyChunk(int from, int to) {
   std::array<char, kChunkBytes> chunk{};
   const ssize_t size = recv(from, chunk.data(), chunk.size(), 0);
@@ -33,7 +33,7 @@
   return send(to, chunk.data(), static_cast<size_t>(size), MSG_NOSIGNAL) == size;
 }
 
-// Closes with a reset instead of an orderly end.
+// Makes close() send a reset instead of an orderly shutdown.
 void Reset(int fd) {
   const linger at_once = {1, 0};
   setsockopt(fd, SOL_SOCKET, SO_LINGER, &at_once, sizeof(at_once));
@@ -56,7 +56,7 @@
   const bool bound = bind(listener_, reinterpret_cast<sockaddr*>(&address), size) == 0 &&
                      listen(listener_, SOMAXCONN) == 0 &&
                      getsockname(listener_, reinterpret_cast<sockaddr*>(&address), &size) == 0;
-  if (!bound) throw Error(ErrorKind::kUnavailable, "the relay can't listen");
+  if (!bound) throw Error(ErrorKind::kUnavailable, "the relay cannot bind a loopback port");
   port_ = ntohs(address.sin_port);
   thread_ = Thread("relay", [this] { Accept(); });
 }
@@ -122,7 +122,7 @@
       Reset(pair->far);
       break;
     }
-    // What is not carried is not read either, so that neither end learns anything.
+    // Blocked data is not read either, so that neither end notices the fault.
     const bool silent = pair->silent.load() || fault == RelayFault::kSilent;
     const bool forward = !silent && fault != RelayFault::kDropForward;
     const bool backward = !silent && fault != RelayFault::kDropBackward;
--- a/tests/stand_ins/tcp_relay.h
+++ b/tests/stand_ins/tcp_relay.h
@@ -1,5 +1,5 @@
-// Stands between two ends of TCP connections and can lose track of those it has, so that they stay
-// open and carry nothing any more while new ones work; and has the faults of a network.
+// Relays TCP connections and simulates network faults. Existing connections can be silenced: they
+// stay open but carry no data, while new connections work.
 #pragma once
 
 #include <atomic>
@@ -13,35 +13,36 @@
 
 namespace turmericshift {
 
-// What happens to all connections, old and new, while it is in force.
+// A fault that applies to all connections, existing and new, while it is set.
 enum class RelayFault {
   kNone,
-  // Nothing is carried either way; what was sent arrives when the fault is over.
+  // No data is forwarded in either direction; it arrives once the fault is cleared.
   kSilent,
-  // Nothing is carried from those who connect, or back to them.
+  // No data is forwarded from the connecting side to the target.
   kDropForward,
+  // No data is forwarded from the target to the connecting side.
   kDropBackward,
-  // Open connections are reset, new ones too.
+  // Open and new connections are reset.
   kReset,
-  // Whatever is carried takes a fifth of a second longer.
+  // All data is delayed by 200 ms.
   kSlow,
 };
 
 class TcpRelay {
  public:
-  // Relays to port `to` of the loopback address `ip`; 0: to nobody yet.
+  // Relays to port `to` of the loopback address `ip`; 0 if the port is set later by Retarget.
   explicit TcpRelay(int to, const std::string& ip = "127.0.0.1");
   ~TcpRelay();
   TcpRelay(const TcpRelay&) = delete;
   TcpRelay& operator=(const TcpRelay&) = delete;
 
   int port() const { return port_; }
-  // Every connection open now goes silent for good.
+  // Permanently stops the data of all connections that are open now.
   void Silence();
   void SetFault(RelayFault fault);
-  // Whether a fault has been in force at any time since `since`, by the clock for leases.
+  // Whether a fault has been set at any time since `since`, a time of LeaseClock.
   bool HadFaultSince(Time since) const;
-  // New connections go there.
+  // Relays new connections to port `to`.
   void Retarget(int to) { to_.store(to); }
   int connections() const { return connections_.load(); }
 
@@ -49,7 +50,7 @@
   struct Pair;
   void Accept();
   void Forward(Pair* pair) const;
-  // Pairs whose connections have closed.
+  // Removes pairs whose connections have closed.
   void RemoveClosedPairs();
 
   const std::string ip_;
