--- a/tests/control_history_test.cc
+++ b/tests/control_history_test.cc
@@ -1,5 +1,5 @@
-// Histories of operators, entries and agents under faults: versions never fall anywhere, and no
-// start follows a zone's exit by more than the bound.
+// Runs operators, entries and agents under faults and checks two invariants: configuration versions
+// never decrease, and nothing starts in a zone later than the bound after the zone was taken out.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -31,7 +31,8 @@
          "accelerators_per_worker = 8\nmemory_per_worker = 1GiB\n";
 }
 
-// When zone "a" was out for sure: from an operator's answer to the next order to bring it in.
+// A period in which zone "a" was certainly out: from the operator's answer to the next order to
+// bring the zone in.
 struct ZoneExit {
   Time answered{};
   Time in_ordered = Time::max();
@@ -64,7 +65,7 @@
   }
 
   ~ControlHistoryTest() override {
-    // Entries first: they drop agents that fell silent, and their pointers own nothing here.
+    // Entries end first: they drop silent agents, to which they hold non-owning pointers here.
     for (size_t index = 0; index < entries_.size(); ++index) StopEntry(index);
     agents_.clear();
   }
@@ -99,7 +100,8 @@
         std::make_unique<AgentServer>(options, connector, nullptr, nullptr, &metrics_));
   }
 
-  // Orders a change of zone "a" at any entry; returns whether it was accepted for sure.
+  // Orders a state change of zone "a" at the given entry; returns whether it was certainly
+  // accepted.
   bool OrderZoneState(size_t entry, bool in) {
     HttpCall call;
     call.method = "POST";
@@ -113,8 +115,8 @@
     }
   }
 
-  // Two operators who know nothing of each other, at changing entries. Orders go out in turns of
-  // their own; only what both know to hold counts as an exit.
+  // The loop of one operator, who sends orders to random entries. Operators act independently, but
+  // their orders are serialized, so that the recorded periods out are certain.
   void RunOperator(uint64_t seed) {
     std::minstd_rand random(static_cast<std::minstd_rand::result_type>(seed));
     while (!done_.load()) {
@@ -132,8 +134,9 @@
     }
   }
 
-  // Outages, lost answers and partial blindness, each entry its own; partitions between the agents
-  // of zone "a" and single entries; restarts of entries. Each lasts longer than the bound at times.
+  // Injects outages, lost answers and failed reads into the log of each entry, partitions between
+  // the agents of zone "a" and single entries, and restarts of entries. Some last longer than the
+  // bound.
   void InjectFaults() {
     std::minstd_rand random(11);
     while (!done_.load()) {
@@ -160,7 +163,7 @@
     }
   }
 
-  // One agent's scheduler: asks the guard all the time, as gangs do, and notes every start.
+  // The scheduler of one agent: repeatedly asks the guard, as gangs do, and records each start.
   void RunScheduler(const AgentServer* agent) {
     int64_t version = 0;
     const bool counts = agent->zone() == "a";
@@ -175,7 +178,7 @@
         const std::lock_guard<std::mutex> lock(starts_mutex_);
         starts_.push_back(now);
       } catch (const Error&) {
-        // Nothing may start now.
+        // Starts are not allowed at present.
       }
       Sleep(milliseconds(5));
     }
@@ -210,8 +213,8 @@
   std::atomic<bool> done_{false};
 };
 
-// Operators change a zone back and forth while entries lose their ways to the log one by one and
-// together, and restart. A task that starts long after the exit would run into the maintenance.
+// Operators take a zone out and in while entries restart and lose the log, singly and together. A
+// task that starts too long after the zone was taken out would run into the maintenance.
 TEST_F(ControlHistoryTest, NoStartsAfterZoneOutBoundAndVersionsNeverDecrease) {
   {
     std::vector<Thread> threads;
@@ -226,20 +229,21 @@
     Finish();
   }
   EXPECT_FALSE(version_decreased_.load());
-  // A history without exits and starts would show nothing.
+  // A history without exits or starts would prove nothing.
   EXPECT_FALSE(exits_.empty());
   EXPECT_FALSE(starts_.empty());
   for (const ZoneExit& exit : exits_) {
     const auto late = std::find_if(starts_.begin(), starts_.end(), [&exit](Time start) {
       return start > exit.answered + kZoneOutBound && start < exit.in_ordered;
     });
-    EXPECT_EQ(late, starts_.end()) << "a start followed an exit by more than the bound";
+    EXPECT_EQ(late, starts_.end())
+        << "a task started later than the bound after the zone was taken out";
   }
 }
 
-// The hard case of a zone's exit: the agents hear two entries that have lost the log, and the
-// third, through which the operators take the zone out, is cut off from them. They must not take
-// the two for proof that the log is down; a task would start in a zone that is being taken apart.
+// The agents reach two entries that have lost the log, but not the third entry, through which
+// operators take the zone out. If the agents took the two entries as proof that the log is down, a
+// task would start in a zone that is under maintenance.
 TEST_F(ControlHistoryTest, AgentsIsolatedFromTheOnlyEntryThatReadsTheLogStartNothing) {
   const auto may_start = [](const AgentServer& agent) {
     try {
@@ -259,21 +263,22 @@
       return agent->guard().entry_statements(DefaultClock().Now()).size() == entries_.size();
     });
   };
-  // An agent knows nothing of an entry that it never heard; docs/notes/zone-out.md says so.
+  // An agent does not consider entries that it never received a report from; see
+  // docs/notes/zone-out.md.
   while (!any_in_zone_a() || !all_received()) Sleep(milliseconds(10));
-  // The order is to go to an entry that has read the document.
+  // The order must go to an entry that has read the document.
   while (!entries_[2].server->ready()) Sleep(milliseconds(10));
   for (size_t index : {0, 1}) entries_[index].log->SetFaults({.reads_fail = true});
   zone_a_connector_.Detach(Address(entries_[2]));
   ASSERT_TRUE(OrderZoneState(2, false));
   const Time answered = DefaultClock().Now();
-  // A start between the look at the clock and the answer is allowed; after the bound none is.
+  // Starts are allowed until the bound after the answer, and forbidden from then on.
   while (DefaultClock().Now() <= answered + kZoneOutBound) Sleep(milliseconds(10));
   while (DefaultClock().Now() <= answered + 3 * kZoneOutBound) {
     ASSERT_FALSE(any_in_zone_a());
     Sleep(milliseconds(10));
   }
-  // The way to the third entry is back: the agents learn of the exit and stay out.
+  // The third entry is reachable again: the agents learn that the zone is out and start nothing.
   zone_a_connector_.Attach(Address(entries_[2]), entries_[2].server.get());
   const auto all_know = [&] {
     return std::all_of(agents_.begin(), agents_.end(),
--- a/tests/fuzz/parsers_fuzz.cc
+++ b/tests/fuzz/parsers_fuzz.cc
@@ -1,5 +1,5 @@
-// Feeds the parsers of everything that strangers write: the first byte chooses the parser. A
-// refusal is an Error; anything else that leaves a parser is a fault.
+// Fuzzes all parsers of untrusted input; the first byte selects the parser. A parser rejects bad
+// input with an Error; any other exception or crash is a bug.
 #include <cstddef>
 #include <cstdint>
 #include <string>
@@ -19,10 +19,10 @@
 namespace turmericshift {
 namespace {
 
-// The last of them stands for two.
+// The last number selects one of two parsers.
 constexpr uint8_t kPlatformParsers = 8;
 
-// What comes from the users' platform and from the store.
+// Parses input from the users' platform and from the store.
 void ParsePlatform(uint8_t parser, const std::string& text) {
   pool::JobSpec spec;
   pool::OperatorState state;
@@ -58,7 +58,7 @@
   }
 }
 
-// From here on the first byte chooses among what comes from the platform.
+// First bytes from this value on select a parser of ParsePlatform.
 constexpr uint8_t kFirstPlatformParser = 128;
 
 void ParseInput(uint8_t parser, const std::string& text) {
@@ -85,14 +85,14 @@
 }  // namespace
 }  // namespace turmericshift
 
-// The name is libFuzzer's.
+// libFuzzer requires this name.
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {  // NOLINT
   if (size == 0) return 0;
   try {
     turmericshift::ParseInput(data[0],
                               std::string(reinterpret_cast<const char*>(data + 1), size - 1));
   } catch (const turmericshift::Error&) {
-    // The answer that bad input should get.
+    // Bad input must be rejected with an Error.
   }
   return 0;
 }
--- a/tests/request_history_test.cc
+++ b/tests/request_history_test.cc
@@ -1,5 +1,5 @@
-// Concurrent requests through several entries and agents under faults, each run recorded and
-// checked. REQUEST_HISTORY_SEED=N replays one seed.
+// Sends concurrent requests through several entries and agents under faults, and checks the
+// recorded history. REQUEST_HISTORY_SEED=N replays one seed.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -20,8 +20,8 @@
 constexpr int kAttemptsPerRequest = 6;
 constexpr Duration kCallTimeout = std::chrono::milliseconds(800);
 
-// Every other request may not be repeated; its caller comes back with the same key, at any entry,
-// until it is answered.
+// Every other request must not run twice; its caller repeats it with the same key, at random
+// entries, until it is answered.
 void CallOne(RequestCluster* cluster, int caller, int number) {
   const std::string name = std::to_string(caller) + "-" + std::to_string(number);
   const std::string key = number % 2 == 0 ? "key-" + name : "";
@@ -34,7 +34,7 @@
   }
 }
 
-// Two callers send the same key at once, as an impatient parent's app does.
+// Pairs of callers send the same key concurrently, like an app whose user taps twice.
 void RunCallers(RequestCluster* cluster) {
   std::vector<Thread> callers;
   callers.reserve(kMaxCallers);
@@ -47,7 +47,7 @@
   }
 }
 
-// Breaks one thing after another until told to stop.
+// Injects one fault after another until `stop` is set.
 void InjectFaults(RequestCluster* cluster, const std::atomic<bool>* stop) {
   SharedRandom& random = cluster->link_state().random;
   while (!stop->load()) {
@@ -107,9 +107,9 @@
   if (!violations.empty()) std::fputs(history.JsonLines().c_str(), stderr);
 }
 
-// Messages are lost, late, doubled, crossed, cut; entries and agents die and come back; the log
-// fails in three ways. A user would notice a box charged twice, another family's plan, or an order
-// refused as not run that is packed all the same.
+// Messages are lost, late, duplicated, swapped and truncated, entries and agents restart, and the
+// log fails in three ways. Errors would charge a user twice, return another user's answer, or run
+// an order that was reported as not run.
 TEST(RequestHistoryTest, NoDuplicateRunsOrSwappedAnswersUnderFaults) {
   for (const uint64_t seed : Seeds()) {
     std::printf("seed %llu\n", static_cast<unsigned long long>(seed));
@@ -124,17 +124,18 @@
     stop.store(true);
     fault_injector.Join();
     ExpectNoViolations(cluster.history(), seed);
-    // Of 180 requests most must get through, or the check would prove nothing.
+    // Most of the 180 requests must be answered, or the check would prove nothing.
     EXPECT_GT(cluster.history().answered(), 90U) << "seed " << seed;
   }
 }
 
-// Operators roll through all entries and agents, one after another, by planned stops.
+// Operators replace all agents and entries one after another by planned stops, which must not
+// interrupt any request.
 TEST(RequestHistoryTest, RollingRestartInterruptsNoRequest) {
   RequestCluster cluster(3, 4, 21);
   std::atomic<bool> rolled{false};
   std::atomic<int> refused{0};
-  // The balancer sends nothing to an entry that says it leaves or is not ready.
+  // The balancer sends nothing to an entry that is leaving or not ready.
   std::atomic<size_t> out{cluster.entries()};
   std::vector<Thread> callers;
   callers.reserve(kMaxCallers);
--- a/tests/request_windows_test.cc
+++ b/tests/request_windows_test.cc
@@ -1,5 +1,5 @@
-// Each moment at which something can die between a caller's request that may not be repeated and
-// its answer. docs/notes/requests.md lists them.
+// Failures at each point between a request that must not run twice and its answer.
+// docs/notes/requests.md lists these points.
 #include <gtest/gtest.h>
 
 #include "core/attempt.h"
@@ -21,7 +21,8 @@
     return cluster_.Call(entry, kKey, kBody, limit);
   }
 
-  // The claim as entry 0 would write it for the agent, and the message that it would then forward.
+  // Writes the claim that entry 0 would write for the agent, and returns the message that the entry
+  // would then forward.
   ServiceRequest ClaimOnly(size_t agent) {
     const AgentState state = cluster_.entry(0)->directory.Find(cluster_.agent(agent).name);
     RequestClaimed claim;
@@ -60,28 +61,29 @@
   RequestCluster cluster_{2, 2, 1};
 };
 
-// An entry records its claim and is paused or dies before it forwards the order. The parent's app
-// sends it again to another entry; it must be packed, and once, even when the first entry wakes up.
+// An entry records its claim and is paused or dies before it forwards the order. The caller repeats
+// the order at another entry; it must run exactly once, even if the first entry resumes.
 TEST_F(RequestWindowsTest, EntryStopsBetweenClaimAndForwarding) {
   const ServiceRequest paused = ClaimOnly(0);
   ExpectAnswered(CallWith(1));
   try {
     cluster_.agent(0).server->Serve(paused);
-    ADD_FAILURE() << "the paused entry's message ran";
+    ADD_FAILURE() << "the message of the paused entry was run";
   } catch (const Error& error) {
     EXPECT_EQ(error.kind(), ErrorKind::kFenced);
   }
   ExpectNoViolations();
 }
 
-// The entry dies after it forwarded; the target does the work. A repeat gets that answer.
+// The entry dies after it forwarded the order, and the target runs it. A repeat must get its
+// answer.
 TEST_F(RequestWindowsTest, EntryStopsAfterForwarding) {
   cluster_.agent(0).server->Serve(ClaimOnly(0));
   ExpectAnswered(CallWith(1));
   ExpectNoViolations();
 }
 
-// The answer arrives cut. The entry notices by the digest and gets the whole one by asking.
+// The answer arrives truncated. The entry detects this by the digest and fetches the full answer.
 TEST_F(RequestWindowsTest, AnswerIsTruncatedInTransit) {
   LinkFaults faults;
   faults.truncated = 1;
@@ -91,8 +93,8 @@
   ExpectNoViolations();
 }
 
-// The agent dies while its target works on the order. Nobody can know whether it was done, so the
-// caller is told "unknown" at once, and a repeat does not run it again.
+// The agent dies while its target runs the order. Whether the order was completed is unknown, so
+// the caller is told "unknown" immediately, and a repeat does not run the order again.
 TEST_F(RequestWindowsTest, AgentDiesWhileTheTargetRuns) {
   for (size_t agent : {0U, 1U}) cluster_.agent(agent).target->SetBlocked(true);
   AnswerEvent first;
@@ -113,7 +115,8 @@
   ExpectNoViolations();
 }
 
-// The log is down when the order arrives: refused, truly not run, and accepted once it is back.
+// The log is down when the order arrives. The order is refused, is not run, and is accepted once
+// the log is available again.
 TEST_F(RequestWindowsTest, LogIsDownBeforeTheClaim) {
   LogFaults down;
   down.appends_fail = true;
@@ -125,8 +128,8 @@
   ExpectNoViolations();
 }
 
-// The claim takes effect but its writer never learns, and gives up. The order was not run; the
-// claim that stands in the log must not block the key.
+// The claim is written but its writer receives no answer and gives up. The order was not run, so
+// the claim in the log must not block the key.
 TEST_F(RequestWindowsTest, ClaimIsWrittenAfterItsWriterGaveUp) {
   LogFaults deaf;
   deaf.append_answers_lost = true;
@@ -140,8 +143,8 @@
   ExpectNoViolations();
 }
 
-// The log goes down while the target works. The caller still gets the answer, and so does a repeat
-// at another entry, which asks the agent.
+// The log goes down while the target runs the order. The caller still gets the answer, and so does
+// a repeat at another entry, which queries the agent.
 TEST_F(RequestWindowsTest, LogGoesDownWhileTheTargetRuns) {
   const ServiceRequest message = ClaimOnly(0);
   WaitUntil("entry 1 did not read the claim", [&] {
@@ -157,7 +160,7 @@
   ExpectNoViolations();
 }
 
-// An impatient parent taps twice. The second tap waits for the first one's answer.
+// A caller sends an order twice. The second request must wait for the answer of the first.
 TEST_F(RequestWindowsTest, ARepeatWaitsForTheRunningRequest) {
   for (size_t agent : {0U, 1U}) cluster_.agent(agent).target->SetBlocked(true);
   AnswerEvent first;
@@ -188,9 +191,8 @@
   ExpectNoViolations();
 }
 
-// A caller comes back with a key so old that what became of it is no longer kept, first as a hash
-// and then not at all. The entry can't know whether it was run, so it says "unknown" and does not
-// run it.
+// A caller repeats a key whose outcome is no longer retained: first only its hash is, then nothing.
+// The entry cannot know whether the order was run, so it answers "unknown" and does not run it.
 TEST_F(RequestWindowsTest, KeyIsOlderThanTheRetainedKeys) {
   const int64_t first_use = DefaultClock().WallMillis();
   ExpectAnswered(CallWith(0));
@@ -222,8 +224,8 @@
   ExpectNoViolations();
 }
 
-// A connection goes silent for good under a request. The agent connects anew, and the entry asks
-// about the request there instead of letting its caller wait.
+// A connection goes silent permanently while a request is in flight. The agent reconnects, and the
+// entry resolves the request over the new connection instead of letting the caller wait.
 TEST_F(RequestWindowsTest, ConnectionGoesSilentUnderARequest) {
   LinkFaults silent;
   silent.silent = 1;
@@ -241,7 +243,7 @@
   ExpectNoViolations();
 }
 
-// A target leaves while requests wait for its slots. They move to the other target.
+// A target leaves while requests wait for its slots. The waiting requests move to the other target.
 TEST_F(RequestWindowsTest, TargetLeavesWhileRequestsWait) {
   cluster_.agent(1).target->SetBlocked(true);
   cluster_.agent(0).target->SetBlocked(true);
@@ -259,7 +261,7 @@
   });
   bool finished = false;
   Thread leaving("leave", [&] { finished = cluster_.agent(0).server->Leave(kTimeout); });
-  WaitUntil("the entry did not hear of it",
+  WaitUntil("the entry was not notified that the agent is leaving",
             [&] { return cluster_.entry(0)->directory.Find("worker-0").leaving; });
   for (size_t agent : {0U, 1U}) cluster_.agent(agent).target->SetBlocked(false);
   leaving.Join();
--- a/tests/silent_connection_test.cc
+++ b/tests/silent_connection_test.cc
@@ -1,4 +1,4 @@
-// A real session whose connection goes silent for good, with a request in flight on it.
+// A real session whose connection goes silent permanently while a request is in flight.
 #include <gtest/gtest.h>
 
 #include "core/attempt.h"
@@ -13,7 +13,7 @@
 
 constexpr int kMaxRequests = 16;
 
-// Lets agents into a test entry.
+// Opens sessions of agents at a TestEntry.
 class TestGate : public EntryGate {
  public:
   explicit TestGate(std::shared_ptr<TestEntry> entry) : entry_(std::move(entry)) {}
@@ -27,9 +27,9 @@
   const std::shared_ptr<TestEntry> entry_;
 };
 
-// Something between entry and agent loses track of their connection: it stays open and carries
-// nothing, while new ones work. The caller must get the answer of the work that its target did,
-// long before the deadline, and the work must not be done twice.
+// A network device between entry and agent loses the state of their connection: it stays open but
+// carries no data, while new connections work. The caller must get its target's answer long before
+// the deadline, and the request must not run twice.
 TEST(SilentConnectionTest, ARequestInFlightIsResolvedOverANewConnection) {
   MemoryLog log;
   RequestHistory history;
@@ -79,7 +79,8 @@
     const int connections = relay.connections();
     relay.Silence();
     target.SetBlocked(false);
-    WaitUntil("no second connection came", [&] { return relay.connections() > connections; });
+    WaitUntil("the agent did not open a second connection",
+              [&] { return relay.connections() > connections; });
     caller.Join();
     ASSERT_TRUE(attempt.value) << attempt.error->what();
     EXPECT_EQ(attempt.value->body, AnswerTo(request.body));
--- a/tests/soak/soak_system.h
+++ b/tests/soak/soak_system.h
@@ -62,7 +62,7 @@
   platform::FakeStoreServer& store() { return store_server_; }
   static const std::vector<std::string>& zones();
 
-  // The worker dies with all that it runs; it is away until StartWorker.
+  // The worker dies with all its runs and is unreachable until StartWorker.
   void CrashWorker(SoakWorkerNode* worker_node);
   void StartWorker(SoakWorkerNode* worker_node, bool same_id);
   void SetZone(const std::string& zone, bool out);
--- a/tests/whole_path_test.cc
+++ b/tests/whole_path_test.cc
@@ -1,4 +1,5 @@
-// The whole path in one process: document, gang job, request, zone out and in.
+// Runs the demo in one process: publishes a document, runs a gang job, answers a request, and takes
+// a zone out and in.
 #include <gtest/gtest.h>
 
 #include "main/commands.h"
