--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Two commands do all the set-up on a fresh Debian machine: `make run` and `make test`.
+# `make run` and `make test` need no other set-up on a fresh Debian system.
 BUILD ?= build
 JOBS ?= $(shell nproc)
 export CCACHE_BASEDIR ?= $(CURDIR)
@@ -12,7 +12,7 @@
 test: build
 	ctest --test-dir $(BUILD) --output-on-failure -j $(JOBS)
 
-# All suites; the table on standard output, the same figures as JSON in the build folder.
+# Runs all benchmark suites; prints a table and writes the same figures as JSON to the build folder.
 bench: build
 	$(BUILD)/turmericshift bench --json $(BUILD)/bench.json
 
@@ -20,7 +20,7 @@
 	cmake -S . -B $(BUILD) -G Ninja -DCMAKE_CXX_COMPILER_LAUNCHER=ccache >/dev/null
 	cmake --build $(BUILD) -j $(JOBS)
 
-# The program alone, as it is delivered.
+# Builds only the program, as it is delivered.
 release: install-packages
 	cmake -S . -B $(BUILD)-release -G Ninja -DCMAKE_BUILD_TYPE=Release -DBUILD_TESTS=OFF \
 	  -DCMAKE_CXX_COMPILER_LAUNCHER=ccache >/dev/null
--- a/misc/check_format.sh
+++ b/misc/check_format.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Fails when a source file is not as clang-format would write it.
+# Fails if a source file is not formatted by clang-format.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 git ls-files -co --exclude-standard '*.cc' '*.h' | grep -v '^rpc/generated/' |
--- a/misc/check_model.sh
+++ b/misc/check_model.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Checks a model: check_model.sh MODEL holds|fails [DEFINE]. `holds` passes when spin finds no error,
-# `fails` when it finds an assertion violated. A search that was cut short passes neither.
+# Checks a model: check_model.sh MODEL holds|fails [DEFINE]. `holds` passes if spin finds no error,
+# `fails` if it finds a violated assertion. An incomplete search passes neither.
 set -euo pipefail
 model=$(realpath "$1")
 expected=$2
@@ -13,7 +13,7 @@
 ./pan -E -m200000 -w22 >out 2>&1 || true
 grep -E 'errors:|states, stored|elapsed time' out || true
 if grep -qE 'max search depth too small|out of memory|reached -DMEMLIM' out; then
-  echo "the search was cut short"
+  echo "the search was incomplete: depth or memory limit reached"
   exit 1
 fi
 case $expected in
--- a/misc/generate_rpc.sh
+++ b/misc/generate_rpc.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Makes the committed C++ code of the Cap'n Proto schemas anew. Run after a change of rpc/*.capnp.
+# Regenerates the committed C++ code of the Cap'n Proto schemas. Run after changing rpc/*.capnp.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 cd rpc
--- a/misc/install_packages.sh
+++ b/misc/install_packages.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Installs every package that the build, the checks and the tests need on a fresh Debian machine.
-# Does nothing, and needs no network, when all of them are there already.
+# Does nothing, and needs no network, if all of them are installed.
 set -euo pipefail
 
 packages=(g++ make cmake ninja-build ccache pkg-config
--- a/misc/lint.sh
+++ b/misc/lint.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Lints every source file, or those named after the build folder: lint.sh BUILD [FILE...].
-# A file whose preprocessed text has been found clean before is not looked at again.
+# Lints all source files, or only the given files: lint.sh BUILD [FILE...].
+# Skips files whose preprocessed text has passed before.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=$1
@@ -11,7 +11,7 @@
 
 lint_one() {
   local file=$1 key
-  # What the compiler sees of the file, the checks and the checker's version decide the verdict.
+  # The result depends on the preprocessed file, the enabled checks and the version of clang-tidy.
   key=$({ clang++ -std=c++20 -E -P -I. -isystem rpc/generated "$file" 2>/dev/null; cat "$file" .clang-tidy; clang-tidy --version; } | sha256sum | cut -d' ' -f1)
   [ -e "$cache/$key" ] && return 0
   if clang-tidy --quiet --extra-arg=-Wno-unknown-warning-option -p "$build" "$file" 2>/dev/null; then
--- a/misc/measure_roles.sh
+++ b/misc/measure_roles.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Resident memory and processor share of idle entries and agents as processes of their own, on
-# loopback: measure_roles.sh BINARY [SECONDS]. docs/notes/control.md has its figures.
+# Measures resident memory and processor share of idle entry and agent processes on loopback:
+# measure_roles.sh BINARY [SECONDS]. docs/notes/control.md has the results.
 set -euo pipefail
 source "$(dirname "$0")/../tests/process_lib.sh"
 seconds=${2:-20}
--- a/tests/embed_test.sh
+++ b/tests/embed_test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Installs the library into a folder of its own and builds the embedding example against it, as
-# somebody else's project would.
+# Installs the library into a separate folder and builds the embedding example against it, as an
+# external project would.
 set -euo pipefail
 build=$1
 source=$2
--- a/tests/faults_test.sh
+++ b/tests/faults_test.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# One entry dies while the gangs it planned run; another is frozen, as a VM is during a live
-# migration, wakes after its duty has passed on, and still thinks it has it. Jobs must be found
-# again and not started twice: a doubled label run charges a household twice, a lost one leaves jars
-# unmarked. The processes' own logs are held against the promises at the end.
+# One entry dies while the gangs it planned run. Another is frozen, as a VM is during a live migration,
+# and resumes after it lost the leadership but still considers itself the active planner. Jobs must be
+# recovered and not started twice: a duplicate run charges a user twice, a lost run leaves work undone.
+# At the end the processes' logs are checked against the guarantees.
 set -euo pipefail
 source "$(dirname "$0")/process_lib.sh"
 zones=(a b c)
@@ -28,7 +28,7 @@
 operators="$ip:$(port entry-b operators) $ip:$(port entry-c operators)"
 callers="$ip:$(port entry-b callers) $ip:$(port entry-c callers)"
 for zone in "${zones[@]}"; do await is "first-$zone" "done"; done
-# taken_over ZONE ENTRY…: one of these entries has taken the zone's duty.
+# taken_over ZONE ENTRY…: one of these entries has become the zone's active planner.
 taken_over() {
   local zone=$1 entry
   shift
--- a/tests/fuzz/fuzz_test.sh
+++ b/tests/fuzz/fuzz_test.sh
@@ -1,7 +1,6 @@
 #!/usr/bin/env bash
 # Builds the parsers with libFuzzer and AddressSanitizer and runs a fixed number of inputs from a
-# fixed seed, so that the verdict is the same every time. For a longer hunt: fuzz_test.sh SOURCE
-# RUNS SEED.
+# fixed seed, so that the result is reproducible. For a longer run: fuzz_test.sh SOURCE RUNS SEED.
 set -euo pipefail
 source=$1
 runs=${2:-20000}
@@ -18,9 +17,9 @@
   servers/pool/pool_config.cc servers/pool/pool_messages.cc servers/pool/job_api.cc servers/pool/unresolved_calls.cc
   servers/pool/local_planner_client.cc servers/pool/pool_view.cc servers/pool/topic_follower.cc
   servers/pool/job_table.cc servers/pool/pool_worker.cc servers/pool/planner_router.cc)
-# Tests have no place here, and the adapter's plug-ins pull nothing in that is parsed.
+# Leaves out tests, and the adapter's plug-in registration, which no parser needs.
 mapfile -t units < <(printf '%s\n' "${units[@]}" | grep -v -e '_test.cc$' -e register_types)
-# The parsers' own files only; what else they come to need is added here.
+# Compiles only the files of the parsers; add further dependencies to the list above.
 printf '%s\n' "${units[@]}" | xargs -P 4 -I{} bash -c '
   clang++ -std=c++20 -O1 -g -fsanitize=fuzzer-no-link,address -I. -c {} \
     -o "$0/$(echo {} | tr / _).o"' "$work"
--- a/tests/models/gang.pml
+++ b/tests/models/gang.pml
@@ -1,11 +1,11 @@
-/* A gang of two members at two agents: reserve, start held, release, first lease, renewal on the
- * evidence of both, stop, and the next attempt. Calls and answers are lost or arrive late, members
- * crash, and the planner may stand still between any two steps. docs/notes/gangs.md.
+/* A gang of two members at two agents: reserve, start held, release, first lease, renewal on evidence
+ * from both members, stop, and the next attempt. Calls and answers are lost or delayed, members
+ * crash, and the planner may pause between any two steps. See docs/notes/gangs.md.
  *
- * Checked: no two attempts run at once, and no member runs without the other for longer than a
- * lease. Defines that break it, one each: NO_PROOF starts the next attempt without proof that the
- * last is over; NO_BEAT_TIME counts a renewal's lease from its arrival; NO_EVIDENCE renews without
- * having heard of both members.
+ * Invariants: two attempts never run concurrently, and no member runs without the other for longer
+ * than a lease. Each of these defines breaks the model: NO_PROOF starts the next attempt without proof
+ * that the previous attempt has ended; NO_BEAT_TIME counts a renewed lease from the arrival of the
+ * renewal; NO_EVIDENCE renews without a heartbeat from both members.
  */
 #define MEMBERS 4 /* two for each attempt: the next one is placed elsewhere */
 #define ATTEMPTS 2
@@ -33,7 +33,7 @@
 byte partial[ATTEMPTS];
 bool crashed = false;
 
-/* One call that was sent and has not arrived. */
+/* A call that was sent and has not arrived. */
 bool late = false;
 byte late_kind, late_member, late_attempt, late_from;
 
@@ -50,7 +50,7 @@
        phase[m] = HELD; until[m] = now + HOLD; ok = true
   :: kind == RELEASE && phase[m] == HELD && attempt[m] == a ->
        phase[m] = RUNNING; until[m] = now + FIRST; ok = true;
-       /* No two attempts at once. */
+       /* Two attempts never run concurrently. */
        assert(m >= 2 || (phase[2] != RUNNING && phase[3] != RUNNING));
        assert(m < 2 || (phase[0] != RUNNING && phase[1] != RUNNING))
   :: kind == RENEW && phase[m] == RUNNING && attempt[m] == a ->
@@ -69,7 +69,7 @@
   fi
 }
 
-/* `answered` and `ok` say what the planner learns. */
+/* `answered` and `ok` are what the planner learns of the call. */
 inline call(kind, m, a, from) {
   atomic {
     answered = false;
@@ -90,7 +90,7 @@
 
 active proctype Network() {
   do
-  /* Nobody learns its answer. */
+  /* The answer is lost. */
   :: atomic { late -> late = false; kept = ok;
        perform(late_kind, late_member, late_attempt, late_from); ok = kept }
   :: atomic { !crashed -> crashed = true;
@@ -151,7 +151,7 @@
         call(START, base + 1, a, 0); fine = fine && ok
      :: else
      fi;
-     /* A release can only land while the hold lasts, a renewal only while the lease does. */
+     /* A release is effective only during the hold, a renewal only during the lease. */
      lapses = now + HOLD + FIRST + LEASE;
      if
      :: fine ->
@@ -159,12 +159,12 @@
         call(RELEASE, base + 1, a, 0); fine = fine && ok
      :: else
      fi;
-     /* Three rounds are enough to break each define; the second attempt needs none. */
+     /* Three rounds suffice for each define to fail; the second attempt needs no round. */
      rounds = 0;
      do
      :: fine && a == 1 && rounds < 3 ->
         rounds++;
-        /* Both beats, then both renewals. */
+        /* Both heartbeats, then both renewals. */
         atomic { seen = now;
 #ifndef NO_EVIDENCE
           fine = (phase[base] == RUNNING && phase[base + 1] == RUNNING)
@@ -182,7 +182,7 @@
         fi
      :: break
      od;
-     /* The end of the attempt: proof of each member, by its answer or by time. */
+     /* The attempt ends with proof that each member has ended, by its answer or by time. */
      over0 = false; over1 = false;
 #ifndef NO_PROOF
      do
--- a/tests/models/planner.pml
+++ b/tests/models/planner.pml
@@ -1,10 +1,11 @@
-/* Two planners of one zone and a job that one of two agents may run. The old planner may stand still
- * anywhere and be cut off from the log; its successor claims the next epoch, hears the agents or
- * waits two leases, and starts the job unless it found it. docs/notes/planner-duty.md.
+/* Two planners of one zone and a job that one of two agents may run. The old planner may pause at any
+ * point and lose the log. Its successor claims the next epoch, receives the agents' reports or waits
+ * two leases, and starts the job unless an agent runs it. See docs/notes/planner-duty.md.
  *
- * Checked: the job never runs at both agents. Defines that break it, one each: NO_FENCE lets agents
- * obey a lower epoch; NO_TRUST lets them obey a planner although no entry that reads the log was
- * heard for a lease; NO_WAIT lets the successor start the job before it has heard every agent.
+ * Invariant: the job never runs at both agents. Each of these defines breaks the model: NO_FENCE lets
+ * agents obey a lower epoch; NO_TRUST lets them obey a planner although they received no heartbeat from
+ * an entry that reads the log for a lease; NO_WAIT lets the successor start the job before it has
+ * received a report from every agent.
  */
 #define AGENTS 2
 #define LEASE 2
@@ -13,12 +14,12 @@
 byte now = 0;
 bool claimed = false;
 byte claimed_at;
-/* At each agent. */
+/* State of each agent. */
 byte epoch[AGENTS];
 byte fresh_at[AGENTS];
 bool running[AGENTS];
 byte until[AGENTS];
-/* The agent can be heard by entries other than the old planner's. */
+/* Entries other than the old planner's receive reports from the agent. */
 bool linked[AGENTS];
 
 /* Whether agent g obeys epoch e now. */
@@ -33,7 +34,7 @@
 #define TRUSTS(g) (now <= fresh_at[g] + LEASE)
 #endif
 
-/* Start or renew in one: the lease counts from now. */
+/* Starts the job or renews its lease, which counts from now. */
 inline begin(g, e) {
   atomic {
     if
@@ -80,7 +81,7 @@
   od
 }
 
-/* Beats of entries that read the log: they tell of a claim as soon as there is one. */
+/* Heartbeats of entries that read the log; they report a claim as soon as it is in the log. */
 active [AGENTS] proctype Beats() {
   byte g = _pid % AGENTS;
   do
@@ -100,7 +101,7 @@
   :: g = 0
   :: g = 1
   fi;
-  /* It may stand still here, and wake after its successor has started the job. */
+  /* The planner may pause here and resume after its successor has started the job. */
   begin(g, 1);
   do
   :: now < END_OF_TIME -> renew(g, 1)
@@ -113,7 +114,7 @@
   byte g;
   atomic { claimed = true; claimed_at = now };
 #ifndef NO_WAIT
-  /* Both agents are out of the old planner's reach, or all it may have told them has run out. */
+  /* Both agents reported to the successor, or all leases from the old planner have expired. */
   (epoch[0] == 2 && epoch[1] == 2) || now > claimed_at + 2 * LEASE;
 #endif
   atomic {
--- a/tests/operations_test.sh
+++ b/tests/operations_test.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# The procedures of docs/OPERATIONS.md with separate processes on loopback: first start of a trial
-# and of production, publish, promote, rollback, zone out and in, replacing entries and agents one
-# by one, rolling the shared key, and the log going down and coming back.
+# Runs the procedures of docs/OPERATIONS.md with separate processes on loopback: first start of a trial
+# and a production environment, publish, promote, rollback, zone out and in, replacing entries and
+# agents one by one, rotating the shared key, and an outage of the log.
 set -euo pipefail
 source "$(dirname "$0")/process_lib.sh"
 echo "a-promotion-key-for-this-test" >"$work/promotion"
@@ -10,7 +10,7 @@
 await listening target
 target_url="http://127.0.0.1:$(port target callers)"
 
-# environment_up NAME MORE: a log, two entries and two agents of an environment.
+# environment_up NAME MORE: starts a log, two entries and two agents of an environment.
 environment_up() {
   local name=$1 more=$2 zone
   start "$name-log" stand-in log
@@ -44,7 +44,7 @@
 as_operator config publish --wait 20s --author kati "$work/environment.ini"
 operators=$(entries_of production)
 if as_operator config publish "$work/environment.ini"; then
-  echo "production took a document that no trial had" >&2
+  echo "production accepted a document that no trial environment had" >&2
   exit 1
 fi
 await as_operator config promote --from-entries "$trial" --from-token-file "$work/operator" --wait 20s
@@ -57,8 +57,8 @@
 as_operator zone show | grep -q '^a  *out'
 as_operator zone in --author angus a
 
-# replace_all: entries and agents of production, one by one; entries come back at the addresses that
-# agents know.
+# replace_all: replaces the entries and agents of production one by one; entries keep the addresses
+# that agents know.
 replace_all() {
   local zone sessions
   for zone in a b; do
@@ -76,7 +76,8 @@
 }
 replace_all
 
-# The shared key is rolled: first all know both, then all prove with the new one, then the old goes.
+# Rotates the shared key: all processes first accept both keys, then use the new key, and finally the
+# old key is removed.
 printf 'a-key-for-this-test\nthe-next-key\n' >"$work/keys"
 replace_all
 printf 'the-next-key\na-key-for-this-test\n' >"$work/keys"
@@ -84,15 +85,15 @@
 echo 'the-next-key' >"$work/keys"
 replace_all
 
-# The log goes down: operators get a refusal, and what is in force stays readable.
+# While the log is down, operators' changes are refused, and the configuration in force stays readable.
 kill -KILL "$(cat "$work/production-log.pid")"
 if as_operator zone out a; then
-  echo "a zone change was taken without a log" >&2
+  echo "a zone change was accepted without a log" >&2
   exit 1
 fi
 as_operator config show | cmp - "$work/old.ini"
 
-# Nothing secret in any log.
+# No log may contain a secret.
 for secret in a-key-for-this-test the-next-key a-promotion-key an-operator-token "$token"; do
   if grep -l -- "$secret" "$work"/*.log; then
     echo "a secret is in a log" >&2
--- a/tests/outage_test.sh
+++ b/tests/outage_test.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# The platform's log hangs: it takes connections and never answers. Questions that may be repeated
-# are answered all the same; an order and a job are refused with a true "not run", so that nobody is
-# charged for what was refused; what runs goes on; and all works again when the log is back.
+# The platform's log hangs: it accepts connections and never answers. Repeatable requests must still be
+# answered. An order and a job must be refused with a correct "not run", so that no user is charged for
+# refused work. Running jobs must continue, and everything must work again once the log recovers.
 set -euo pipefail
 source "$(dirname "$0")/process_lib.sh"
 zones=(a b)
@@ -25,7 +25,7 @@
 
 kill -STOP "$(cat "$work/log.pid")"
 answered ""
-# refused WORDS…: the command fails as unavailable, and says truthfully that nothing was run.
+# refused WORDS…: the command fails as unavailable and correctly reports that nothing was run.
 refused() {
   local code=0
   "$@" >/dev/null 2>"$work/refusal" || code=$?
--- a/tests/process_lib.sh
+++ b/tests/process_lib.sh
@@ -1,11 +1,11 @@
-# Helps the tests that run the system as separate processes on loopback. Source it with the binary's
-# path in $1; it gives a folder $work, and ends the processes it started when the script ends.
+# Library for tests that run the system as separate processes on loopback. Source it with the binary's
+# path in $1. It provides a folder $work, and ends the processes it started when the script exits.
 binary=$1
 work=$(mktemp -d)
-# Loopback address of this test's entries. An entry that comes back at its old port must not find
-# that another test, or one of its connections, has been given that port meanwhile.
+# Loopback address of this test's entries, different for each test: when an entry restarts at its old
+# port, no other test or connection may have taken that port.
 ip="127.$((1 + $$ / 62500 % 250)).$((1 + $$ / 250 % 250)).$((1 + $$ % 250))"
-# Only children that still run: the id of one that has ended may be another's by now.
+# Only running children: the id of an ended process may have been reused.
 cleanup() {
   local pid
   for pid in $(jobs -pr); do kill -KILL "$pid" 2>/dev/null || true; done
@@ -13,23 +13,24 @@
 }
 trap cleanup EXIT
 
-# Where the steps are told; a command's own output may be dropped.
+# File descriptor for the progress messages, because a command's own output may be discarded.
 exec {steps}>&2
 begun_us=${EPOCHREALTIME/[.,]/}
 
-# step WORDS...: tells what begins or has ended, and when. A test that is cut off shows where it was.
+# step WORDS...: prints which step begins or has ended, with the time, so that the output of a test
+# that times out shows the step it reached.
 step() {
   local us=$((${EPOCHREALTIME/[.,]/} - begun_us))
   printf '[%4d.%03d s] %s\n' $((us / 1000000)) $((us / 1000 % 1000)) "$*" >&"$steps"
 }
 
-# Runs the rest of the words every 50 ms until they succeed, for at most 30 s.
+# Runs the remaining words as a command every 50 ms until it succeeds, for at most 30 s.
 await() {
   local deadline=$((SECONDS + 30)) tries=1 awaiting=yes
   step "await $*"
   until "$@" >/dev/null 2>&1; do
     if [ $SECONDS -ge $deadline ]; then
-      echo "did not come about: $*" >&2
+      echo "condition not met in time: $*" >&2
       tail -n 5 "$work"/*.log >&2
       exit 1
     fi
@@ -39,7 +40,7 @@
   step "came about at try $tries: $*"
 }
 
-# threads_of PID: each thread's name, state and place in the kernel.
+# threads_of PID: prints each thread's name, state and kernel wait location.
 threads_of() {
   local thread
   for thread in "/proc/$1/task"/*; do
@@ -48,17 +49,17 @@
   done
 }
 
-# has_ended PID: a child that has ended and not been waited for yet is a zombie.
+# has_ended PID: whether the child has ended; until it is waited for, it is a zombie.
 has_ended() { ! grep -qs '^State:[[:space:]]*[^Z[:space:]]' "/proc/$1/status"; }
 
-# await_end NAME: waits for the process to end by itself; its exit status. After 70 s, more than a
-# graceful stop may take, the test fails and says which of its threads are left.
+# await_end NAME: waits for the process to end without a signal; returns its exit status. After 70 s,
+# longer than a graceful stop may take, the test fails and prints the threads that are left.
 await_end() {
   local pid deadline=$((SECONDS + 70))
   pid=$(cat "$work/$1.pid")
   until has_ended "$pid"; do
     if [ $SECONDS -ge $deadline ]; then
-      echo "$1 (process $pid) does not end; its threads:" >&2
+      echo "$1 (process $pid) did not end within 70 s; its threads:" >&2
       threads_of "$pid" >&2
       tail -n 5 "$work/$1.log" >&2
       exit 1
@@ -68,7 +69,7 @@
   wait "$pid"
 }
 
-# stop NAME: a planned stop; the process's exit status.
+# stop NAME: stops the process gracefully; returns its exit status.
 stop() {
   local status=0
   step "stop $1"
@@ -78,18 +79,18 @@
   return $status
 }
 
-# start NAME WORDS...: starts a process whose log goes to NAME.log.
+# start NAME WORDS...: starts a process that logs to NAME.log.
 start() {
   local name=$1
   shift
-  # Emptied before the process runs: its predecessor's lines would be taken for its own.
+  # Emptied before the start, or lines of the previous process would be read as the new one's.
   : >"$work/$name.log"
   "$binary" "$@" >"$work/$name.log" 2>&1 {steps}>&- &
   echo $! >"$work/$name.pid"
   step "started $name"
 }
 
-# port NAME KIND: the port of that kind that the process listens on.
+# port NAME KIND: prints the port of this kind that the process listens on.
 port() {
   grep -o "\"$2\":[0-9]*" "$work/$1.log" | head -n 1 | cut -d: -f2
 }
@@ -142,11 +143,11 @@
 INI
 }
 
-# The two below want $operators and $callers: "IP:port IP:port …".
+# The two functions below need $operators and $callers: "IP:port IP:port …".
 as_operator() { command_step "$@" --entries "$operators" --token-file "$work/operator"; }
 as_caller() { command_step "$@" --entries "$callers" --token-file "$work/token"; }
 
-# command_step WORDS...: runs one command of the binary. An await tells of its tries itself.
+# command_step WORDS...: runs one command of the binary as a step; await reports its own steps.
 command_step() {
   local status=0
   [ -n "${awaiting:-}" ] || step "command: $1 ${2:-}"
@@ -155,8 +156,8 @@
   return $status
 }
 
-# document ZONE...: an environment with one worker in each zone, for workspace boxes and service
-# planner; its token is in $work/token.
+# document ZONE...: prints an environment with one worker in each zone, for workspace boxes and
+# service planner; its token is in $work/token.
 document() {
   local hash zone
   hash=$("$binary" token --of "$work/token")
@@ -182,21 +183,21 @@
 INI
 }
 
-# addresses KIND: where the entries of $zones listen, "IP:port IP:port …".
+# addresses KIND: prints the addresses of the entries in $zones, "IP:port IP:port …".
 addresses() {
   local zone list=()
   for zone in "${zones[@]}"; do list+=("$ip:$(port "entry-$zone" "$1")"); done
   echo "${list[*]}"
 }
 
-# How often the target has run each idempotency key, as JSON.
+# Prints how often the target has run each idempotency key, as JSON.
 target_runs() {
   exec 3<>"/dev/tcp/127.0.0.1/$(port target callers)"
   printf 'GET /runs HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n' >&3
   tail -n 1 <&3
 }
 
-# start_platform [OPTION OF THE TARGET…]: the stand-ins of the log and of one target.
+# start_platform [OPTION OF THE TARGET…]: starts the stand-ins of the log and of one target.
 start_platform() {
   start log stand-in log
   start target stand-in target "$@"
@@ -212,7 +213,7 @@
   await listening "entry-$1"
 }
 
-# Knows the entries that listen now.
+# Updates the addresses of the entries that listen now.
 start_agent() {
   agent_settings "$1" "$(addresses sessions)" >"$work/agent-$1.ini"
   start "agent-$1" agent "$work/agent-$1.ini"
--- a/tests/processes_test.sh
+++ b/tests/processes_test.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# The whole path as separate processes on loopback: a log, two targets, two entries, two agents.
-# A document is published, a gang job runs, a request is answered, a zone goes out and in; then an
-# entry is stopped by SIGTERM and the other serves on.
+# Runs the system as separate processes on loopback: a log, two targets, two entries, two agents. A
+# document is published, a gang job runs, a request is answered, and a zone is taken out and in. Then
+# one entry is stopped by SIGTERM, and the other must keep serving.
 set -euo pipefail
 source "$(dirname "$0")/process_lib.sh"
 zones=(a b)
@@ -34,7 +34,7 @@
 as_caller job show while-out --json | grep -q '"zone": "b"'
 as_operator zone in --wait 20s a
 
-# Requests that run for a second when their entry is told to stop are answered in full.
+# One-second requests that are running when their entry receives SIGTERM must be answered in full.
 in_flight=()
 for number in $(seq 6); do
   "$binary" request --entries "$ip:$(port entry-a callers)" --token-file "$work/token" \
@@ -52,6 +52,6 @@
 done
 await_end entry-a
 
-# The other entry serves on.
+# The other entry keeps serving.
 await answer order-2
 echo "1 passed, 0 failed"
--- a/tests/rolling_test.sh
+++ b/tests/rolling_test.sh
@@ -1,8 +1,7 @@
 #!/usr/bin/env bash
-# Every VM is replaced, one after another, while callers go on asking: each agent and each entry is
-# told to stop by SIGTERM and a new one takes its place. A planned stop must cut no request short,
-# lose none and run no order twice; a household would be charged twice or wait for an answer that
-# never comes.
+# Replaces every VM, one after another, under load: each agent and entry is stopped by SIGTERM and
+# replaced by a new process. A planned stop must not interrupt or lose a request or run an order twice;
+# a user would be charged twice or never get an answer.
 set -euo pipefail
 source "$(dirname "$0")/process_lib.sh"
 zones=(a b c)
@@ -12,13 +11,13 @@
 
 has_document() { grep -q config_in_force "$work/agent-$1.log"; }
 
-# Callers see the balancer's list; a moved file is never read half written.
+# Callers read the balancer's list; it is replaced by mv, so that it is never read half written.
 update_callers() {
   addresses callers >"$work/callers.new"
   mv "$work/callers.new" "$work/callers"
 }
 
-# Keeps the log of the process that is replaced.
+# Saves the log of the process that is replaced.
 replace() {
   stop "$1"
   mv "$work/$1.log" "$work/$1.$(cat "$work/$1.pid").stopped"
@@ -33,7 +32,7 @@
 update_callers
 echo "which jar is next?" >"$work/body"
 
-# ask NAME KEY: one request; a failure is noted with what the caller was told.
+# ask NAME KEY: sends one request; a failure is recorded with the caller's error message.
 ask() {
   if ! "$binary" request --entries "$(cat "$work/callers")" --token-file "$work/token" \
     --key "$2" --body-file "$work/body" planner /plan >"$work/answer-$1" 2>"$work/error-$1" ||
@@ -68,7 +67,7 @@
 }
 all=("${zones[@]}")
 for zone in "${all[@]}"; do
-  # The balancer takes it out when its health check fails, and the next one in when it is ready.
+  # The balancer removes the entry when its health check fails, and adds the new one once it is ready.
   zones=()
   for other in "${all[@]}"; do [ "$other" = "$zone" ] || zones+=("$other"); done
   update_callers
--- a/tests/signals_test.sh
+++ b/tests/signals_test.sh
@@ -1,15 +1,15 @@
 #!/usr/bin/env bash
-# A daemon that is told by SIGHUP of changed settings while it starts must not end: the platform
-# would take it for one that ends by itself. Its settings come through a pipe here, so that it stands
-# still in the middle of its start.
+# A daemon that receives SIGHUP (changed settings) during its start must not end: the platform would
+# treat this as an unexpected exit. The settings are read from a pipe here, so that the daemon blocks in
+# the middle of its start.
 set -euo pipefail
 source "$(dirname "$0")/process_lib.sh"
 
-# The thread that opens a pipe for reading waits for a writer.
+# True while a thread of the daemon waits for a writer of the pipe.
 opens_pipe() { grep -qs -E 'fifo_open|wait_for_partner' "/proc/$(cat "$work/$1.pid")/wchan"; }
 started() { grep -q '"event":"started"' "$work/$1.log"; }
 
-# survives NAME SETTINGS WORDS...: starts the daemon, signals it in its start and after it.
+# survives NAME SETTINGS WORDS...: starts the daemon and signals it during and after its start.
 survives() {
   local name=$1 settings=$2
   shift 2
