--- a/tests/process_lib.sh
+++ b/tests/process_lib.sh
@@ -37,7 +37,7 @@
     sleep 0.05
     tries=$((tries + 1))
   done
-  step "came about at try $tries: $*"
+  step "condition met at attempt $tries: $*"
 }
 
 # threads_of PID: prints each thread's name, state and kernel wait location.
--- a/tests/soak/operator_history.h
+++ b/tests/soak/operator_history.h
@@ -11,7 +11,7 @@
 
 namespace turmericshift::soak {
 
-// How one command ended.
+// The outcome of a command.
 struct CommandEnd {
   // The command line for messages, such as "zone out a".
   std::string command;
--- a/tests/soak/soak_faults.h
+++ b/tests/soak/soak_faults.h
@@ -79,7 +79,7 @@
                                        int last);
   std::vector<Step> StoreSteps(const Fault& fault, const platform::StoreFaults& faults);
   std::vector<Step> WorkerSteps(const Fault& fault);
-  // Stops all processes gracefully, one every `gap`.
+  // Stops the processes gracefully, the next one after each `gap`.
   std::vector<Step> RollSteps(const Fault& fault, const std::vector<SoakProcess*>& processes,
                               Duration gap);
   std::vector<Step> DocumentsSteps(const Fault& fault);
--- a/tests/soak/soak_main.cc
+++ b/tests/soak/soak_main.cc
@@ -107,16 +107,17 @@
 }
 
 int Main(int argc, char** argv) {
-  cxxopts::Options words("turmericshift_soak", "plays faults on a pool of real processes");
+  cxxopts::Options words("turmericshift_soak", "injects faults into a pool of real processes");
   words.add_options()("binary", "the program under soak", cxxopts::value<std::string>())(
-      "seed", "draws jobs and faults", cxxopts::value<uint64_t>()->default_value("1"))(
-      "seconds", "how long faults come", cxxopts::value<int>()->default_value("15"))(
-      "entries", "processes", cxxopts::value<int>()->default_value("3"))(
-      "workers", "each with an agent's process", cxxopts::value<int>()->default_value("6"))(
-      "callers", "who hand jobs in", cxxopts::value<int>()->default_value("3"))(
-      "series", "signals and changes in series besides")("hang-ups", "SIGHUP among the series")(
-      "operators", "plays operators' commands under faults of entries instead")(
-      "keep", "keeps the folder with settings and logs");
+      "seed", "seed of jobs and faults", cxxopts::value<uint64_t>()->default_value("1"))(
+      "seconds", "duration of the faults", cxxopts::value<int>()->default_value("15"))(
+      "entries", "number of entry processes", cxxopts::value<int>()->default_value("3"))(
+      "workers", "number of workers, each with an agent process",
+      cxxopts::value<int>()->default_value("6"))("callers", "number of callers that submit jobs",
+                                                 cxxopts::value<int>()->default_value("3"))(
+      "series", "adds series of signals and changes")("hang-ups", "includes SIGHUP in the series")(
+      "operators", "runs operators' commands under faults of entries instead")(
+      "keep", "keeps the folder of settings and logs");
   const cxxopts::ParseResult parsed = words.parse(argc, argv);
   SoakOptions options;
   options.system.binary = std::filesystem::absolute(parsed["binary"].as<std::string>());
--- a/tests/soak/soak_system.h
+++ b/tests/soak/soak_system.h
@@ -37,7 +37,7 @@
   std::unique_ptr<SoakProcess> process;
 };
 
-// A worker with the agent beside it.
+// A worker and the agent on the same VM.
 struct SoakWorkerNode {
   std::string name;
   std::string zone;
