--- a/core/error.cc
+++ b/core/error.cc
@@ -3,7 +3,7 @@
 namespace turmericshift {
 namespace {
 
-constexpr std::array<ErrorAnswer, kErrorKindCount> kAnswers = {{
+constexpr std::array<ErrorInfo, kErrorKindCount> kAnswers = {{
     {ErrorKind::kInvalidInput, "invalid_input", 400, ExitCode::kUsage, Outcome::kNotRun, false,
      "correct the input and send it again"},
     {ErrorKind::kTooLarge, "too_large", 413, ExitCode::kUsage, Outcome::kNotRun, false,
@@ -52,16 +52,16 @@
 
 }  // namespace
 
-const ErrorAnswer& AnswerFor(ErrorKind kind) { return kAnswers.at(static_cast<size_t>(kind)); }
+const ErrorInfo& ErrorInfoFor(ErrorKind kind) { return kAnswers.at(static_cast<size_t>(kind)); }
 
 ExitCode ExitCodeFor(const Error& error) {
-  const ExitCode code = AnswerFor(error.kind()).exit_code;
+  const ExitCode code = ErrorInfoFor(error.kind()).exit_code;
   const bool says_not_run = code == ExitCode::kUnavailable;
   return says_not_run && error.outcome() != Outcome::kNotRun ? ExitCode::kUnknown : code;
 }
 
 ErrorKind ErrorKindFromName(const std::string& name) {
-  for (const ErrorAnswer& answer : kAnswers) {
+  for (const ErrorInfo& answer : kAnswers) {
     if (name == answer.name) return answer.kind;
   }
   return ErrorKind::kInternal;
@@ -76,7 +76,7 @@
 }
 
 Error::Error(ErrorKind kind, const std::string& message)
-    : Error(kind, AnswerFor(kind).default_outcome, message) {}
+    : Error(kind, ErrorInfoFor(kind).default_outcome, message) {}
 
 Error::Error(ErrorKind kind, Outcome outcome, const std::string& message)
     : std::runtime_error(message), kind_(kind), outcome_(outcome) {}
--- a/core/error.h
+++ b/core/error.h
@@ -52,7 +52,7 @@
 };
 
 // One row of the table from error kind to answer.
-struct ErrorAnswer {
+struct ErrorInfo {
   ErrorKind kind;
   const char* name;
   int http_status;
@@ -66,7 +66,7 @@
 };
 
 // The row of `kind`. Total: every kind has one.
-const ErrorAnswer& AnswerFor(ErrorKind kind);
+const ErrorInfo& ErrorInfoFor(ErrorKind kind);
 
 class Error;
 // What a command that ends with `error` exits with: the table's code, but never one that says
--- a/core/error_test.cc
+++ b/core/error_test.cc
@@ -11,7 +11,7 @@
   std::set<std::string> names;
   for (int index = 0; index < kErrorKindCount; ++index) {
     const auto kind = static_cast<ErrorKind>(index);
-    const ErrorAnswer& answer = AnswerFor(kind);
+    const ErrorInfo& answer = ErrorInfoFor(kind);
     EXPECT_EQ(answer.kind, kind);
     EXPECT_TRUE(names.insert(answer.name).second) << answer.name;
     EXPECT_GE(answer.http_status, 400);
--- a/core/http_server.cc
+++ b/core/http_server.cc
@@ -207,7 +207,7 @@
 
 HttpResponse ProblemResponse(const Error& error, const std::string& request_id,
                              Duration retry_after) {
-  const ErrorAnswer& answer = AnswerFor(error.kind());
+  const ErrorInfo& answer = ErrorInfoFor(error.kind());
   nlohmann::json body = {{"type", std::string("urn:turmericshift:error:") + answer.name},
                          {"title", answer.name},
                          {"status", answer.http_status},
--- a/core/ini.cc
+++ b/core/ini.cc
@@ -134,7 +134,8 @@
   }
 }
 
-void RefuseSection(const IniSection& section, const std::string& known_kinds, IniFile* file) {
+void ReportUnknownSection(const IniSection& section, const std::string& known_kinds,
+                          IniFile* file) {
   file->problems.push_back(
       {section.line, Place(section, ""), "unknown section; known: " + known_kinds});
 }
--- a/core/ini.h
+++ b/core/ini.h
@@ -54,6 +54,6 @@
 void BindSection(const IniSection& section, const std::vector<IniKey>& keys, IniFile* file);
 
 // Reports a section of a kind that the file may not have.
-void RefuseSection(const IniSection& section, const std::string& known_kinds, IniFile* file);
+void ReportUnknownSection(const IniSection& section, const std::string& known_kinds, IniFile* file);
 
 }  // namespace turmericshift
--- a/core/attempt.h
+++ b/core/result.h
@@ -10,7 +10,7 @@
 namespace turmericshift {
 
 template <typename Value>
-struct Attempt {
+struct Result {
   std::optional<Value> value;
   std::optional<Error> error;
 
@@ -23,16 +23,16 @@
 
 // What `work` returns or throws.
 template <typename Value, typename Work>
-Attempt<Value> AttemptOf(Work&& work) {
-  Attempt<Value> attempt;
+Result<Value> ResultOf(Work&& work) {
+  Result<Value> result;
   try {
-    attempt.value = work();
+    result.value = work();
   } catch (const Error& error) {
-    attempt.error = error;
+    result.error = error;
   } catch (const std::exception& error) {
-    attempt.error.emplace(ErrorKind::kInternal, error.what());
+    result.error.emplace(ErrorKind::kInternal, error.what());
   }
-  return attempt;
+  return result;
 }
 
 }  // namespace turmericshift
--- a/core/shutdown.cc
+++ b/core/shutdown.cc
@@ -38,7 +38,7 @@
   LogEvent(LogLevel::kInfo, "stop_asked");
 }
 
-void ShutdownSignal::CutOnNext() {
+void ShutdownSignal::ExitOnNextSignal() {
   Thread cutter("cut-on-signal", [] {
     WaitForOne();
     LogEvent(LogLevel::kWarning, "stop_cut");
--- a/core/shutdown.h
+++ b/core/shutdown.h
@@ -13,7 +13,7 @@
   void Wait();
 
   // From here on, a further signal ends the process at once with exit code 1.
-  void CutOnNext();
+  void ExitOnNextSignal();
 };
 
 // SIGHUP tells that the settings file has changed, which takes a restart; SIGPIPE that a peer has
--- a/main/commands/api_client.cc
+++ b/main/commands/api_client.cc
@@ -8,9 +8,9 @@
 #include <sstream>
 #include <utility>
 
-#include "core/attempt.h"
 #include "core/error.h"
 #include "core/http_client.h"
+#include "core/result.h"
 #include "core/thread.h"
 #include "core/units.h"
 
@@ -56,7 +56,7 @@
 struct ApiClient::ReplyQueue {
   struct EntryReply {
     size_t entry = 0;
-    Attempt<HttpReply> reply;
+    Result<HttpReply> reply;
   };
 
   void Push(EntryReply entry_reply) {
@@ -158,7 +158,7 @@
   entry_call.timeout = timeout;
   Thread thread("ask-entry", [replies, entry, entry_call] {
     replies->Push(
-        {entry, AttemptOf<HttpReply>([&entry_call] { return PerformOrThrow(entry_call); })});
+        {entry, ResultOf<HttpReply>([&entry_call] { return PerformOrThrow(entry_call); })});
   });
   thread.Detach();
 }
--- a/main/commands/call_plan.cc
+++ b/main/commands/call_plan.cc
@@ -42,7 +42,7 @@
 
 bool CallPlan::IsFinalError(const Error& error) const {
   const bool not_run = error.outcome() == Outcome::kNotRun;
-  if (not_run) return !AnswerFor(error.kind()).retryable;
+  if (not_run) return !ErrorInfoFor(error.kind()).retryable;
   return kind_ == CallKind::kAtMostOnce || error.outcome() == Outcome::kRan;
 }
 
--- a/main/commands/dev_command.cc
+++ b/main/commands/dev_command.cc
@@ -54,7 +54,7 @@
   if (reply.status >= 400) throw Error(ErrorKind::kInternal, "not published: " + reply.body);
   PrintAddresses(cluster, document, dev.operator_token);
   signal.Wait();
-  signal.CutOnNext();
+  signal.ExitOnNextSignal();
   return ExitCode::kDone;
 }
 
--- a/main/commands/pool_commands.cc
+++ b/main/commands/pool_commands.cc
@@ -78,7 +78,7 @@
             {"readiness", entry.readiness_port()},
             {"sessions", listener.port()}});
   signal.Wait();
-  signal.CutOnNext();
+  signal.ExitOnNextSignal();
   const bool drained = entry.Leave(settings.stop_limit - kExitReserve);
   LogEvent(LogLevel::kInfo, "stopped", {{"drained", drained}});
   EndProcess(static_cast<int>(drained ? ExitCode::kDone : ExitCode::kFailed));
@@ -110,7 +110,7 @@
   });
   LogEvent(LogLevel::kInfo, "started", {{"announcements", announcements.port()}});
   signal.Wait();
-  signal.CutOnNext();
+  signal.ExitOnNextSignal();
   announcements.StopAccepting();
   LogEvent(LogLevel::kInfo, "stopped", {{"drained", true}});
   EndProcess(static_cast<int>(ExitCode::kDone));
--- a/main/commands/process_commands.cc
+++ b/main/commands/process_commands.cc
@@ -82,7 +82,7 @@
 template <typename Server>
 [[noreturn]] void ServeUntilSignal(ShutdownSignal* signal, Server* server, Duration stop_limit) {
   signal->Wait();
-  signal->CutOnNext();
+  signal->ExitOnNextSignal();
   const bool drained = server->Leave(stop_limit);
   LogEvent(drained ? LogLevel::kInfo : LogLevel::kWarning, "stopped", {{"drained", drained}});
   EndProcess(static_cast<int>(drained ? ExitCode::kDone : ExitCode::kFailed));
--- a/main/main.cc
+++ b/main/main.cc
@@ -19,13 +19,13 @@
     const Args args(argv + 1, argv + argc);
     return Dispatch("turmericshift", Commands(), args);
   } catch (const Error& error) {
-    const ErrorAnswer& answer = AnswerFor(error.kind());
+    const ErrorInfo& answer = ErrorInfoFor(error.kind());
     std::fprintf(stderr, "turmericshift: %s\n  (%s, %s; next: %s)\n", error.what(), answer.name,
                  OutcomeName(error.outcome()), answer.advice);
     return ExitCodeFor(error);
   } catch (const std::exception& error) {
     std::fprintf(stderr, "turmericshift: %s\n", error.what());
-    return AnswerFor(ErrorKind::kInternal).exit_code;
+    return ErrorInfoFor(ErrorKind::kInternal).exit_code;
   }
 }
 
--- a/main/settings/process_settings.cc
+++ b/main/settings/process_settings.cc
@@ -134,7 +134,7 @@
     const bool known = std::any_of(rules.begin(), rules.end(), [&](const SectionRule& rule) {
       return rule.kind == section.kind && section.label.empty();
     });
-    if (!known) RefuseSection(section, SectionKinds(rules), &file);
+    if (!known) ReportUnknownSection(section, SectionKinds(rules), &file);
   }
   file.ThrowIfProblems();
 }
--- a/rpc/agent_service.cc
+++ b/rpc/agent_service.cc
@@ -19,10 +19,10 @@
     AgentPort* agent = agent_;
     return Offload<ServiceAnswer>(&pools_->requests,
                                   [agent, request] { return agent->Serve(*request); })
-        .then([context](Attempt<ServiceAnswer> attempt) mutable {
+        .then([context](Result<ServiceAnswer> result) mutable {
           auto results = context.getResults();
-          if (attempt.error) return Write(*attempt.error, results.initFailure());
-          Write(*attempt.value, results.initAnswer());
+          if (result.error) return Write(*result.error, results.initFailure());
+          Write(*result.value, results.initAnswer());
         });
   }
 
@@ -42,10 +42,10 @@
     AgentPort* agent = agent_;
     return Offload<SeenAnswer>(&pools_->control,
                                [agent, question] { return agent->Resolve(question, kStepTimeout); })
-        .then([context](Attempt<SeenAnswer> attempt) mutable {
+        .then([context](Result<SeenAnswer> result) mutable {
           auto results = context.getResults();
-          if (attempt.error) return Write(*attempt.error, results.initFailure());
-          Write(*attempt.value, results.initAnswer());
+          if (result.error) return Write(*result.error, results.initFailure());
+          Write(*result.value, results.initAnswer());
         });
   }
 
@@ -79,8 +79,8 @@
                            step();
                            return true;
                          })
-        .then([context](Attempt<bool> attempt) mutable {
-          if (attempt.error) Write(*attempt.error, context.getResults().initFailure());
+        .then([context](Result<bool> result) mutable {
+          if (result.error) Write(*result.error, context.getResults().initFailure());
         });
   }
 
--- a/rpc/convert.cc
+++ b/rpc/convert.cc
@@ -321,7 +321,7 @@
 }
 
 void Write(const Error& from, wire::Failure::Builder to) {
-  to.setKind(AnswerFor(from.kind()).name);
+  to.setKind(ErrorInfoFor(from.kind()).name);
   to.setOutcome(OutcomeName(from.outcome()));
   to.setMessage(from.what());
 }
--- a/rpc/gate_listener.cc
+++ b/rpc/gate_listener.cc
@@ -35,10 +35,10 @@
     std::shared_ptr<EntryPort> port = port_;
     return Offload<EntryBeat>(pool_,
                               [port, beat] { return port->Heartbeat(*beat, kHeartbeatTimeout); })
-        .then([context](Attempt<EntryBeat> attempt) mutable {
+        .then([context](Result<EntryBeat> result) mutable {
           auto results = context.getResults();
-          if (attempt.error) return Write(*attempt.error, results.initFailure());
-          Write(*attempt.value, results.initBeat());
+          if (result.error) return Write(*result.error, results.initFailure());
+          Write(*result.value, results.initBeat());
         });
   }
 
--- a/rpc/pool_session.cc
+++ b/rpc/pool_session.cc
@@ -27,14 +27,14 @@
 template <typename Value>
 class Answer {
  public:
-  explicit Answer(kj::Own<kj::CrossThreadPromiseFulfiller<Attempt<Value>>> fulfiller)
-      : fulfiller_(std::make_shared<kj::Own<kj::CrossThreadPromiseFulfiller<Attempt<Value>>>>(
+  explicit Answer(kj::Own<kj::CrossThreadPromiseFulfiller<Result<Value>>> fulfiller)
+      : fulfiller_(std::make_shared<kj::Own<kj::CrossThreadPromiseFulfiller<Result<Value>>>>(
             kj::mv(fulfiller))) {}
 
-  void operator()(Attempt<Value> attempt) const { (*fulfiller_)->fulfill(std::move(attempt)); }
+  void operator()(Result<Value> result) const { (*fulfiller_)->fulfill(std::move(result)); }
 
  private:
-  std::shared_ptr<kj::Own<kj::CrossThreadPromiseFulfiller<Attempt<Value>>>> fulfiller_;
+  std::shared_ptr<kj::Own<kj::CrossThreadPromiseFulfiller<Result<Value>>>> fulfiller_;
 };
 
 class PoolGateService final : public wire::PoolGate::Server {
@@ -54,7 +54,7 @@
   }
 
   kj::Promise<void> exchange(ExchangeContext context) override {
-    auto pair = kj::newPromiseAndCrossThreadFulfiller<Attempt<pool::AgentOrders>>();
+    auto pair = kj::newPromiseAndCrossThreadFulfiller<Result<pool::AgentOrders>>();
     const Answer<pool::AgentOrders> answer(kj::mv(pair.fulfiller));
     try {
       gate_->Exchange(Read(context.getParams().getReport()), answer);
@@ -62,15 +62,15 @@
       Write(error, context.getResults().initFailure());
       return kj::READY_NOW;
     }
-    return pair.promise.then([context](Attempt<pool::AgentOrders>&& attempt) mutable {
+    return pair.promise.then([context](Result<pool::AgentOrders>&& result) mutable {
       auto results = context.getResults();
-      if (attempt.error) return Write(*attempt.error, results.initFailure());
-      Write(*attempt.value, results.initOrders());
+      if (result.error) return Write(*result.error, results.initFailure());
+      Write(*result.value, results.initOrders());
     });
   }
 
   kj::Promise<void> submit(SubmitContext context) override {
-    auto pair = kj::newPromiseAndCrossThreadFulfiller<Attempt<pool::Done>>();
+    auto pair = kj::newPromiseAndCrossThreadFulfiller<Result<pool::Done>>();
     const Answer<pool::Done> answer(kj::mv(pair.fulfiller));
     try {
       auto params = context.getParams();
@@ -79,34 +79,34 @@
       Write(error, context.getResults().initFailure());
       return kj::READY_NOW;
     }
-    return pair.promise.then([context](Attempt<pool::Done>&& attempt) mutable {
-      if (attempt.error) Write(*attempt.error, context.getResults().initFailure());
+    return pair.promise.then([context](Result<pool::Done>&& result) mutable {
+      if (result.error) Write(*result.error, context.getResults().initFailure());
     });
   }
 
   kj::Promise<void> cancel(CancelContext context) override {
-    auto pair = kj::newPromiseAndCrossThreadFulfiller<Attempt<pool::Done>>();
+    auto pair = kj::newPromiseAndCrossThreadFulfiller<Result<pool::Done>>();
     gate_->Cancel(context.getParams().getId().cStr(), Answer<pool::Done>(kj::mv(pair.fulfiller)));
-    return pair.promise.then([context](Attempt<pool::Done>&& attempt) mutable {
-      if (attempt.error) Write(*attempt.error, context.getResults().initFailure());
+    return pair.promise.then([context](Result<pool::Done>&& result) mutable {
+      if (result.error) Write(*result.error, context.getResults().initFailure());
     });
   }
 
   kj::Promise<void> offer(OfferContext context) override {
-    auto pair = kj::newPromiseAndCrossThreadFulfiller<Attempt<pool::Done>>();
+    auto pair = kj::newPromiseAndCrossThreadFulfiller<Result<pool::Done>>();
     gate_->Offer(Answer<pool::Done>(kj::mv(pair.fulfiller)));
-    return pair.promise.then([context](Attempt<pool::Done>&& attempt) mutable {
-      if (attempt.error) Write(*attempt.error, context.getResults().initFailure());
+    return pair.promise.then([context](Result<pool::Done>&& result) mutable {
+      if (result.error) Write(*result.error, context.getResults().initFailure());
     });
   }
 
   kj::Promise<void> yield(YieldContext context) override {
-    auto pair = kj::newPromiseAndCrossThreadFulfiller<Attempt<pool::Done>>();
+    auto pair = kj::newPromiseAndCrossThreadFulfiller<Result<pool::Done>>();
     auto params = context.getParams();
     gate_->Yield({params.getEpoch(), params.getNode().cStr(), params.getAddress().cStr()},
                  Answer<pool::Done>(kj::mv(pair.fulfiller)));
-    return pair.promise.then([context](Attempt<pool::Done>&& attempt) mutable {
-      if (attempt.error) Write(*attempt.error, context.getResults().initFailure());
+    return pair.promise.then([context](Result<pool::Done>&& result) mutable {
+      if (result.error) Write(*result.error, context.getResults().initFailure());
     });
   }
 
@@ -143,7 +143,7 @@
               auto call = Gate().exchangeRequest();
               Write(report, call.initReport());
               return call.send().then([](auto&& response) {
-                return AttemptOf<pool::AgentOrders>([&] {
+                return ResultOf<pool::AgentOrders>([&] {
                   ThrowIfFailed(response.getFailure());
                   return Read(response.getOrders());
                 });
@@ -218,8 +218,8 @@
   }
 
   template <typename Response>
-  static Attempt<pool::Done> DoneOf(Response& response) {
-    return AttemptOf<pool::Done>([&] {
+  static Result<pool::Done> DoneOf(Response& response) {
+    return ResultOf<pool::Done>([&] {
       ThrowIfFailed(response.getFailure());
       return pool::Done{};
     });
--- a/rpc/pool_session_test.cc
+++ b/rpc/pool_session_test.cc
@@ -23,21 +23,21 @@
 class EmptyGate : public pool::PlannerGate {
  public:
   void Exchange(const pool::AgentReport& /*report*/,
-                std::function<void(Attempt<pool::AgentOrders>)> done) override {
+                std::function<void(Result<pool::AgentOrders>)> done) override {
     done({pool::AgentOrders(), std::nullopt});
   }
   void Submit(const pool::JobSpec& /*spec*/,
-              std::function<void(Attempt<pool::Done>)> done) override {
+              std::function<void(Result<pool::Done>)> done) override {
     done({pool::Done(), std::nullopt});
   }
-  void Cancel(const std::string& /*id*/, std::function<void(Attempt<pool::Done>)> done) override {
+  void Cancel(const std::string& /*id*/, std::function<void(Result<pool::Done>)> done) override {
     done({pool::Done(), std::nullopt});
   }
   void Yield(const pool::PlannerRecord& /*successor*/,
-             std::function<void(Attempt<pool::Done>)> done) override {
+             std::function<void(Result<pool::Done>)> done) override {
     done({pool::Done(), std::nullopt});
   }
-  void Offer(std::function<void(Attempt<pool::Done>)> done) override {
+  void Offer(std::function<void(Result<pool::Done>)> done) override {
     done({pool::Done(), std::nullopt});
   }
 };
@@ -104,7 +104,7 @@
 
 class CountingGate : public EmptyGate {
  public:
-  void Cancel(const std::string& /*id*/, std::function<void(Attempt<pool::Done>)> done) override {
+  void Cancel(const std::string& /*id*/, std::function<void(Result<pool::Done>)> done) override {
     cancels.fetch_add(1);
     done({pool::Done(), std::nullopt});
   }
--- a/rpc/rpc_agent_port.cc
+++ b/rpc/rpc_agent_port.cc
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "core/attempt.h"
+#include "core/result.h"
 #include "rpc/convert.h"
 
 namespace turmericshift {
@@ -13,11 +13,11 @@
 constexpr Duration kServeGrace = std::chrono::milliseconds(500);
 
 // Sends and reads what comes back by `read`. The library would turn an Error thrown inside a
-// promise into an exception of its own, so it crosses as an Attempt.
+// promise into an exception of its own, so it crosses as an Result.
 template <typename Value, typename Request, typename ReadAnswer>
-kj::Promise<Attempt<Value>> Send(Request&& request, ReadAnswer read) {
+kj::Promise<Result<Value>> Send(Request&& request, ReadAnswer read) {
   return request.send().then([read](auto&& response) {
-    return AttemptOf<Value>([&] {
+    return ResultOf<Value>([&] {
       ThrowIfFailed(response.getFailure());
       return read(response);
     });
@@ -26,7 +26,7 @@
 
 // For calls whose answer is only whether they failed.
 template <typename Request>
-kj::Promise<Attempt<bool>> SendForVerdict(Request&& request) {
+kj::Promise<Result<bool>> SendForVerdict(Request&& request) {
   return Send<bool>(request, [](auto&&) { return true; });
 }
 
--- a/rpc/rpc_entry_connector.cc
+++ b/rpc/rpc_entry_connector.cc
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <utility>
 
-#include "core/attempt.h"
 #include "core/error.h"
+#include "core/result.h"
 #include "core/secret.h"
 #include "core/units.h"
 #include "rpc/convert.h"
@@ -37,7 +37,7 @@
               auto call = client_->heartbeatRequest();
               Write(beat, call.initBeat());
               return call.send().then([](auto&& response) {
-                return AttemptOf<EntryBeat>([&] {
+                return ResultOf<EntryBeat>([&] {
                   ThrowIfFailed(response.getFailure());
                   return Read(response.getBeat());
                 });
@@ -54,10 +54,10 @@
 
 using SessionClient = wire::EntrySession::Client;
 // On the heap, since a capability is made, used and dropped on its own loop's thread.
-using OpenResult = Attempt<std::unique_ptr<SessionClient>>;
+using OpenResult = Result<std::unique_ptr<SessionClient>>;
 
 OpenResult ReadOpened(wire::Gate::OpenAgentResults::Reader opened) {
-  return AttemptOf<std::unique_ptr<SessionClient>>([&] {
+  return ResultOf<std::unique_ptr<SessionClient>>([&] {
     ThrowIfFailed(opened.getFailure());
     return std::make_unique<SessionClient>(opened.getSession());
   });
--- a/servers/agent/agent_server.cc
+++ b/servers/agent/agent_server.cc
@@ -4,10 +4,10 @@
 #include <functional>
 #include <utility>
 
-#include "core/attempt.h"
 #include "core/digest.h"
 #include "core/error.h"
 #include "core/logging.h"
+#include "core/result.h"
 
 namespace turmericshift {
 namespace {
@@ -57,7 +57,7 @@
 }
 
 ServiceAnswer AgentServer::Serve(const ServiceRequest& request) {
-  Attempt<ServiceAnswer> attempt = AttemptOf<ServiceAnswer>([&] { return Admit(request); });
+  Result<ServiceAnswer> attempt = ResultOf<ServiceAnswer>([&] { return Admit(request); });
   (attempt.error ? refused_ : served_)->Add();
   return attempt.Take();
 }
@@ -75,8 +75,8 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     ++serving_;
   }
-  Attempt<ServiceAnswer> attempt =
-      AttemptOf<ServiceAnswer>([&] { return Run(request, now + request.time_left); });
+  Result<ServiceAnswer> attempt =
+      ResultOf<ServiceAnswer>([&] { return Run(request, now + request.time_left); });
   // Recorded before the refusal is returned, so that a delayed copy of the message can't run
   // afterwards.
   if (attempt.error && attempt.error->outcome() == Outcome::kNotRun) ledger_.MarkNotRun(request);
--- a/servers/agent/slot_limiter_test.cc
+++ b/servers/agent/slot_limiter_test.cc
@@ -7,7 +7,7 @@
 #include <thread>
 #include <vector>
 
-#include "core/attempt.h"
+#include "core/result.h"
 #include "core/thread.h"
 
 namespace turmericshift {
@@ -30,9 +30,9 @@
 struct Waiting {
   Waiting(SlotLimiter* limiter, const std::string& workspace, const std::string& id)
       : thread("wait", [this, limiter, workspace, id] {
-          outcome = AttemptOf<SlotPointer>([&] { return Take(limiter, workspace, id); });
+          outcome = ResultOf<SlotPointer>([&] { return Take(limiter, workspace, id); });
         }) {}
-  Attempt<SlotPointer> outcome;
+  Result<SlotPointer> outcome;
   Thread thread;
 };
 
--- a/servers/config/environment.cc
+++ b/servers/config/environment.cc
@@ -128,7 +128,7 @@
   if (section.kind == "availability_zone") return BindZone(section, environment, file);
   if (section.kind == "workspace") return BindWorkspace(section, environment, file);
   if (section.kind == "service") return BindService(section, environment, file);
-  RefuseSection(section, "environment, availability_zone, workspace, service", file);
+  ReportUnknownSection(section, "environment, availability_zone, workspace, service", file);
 }
 
 template <typename Spec>
--- a/servers/entry/caller_api.cc
+++ b/servers/entry/caller_api.cc
@@ -136,8 +136,8 @@
   } catch (const Error& error) {
     LogAnswered(service_request, begun,
                 {{"outcome", OutcomeName(error.outcome())},
-                 {"status", AnswerFor(error.kind()).http_status},
-                 {"kind", AnswerFor(error.kind()).name}});
+                 {"status", ErrorInfoFor(error.kind()).http_status},
+                 {"kind", ErrorInfoFor(error.kind()).name}});
     return ProblemResponse(error, service_request.request_id,
                            entry_->router_->RetryAfter(service_request.service, error));
   }
--- a/servers/entry/request_router.cc
+++ b/servers/entry/request_router.cc
@@ -77,7 +77,7 @@
 
 bool RequestRouter::PrepareRetry(const std::string& service, const Error& error, int attempt,
                                  Time deadline) {
-  const bool not_run = error.outcome() == Outcome::kNotRun && AnswerFor(error.kind()).retryable;
+  const bool not_run = error.outcome() == Outcome::kNotRun && ErrorInfoFor(error.kind()).retryable;
   const bool lost =
       error.outcome() == Outcome::kUnknown && IsLostAnswer(error.kind()) && Repeatable(service);
   if ((!not_run && !lost) || attempt >= options_.max_attempts) return false;
@@ -97,7 +97,7 @@
 }
 
 Duration RequestRouter::RetryAfter(const std::string& service, const Error& error) const {
-  if (!AnswerFor(error.kind()).retryable) return Duration::zero();
+  if (!ErrorInfoFor(error.kind()).retryable) return Duration::zero();
   return sender_.RetryAfter(service);
 }
 
--- a/servers/explain/job_story.cc
+++ b/servers/explain/job_explainer.cc
@@ -1,11 +1,11 @@
-#include "servers/explain/job_story.h"
-
 #include <algorithm>
 #include <array>
 #include <istream>
 #include <nlohmann/json.hpp>
 #include <set>
 
+#include "servers/explain/job_explainer.h"
+
 namespace turmericshift {
 namespace {
 
@@ -72,7 +72,7 @@
   return "";
 }
 
-void JobStories::Read(std::istream& lines) {
+void JobExplainer::Read(std::istream& lines) {
   std::string text;
   while (std::getline(lines, text)) {
     const size_t brace = text.find('{');
@@ -95,15 +95,15 @@
   }
 }
 
-std::vector<std::string> JobStories::jobs() const {
+std::vector<std::string> JobExplainer::jobs() const {
   std::set<std::string> names;
   for (const Entry& entry : entries_) names.insert(entry.job);
   return {names.begin(), names.end()};
 }
 
-JobStory JobStories::Tell(const std::string& job) const {
-  JobStory story;
-  story.job = job;
+JobExplanation JobExplainer::Explain(const std::string& job) const {
+  JobExplanation explanation;
+  explanation.job = job;
   bool accepted = false;
   bool told_unknown = false;
   int64_t accepted_at = 0;
@@ -119,77 +119,79 @@
     return left->line.time_ms < right->line.time_ms;
   });
   for (const Entry* entry : mine) {
-    story.lines.push_back(entry->line);
+    explanation.lines.push_back(entry->line);
     const std::string& event = entry->line.event;
     if (event == "job_accepted" && !accepted) {
       accepted = true;
       accepted_at = entry->line.time_ms;
     } else if (event == "job_not_accepted" || event == "job_refused") {
-      ++story.refusals;
+      ++explanation.refusals;
       if (event == "job_not_accepted" && !entry->not_run) told_unknown = true;
       if (!entry->reason.empty()) refusal = entry->reason;
     } else if (event == "submission_withdrawn") {
-      ++story.withdrawals;
+      ++explanation.withdrawals;
     } else if (event == "run_placed") {
-      ++story.runs;
+      ++explanation.runs;
       if (first_placed == 0) first_placed = entry->line.time_ms;
     } else if (event == "run_ended") {
-      story.failed_runs += entry->how == "failed";
-      story.stopped_runs += entry->how == "stopped";
-      story.lost_runs += entry->how == "lapsed" || entry->how == "broken" || entry->how == "alone";
+      explanation.failed_runs += entry->how == "failed";
+      explanation.stopped_runs += entry->how == "stopped";
+      explanation.lost_runs +=
+          entry->how == "lapsed" || entry->how == "broken" || entry->how == "alone";
     } else if (event == "job_ended") {
       ended = entry->state;
     }
   }
   if (mine.empty()) {
-    story.cause = "no line names the job: it never reached an entry whose lines these are";
-    return story;
+    explanation.cause = "no line names the job: it never reached an entry whose lines these are";
+    return explanation;
   }
-  if (ended == "completed") story.outcome = JobOutcome::kCompleted;
-  if (ended == "failed") story.outcome = JobOutcome::kFailed;
-  if (ended == "cancelled") story.outcome = JobOutcome::kCancelled;
+  if (ended == "completed") explanation.outcome = JobOutcome::kCompleted;
+  if (ended == "failed") explanation.outcome = JobOutcome::kFailed;
+  if (ended == "cancelled") explanation.outcome = JobOutcome::kCancelled;
   if (ended.empty()) {
-    story.outcome = accepted || story.runs > 0 ? JobOutcome::kUnfinished
-                    : told_unknown             ? JobOutcome::kUnknownToCaller
-                                               : JobOutcome::kRefused;
+    explanation.outcome = accepted || explanation.runs > 0 ? JobOutcome::kUnfinished
+                          : told_unknown                   ? JobOutcome::kUnknownToCaller
+                                                           : JobOutcome::kRefused;
   }
   const int64_t waited = first_placed - accepted_at;
-  const bool withdrawn = story.withdrawals > 0 && story.runs == 0;
-  switch (story.outcome) {
+  const bool withdrawn = explanation.withdrawals > 0 && explanation.runs == 0;
+  switch (explanation.outcome) {
     case JobOutcome::kRefused:
     case JobOutcome::kUnknownToCaller:
-      story.cause = withdrawn         ? kWithdrawn
-                    : refusal.empty() ? "the caller's time was over before a planner could be asked"
-                                      : "the planner could not keep it: " + refusal;
+      explanation.cause = withdrawn ? kWithdrawn
+                          : refusal.empty()
+                              ? "the caller's time was over before a planner could be asked"
+                              : "the planner could not keep it: " + refusal;
       break;
     case JobOutcome::kFailed:
-      story.cause =
-          Times(story.failed_runs, "run") + " failed, as many as its queue allows one task";
+      explanation.cause =
+          Times(explanation.failed_runs, "run") + " failed, as many as its queue allows one task";
       break;
     case JobOutcome::kCancelled:
-      story.cause = "its caller cancelled it";
+      explanation.cause = "its caller cancelled it";
       break;
     case JobOutcome::kCompleted:
     case JobOutcome::kUnfinished:
-      if (story.stopped_runs + story.lost_runs + story.failed_runs > 0) {
-        story.cause = "it lost time by " + Times(story.stopped_runs, "run") +
-                      " stopped for others, " + std::to_string(story.lost_runs) +
-                      " lost with their worker or gang, " + std::to_string(story.failed_runs) +
-                      " failed";
+      if (explanation.stopped_runs + explanation.lost_runs + explanation.failed_runs > 0) {
+        explanation.cause = "it lost time by " + Times(explanation.stopped_runs, "run") +
+                            " stopped for others, " + std::to_string(explanation.lost_runs) +
+                            " lost with their worker or gang, " +
+                            std::to_string(explanation.failed_runs) + " failed";
       } else if (accepted && first_placed > 0 && waited > kLongWaitMs) {
-        story.cause = "it waited " + std::to_string(waited) + " ms for room";
+        explanation.cause = "it waited " + std::to_string(waited) + " ms for room";
       } else if (withdrawn) {
-        story.cause = kWithdrawn;
+        explanation.cause = kWithdrawn;
       } else if (accepted && first_placed == 0) {
-        story.cause = "it was never given room while these lines were written";
+        explanation.cause = "it was never given room while these lines were written";
       } else {
-        story.cause = "nothing held it up but its own work";
+        explanation.cause = "nothing held it up but its own work";
       }
       break;
     case JobOutcome::kNotSeen:
       break;
   }
-  return story;
+  return explanation;
 }
 
 }  // namespace turmericshift
--- a/servers/explain/job_story.h
+++ b/servers/explain/job_explainer.h
@@ -23,7 +23,7 @@
 };
 const char* JobOutcomeName(JobOutcome outcome);
 
-struct StoryLine {
+struct JobLogLine {
   int64_t time_ms = 0;
   std::string process;
   std::string event;
@@ -31,12 +31,12 @@
   std::string details;
 };
 
-struct JobStory {
+struct JobExplanation {
   std::string job;
   JobOutcome outcome = JobOutcome::kNotSeen;
   // One sentence: what decided the outcome, or what held the job up most.
   std::string cause;
-  std::vector<StoryLine> lines;
+  std::vector<JobLogLine> lines;
   int runs = 0;
   int failed_runs = 0;
   int stopped_runs = 0;
@@ -48,16 +48,16 @@
 
 // Reads lines of JSON, which may stand behind a prefix such as a time or a name; others are passed
 // over. `lines` of all processes in any order.
-class JobStories {
+class JobExplainer {
  public:
   void Read(std::istream& lines);
-  JobStory Tell(const std::string& job) const;
+  JobExplanation Explain(const std::string& job) const;
   // All jobs that any line names.
   std::vector<std::string> jobs() const;
 
  private:
   struct Entry {
-    StoryLine line;
+    JobLogLine line;
     std::string job;
     std::string how;
     std::string state;
--- a/servers/explain/job_story_test.cc
+++ b/servers/explain/job_explainer_test.cc
@@ -1,21 +1,21 @@
-#include "servers/explain/job_story.h"
-
 #include <gtest/gtest.h>
 
 #include <sstream>
 
+#include "servers/explain/job_explainer.h"
+
 namespace turmericshift {
 namespace {
 
-JobStory Told(const std::string& lines, const std::string& job = "j") {
+JobExplanation Told(const std::string& lines, const std::string& job = "j") {
   std::istringstream in(lines);
-  JobStories stories;
-  stories.Read(in);
-  return stories.Tell(job);
+  JobExplainer explainer;
+  explainer.Read(in);
+  return explainer.Explain(job);
 }
 
-TEST(JobStory, PutsTheLinesOfSeveralProcessesInOrder) {
-  const JobStory story = Told(
+TEST(JobExplanation, PutsTheLinesOfSeveralProcessesInOrder) {
+  const JobExplanation explanation = Told(
       "  3.1 agent-1 "
       "{\"time_ms\":30,\"event\":\"start_answered\",\"job\":\"j\",\"process\":\"a\"}\n"
       "{\"time_ms\":10,\"event\":\"job_accepted\",\"job\":\"j\",\"process\":\"e\"}\n"
@@ -23,49 +23,51 @@
       "{\"time_ms\":40,\"event\":\"job_ended\",\"job\":\"j\",\"state\":\"completed\"}\n"
       "{\"time_ms\":20,\"event\":\"run_placed\",\"job\":\"j\",\"node\":\"n\"}\n"
       "{\"time_ms\":20,\"event\":\"run_placed\",\"job\":\"other\"}\n");
-  ASSERT_EQ(story.lines.size(), 4U);
-  EXPECT_EQ(story.lines[0].event, "job_accepted");
-  EXPECT_EQ(story.lines[1].details, "node=n");
-  EXPECT_EQ(story.outcome, JobOutcome::kCompleted);
-  EXPECT_EQ(story.runs, 1);
+  ASSERT_EQ(explanation.lines.size(), 4U);
+  EXPECT_EQ(explanation.lines[0].event, "job_accepted");
+  EXPECT_EQ(explanation.lines[1].details, "node=n");
+  EXPECT_EQ(explanation.outcome, JobOutcome::kCompleted);
+  EXPECT_EQ(explanation.runs, 1);
 }
 
 // A job whose record never left must not be told as one that waited for room.
-TEST(JobStory, NamesTheWithdrawalOfARecord) {
+TEST(JobExplanation, NamesTheWithdrawalOfARecord) {
   const std::string withdrawn =
       "{\"time_ms\":10,\"event\":\"submission_withdrawn\",\"job\":\"j\",\"callers\":2}\n";
-  const JobStory refused =
+  const JobExplanation refused =
       Told(withdrawn +
            "{\"time_ms\":11,\"event\":\"job_not_accepted\",\"job\":\"j\",\"not_run\":true}\n");
   EXPECT_EQ(refused.outcome, JobOutcome::kRefused);
   EXPECT_NE(refused.cause.find("withdrawn"), std::string::npos);
-  const JobStory lost =
+  const JobExplanation lost =
       Told(withdrawn + "{\"time_ms\":12,\"event\":\"job_accepted\",\"job\":\"j\"}\n");
   EXPECT_EQ(lost.outcome, JobOutcome::kUnfinished);
   EXPECT_NE(lost.cause.find("withdrawn"), std::string::npos);
 }
 
-TEST(JobStory, TellsARefusalFromAnUnknownOutcome) {
+TEST(JobExplanation, TellsARefusalFromAnUnknownOutcome) {
   EXPECT_EQ(Told(R"({"event":"job_not_accepted","job":"j","not_run":true,"reason":"no planner"})")
                 .outcome,
             JobOutcome::kRefused);
-  const JobStory unknown =
+  const JobExplanation unknown =
       Told(R"({"event":"job_not_accepted","job":"j","not_run":false,"reason":"timed out"})");
   EXPECT_EQ(unknown.outcome, JobOutcome::kUnknownToCaller);
   EXPECT_NE(unknown.cause.find("timed out"), std::string::npos);
 }
 
-TEST(JobStory, NamesWhatHeldAJobUp) {
-  const JobStory story = Told(R"({"time_ms":1,"event":"job_accepted","job":"j"}
+TEST(JobExplanation, NamesWhatHeldAJobUp) {
+  const JobExplanation explanation = Told(R"({"time_ms":1,"event":"job_accepted","job":"j"}
 {"time_ms":2,"event":"run_placed","job":"j"}
 {"time_ms":3,"event":"run_ended","job":"j","how":"stopped","asked":true}
 {"time_ms":4,"event":"run_placed","job":"j"}
 {"time_ms":9,"event":"job_ended","job":"j","state":"completed"})");
-  EXPECT_EQ(story.stopped_runs, 1);
-  EXPECT_NE(story.cause.find("1 run stopped"), std::string::npos);
+  EXPECT_EQ(explanation.stopped_runs, 1);
+  EXPECT_NE(explanation.cause.find("1 run stopped"), std::string::npos);
 }
 
-TEST(JobStory, SaysSoWhenNothingIsKnown) { EXPECT_EQ(Told("").outcome, JobOutcome::kNotSeen); }
+TEST(JobExplanation, SaysSoWhenNothingIsKnown) {
+  EXPECT_EQ(Told("").outcome, JobOutcome::kNotSeen);
+}
 
 }  // namespace
 }  // namespace turmericshift
--- a/servers/pool/job_api_test.cc
+++ b/servers/pool/job_api_test.cc
@@ -33,14 +33,14 @@
  public:
   int submissions() const { return submissions_.load(); }
   void Exchange(const AgentReport& /*report*/,
-                std::function<void(Attempt<AgentOrders>)> /*done*/) override {}
-  void Submit(const JobSpec& /*spec*/, std::function<void(Attempt<Done>)> /*done*/) override {
+                std::function<void(Result<AgentOrders>)> /*done*/) override {}
+  void Submit(const JobSpec& /*spec*/, std::function<void(Result<Done>)> /*done*/) override {
     submissions_.fetch_add(1);
   }
-  void Cancel(const std::string& /*id*/, std::function<void(Attempt<Done>)> /*done*/) override {}
+  void Cancel(const std::string& /*id*/, std::function<void(Result<Done>)> /*done*/) override {}
   void Yield(const PlannerRecord& /*successor*/,
-             std::function<void(Attempt<Done>)> /*done*/) override {}
-  void Offer(std::function<void(Attempt<Done>)> /*done*/) override {}
+             std::function<void(Result<Done>)> /*done*/) override {}
+  void Offer(std::function<void(Result<Done>)> /*done*/) override {}
 
  private:
   std::atomic<int> submissions_{0};
@@ -50,10 +50,10 @@
 class SupersededGate : public UnresponsiveGate {
  public:
   PlannerRecord Successor() const override { return {2, "e2", "there"}; }
-  void Submit(const JobSpec& /*spec*/, std::function<void(Attempt<Done>)> done) override {
-    Attempt<Done> attempt;
-    attempt.error = Error(ErrorKind::kConflict, Outcome::kNotRun, "this process does not plan");
-    done(attempt);
+  void Submit(const JobSpec& /*spec*/, std::function<void(Result<Done>)> done) override {
+    Result<Done> result;
+    result.error = Error(ErrorKind::kConflict, Outcome::kNotRun, "this process does not plan");
+    done(result);
   }
 };
 
--- a/servers/pool/job_intake.h
+++ b/servers/pool/job_intake.h
@@ -16,7 +16,7 @@
 
 class JobIntake {
  public:
-  using OnDone = std::function<void(Attempt<Done>)>;
+  using OnDone = std::function<void(Result<Done>)>;
 
   // `stall_timeout`: the store is considered unresponsive once an append has been unanswered for
   // this long.
--- a/servers/pool/job_intake_test.cc
+++ b/servers/pool/job_intake_test.cc
@@ -36,9 +36,9 @@
     spec.id = id;
     spec.steps.emplace_back();
     Replies replies;
-    const auto done = [this, id](const Attempt<Done>& attempt) {
-      submitted_[id].push_back(OutcomeOf(attempt));
-      if (!attempt.error && Find(id) == nullptr) answers_consistent_ = false;
+    const auto done = [this, id](const Result<Done>& result) {
+      submitted_[id].push_back(OutcomeOf(result));
+      if (!result.error && Find(id) == nullptr) answers_consistent_ = false;
     };
     intake_.Submit(spec, sent_, planner_.get(), done, now_, &replies);
     RunAll(replies);
@@ -46,8 +46,8 @@
 
   void Cancel(const std::string& id) {
     Replies replies;
-    const auto done = [this, id](const Attempt<Done>& attempt) {
-      cancelled_[id].push_back(OutcomeOf(attempt));
+    const auto done = [this, id](const Result<Done>& result) {
+      cancelled_[id].push_back(OutcomeOf(result));
     };
     intake_.Cancel(id, 1, planner_.get(), done, now_, &replies);
     RunAll(replies);
@@ -79,8 +79,8 @@
     const auto found = answers.find(id);
     return found == answers.end() ? std::vector<Outcome>() : found->second;
   }
-  static Outcome OutcomeOf(const Attempt<Done>& attempt) {
-    return attempt.error ? attempt.error->outcome() : Outcome::kRan;
+  static Outcome OutcomeOf(const Result<Done>& result) {
+    return result.error ? result.error->outcome() : Outcome::kRan;
   }
 
   void NewPlanner() {
--- a/servers/pool/local_planner_client.cc
+++ b/servers/pool/local_planner_client.cc
@@ -10,9 +10,9 @@
 // Calls `begin` with a callback and waits until the callback is called.
 template <typename Value, typename Begin>
 Value WaitFor(Begin&& begin, Duration timeout) {
-  auto promise = std::make_shared<std::promise<Attempt<Value>>>();
-  std::future<Attempt<Value>> future = promise->get_future();
-  begin([promise](Attempt<Value> attempt) { promise->set_value(std::move(attempt)); });
+  auto promise = std::make_shared<std::promise<Result<Value>>>();
+  std::future<Result<Value>> future = promise->get_future();
+  begin([promise](Result<Value> result) { promise->set_value(std::move(result)); });
   if (future.wait_for(timeout) != std::future_status::ready) {
     throw Error(ErrorKind::kDeadlineExceeded, Outcome::kUnknown,
                 "the planner did not answer within the time-out");
--- a/servers/pool/planner_gate.h
+++ b/servers/pool/planner_gate.h
@@ -6,7 +6,7 @@
 #include <memory>
 #include <string>
 
-#include "core/attempt.h"
+#include "core/result.h"
 #include "servers/pool/job_records.h"
 #include "servers/pool/pool_messages.h"
 
@@ -21,20 +21,20 @@
 
   // Calls `done` once, from any thread, no later than the end of the report's wait.
   virtual void Exchange(const AgentReport& report,
-                        std::function<void(Attempt<AgentOrders>)> done) = 0;
+                        std::function<void(Result<AgentOrders>)> done) = 0;
   // Calls `done` when the job is durable. Errors: kLogUnavailable or kOverloaded, with outcome
   // not_run if the job will never run and with outcome unknown if it may be or become durable;
   // kConflict with outcome not_run if this process is not the active planner.
-  virtual void Submit(const JobSpec& spec, std::function<void(Attempt<Done>)> done) = 0;
+  virtual void Submit(const JobSpec& spec, std::function<void(Result<Done>)> done) = 0;
   // Calls `done` when the cancellation is durable or the job was over. Errors: kNotFound and those
   // of Submit.
-  virtual void Cancel(const std::string& id, std::function<void(Attempt<Done>)> done) = 0;
+  virtual void Cancel(const std::string& id, std::function<void(Result<Done>)> done) = 0;
   // Another process has become the active planner. Calls `done` once this process is not active,
   // whether or not it was before.
-  virtual void Yield(const PlannerRecord& successor, std::function<void(Attempt<Done>)> done) = 0;
+  virtual void Yield(const PlannerRecord& successor, std::function<void(Result<Done>)> done) = 0;
   // The planner's VM is too weak for the pool; asks whether this process would take over once the
   // leadership is vacant. Calls `done` with kConflict if it would not.
-  virtual void Offer(std::function<void(Attempt<Done>)> done) = 0;
+  virtual void Offer(std::function<void(Result<Done>)> done) = 0;
   // The newest planner that this process knows of; epoch 0 if it knows none.
   virtual PlannerRecord KnownPlanner() const { return {}; }
   // The newest planner that has notified this process that it took over; epoch 0 if there is none.
--- a/servers/pool/planner_service.cc
+++ b/servers/pool/planner_service.cc
@@ -157,7 +157,7 @@
 }
 
 void PlannerService::Exchange(const AgentReport& report,
-                              std::function<void(Attempt<AgentOrders>)> done) {
+                              std::function<void(Result<AgentOrders>)> done) {
   const Time now = LeaseClock().Now();
   Replies replies;
   bool replan = false;
@@ -213,13 +213,13 @@
   RunAll(replies);
 }
 
-void PlannerService::Submit(const JobSpec& spec, std::function<void(Attempt<Done>)> done) {
+void PlannerService::Submit(const JobSpec& spec, std::function<void(Result<Done>)> done) {
   AcceptCall(std::move(done), [&](JobIntake::OnDone answer, Time now, Replies* replies) {
     intake_.Submit(spec, append_started_at_, planner_.get(), std::move(answer), now, replies);
   });
 }
 
-void PlannerService::Cancel(const std::string& id, std::function<void(Attempt<Done>)> done) {
+void PlannerService::Cancel(const std::string& id, std::function<void(Result<Done>)> done) {
   AcceptCall(std::move(done), [&](JobIntake::OnDone answer, Time now, Replies* replies) {
     intake_.Cancel(id, LeaseClock().WallMillis(), planner_.get(), std::move(answer), now, replies);
   });
@@ -229,8 +229,7 @@
 // it has been succeeded it continues to grant leases, and agents that have lost the store as well
 // stay with it. The successor can then start nothing on their workers and can't restart tasks that
 // they may still run. The symptom is a `duty_ended` many seconds after the next `duty_taken`.
-void PlannerService::Yield(const PlannerRecord& successor,
-                           std::function<void(Attempt<Done>)> done) {
+void PlannerService::Yield(const PlannerRecord& successor, std::function<void(Result<Done>)> done) {
   Replies replies;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
@@ -250,7 +249,7 @@
   RunAll(replies);
 }
 
-void PlannerService::Offer(std::function<void(Attempt<Done>)> done) {
+void PlannerService::Offer(std::function<void(Result<Done>)> done) {
   Replies replies;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
--- a/servers/pool/planner_service.h
+++ b/servers/pool/planner_service.h
@@ -69,17 +69,17 @@
   std::vector<std::string> UnresponsiveAgents(const std::set<std::string>& agents, Duration limit,
                                               Time now) const;
 
-  void Exchange(const AgentReport& report, std::function<void(Attempt<AgentOrders>)> done) override;
-  void Submit(const JobSpec& spec, std::function<void(Attempt<Done>)> done) override;
-  void Cancel(const std::string& id, std::function<void(Attempt<Done>)> done) override;
-  void Yield(const PlannerRecord& successor, std::function<void(Attempt<Done>)> done) override;
-  void Offer(std::function<void(Attempt<Done>)> done) override;
+  void Exchange(const AgentReport& report, std::function<void(Result<AgentOrders>)> done) override;
+  void Submit(const JobSpec& spec, std::function<void(Result<Done>)> done) override;
+  void Cancel(const std::string& id, std::function<void(Result<Done>)> done) override;
+  void Yield(const PlannerRecord& successor, std::function<void(Result<Done>)> done) override;
+  void Offer(std::function<void(Result<Done>)> done) override;
   PlannerRecord KnownPlanner() const override;
   PlannerRecord Successor() const override;
 
  private:
   struct Poll {
-    std::function<void(Attempt<AgentOrders>)> done;
+    std::function<void(Result<AgentOrders>)> done;
     Time until{};
   };
 
--- a/servers/pool/planner_service_test.cc
+++ b/servers/pool/planner_service_test.cc
@@ -24,20 +24,20 @@
 // The answer to one attempt of a caller.
 class SubmitResult {
  public:
-  std::function<void(Attempt<Done>)> Callback() {
-    return [promise = promise_](Attempt<Done> attempt) { promise->set_value(std::move(attempt)); };
+  std::function<void(Result<Done>)> Callback() {
+    return [promise = promise_](Result<Done> result) { promise->set_value(std::move(result)); };
   }
   // Returns the outcome of the error, or kRan if the record is durable.
   Outcome Wait() {
     EXPECT_EQ(future_.wait_for(kAnswerLimit), std::future_status::ready) << "never answered";
-    const Attempt<Done> attempt = future_.get();
-    return attempt.error ? attempt.error->outcome() : Outcome::kRan;
+    const Result<Done> result = future_.get();
+    return result.error ? result.error->outcome() : Outcome::kRan;
   }
 
  private:
-  std::shared_ptr<std::promise<Attempt<Done>>> promise_ =
-      std::make_shared<std::promise<Attempt<Done>>>();
-  std::future<Attempt<Done>> future_ = promise_->get_future();
+  std::shared_ptr<std::promise<Result<Done>>> promise_ =
+      std::make_shared<std::promise<Result<Done>>>();
+  std::future<Result<Done>> future_ = promise_->get_future();
 };
 
 class PlannerServiceTest : public testing::Test {
--- a/servers/pool/replies.h
+++ b/servers/pool/replies.h
@@ -5,19 +5,19 @@
 #include <utility>
 #include <vector>
 
-#include "core/attempt.h"
+#include "core/result.h"
 
 namespace turmericshift::pool {
 
 using Replies = std::vector<std::function<void()>>;
 
 template <typename Value>
-std::function<void()> Succeeded(std::function<void(Attempt<Value>)> done, Value value) {
+std::function<void()> Succeeded(std::function<void(Result<Value>)> done, Value value) {
   return [done = std::move(done), value = std::move(value)] { done({value, std::nullopt}); };
 }
 
 template <typename Value>
-std::function<void()> Failed(std::function<void(Attempt<Value>)> done, const Error& error) {
+std::function<void()> Failed(std::function<void(Result<Value>)> done, const Error& error) {
   return [done = std::move(done), error] { done({std::nullopt, error}); };
 }
 
--- a/servers/requests/idempotent_router.cc
+++ b/servers/requests/idempotent_router.cc
@@ -169,7 +169,7 @@
     const auto state = replicated_requests_->Find(request.workspace, request.idempotency_key);
     if (state && state->claim.attempt != attempt) return std::nullopt;
     RecordNeverRan(claim);
-    const bool retry = AnswerFor(error.kind()).retryable && budget_->Spend();
+    const bool retry = ErrorInfoFor(error.kind()).retryable && budget_->Spend();
     if (!retry) throw;
     return std::nullopt;
   }
--- a/tests/request_windows_test.cc
+++ b/tests/request_windows_test.cc
@@ -2,8 +2,8 @@
 // docs/notes/requests.md lists these points.
 #include <gtest/gtest.h>
 
-#include "core/attempt.h"
 #include "core/digest.h"
+#include "core/result.h"
 #include "core/thread.h"
 #include "tests/stand_ins/request_cluster.h"
 
@@ -215,7 +215,7 @@
     request.body_digest = Digest(kBody);
     request.idempotency_key = kKey;
     request.time_left = kTimeout;
-    const auto late = AttemptOf<ServiceAnswer>(
+    const auto late = ResultOf<ServiceAnswer>(
         [&] { return cluster_.entry(0)->router.Route(request, first_use); });
     ASSERT_TRUE(late.error);
     EXPECT_EQ(late.error->kind(), ErrorKind::kKeyExpired) << late.error->what();
--- a/tests/silent_connection_test.cc
+++ b/tests/silent_connection_test.cc
@@ -1,8 +1,8 @@
 // A real session whose connection goes silent permanently while a request is in flight.
 #include <gtest/gtest.h>
 
-#include "core/attempt.h"
 #include "core/digest.h"
+#include "core/result.h"
 #include "rpc/gate_listener.h"
 #include "rpc/rpc_entry_connector.h"
 #include "tests/stand_ins/request_cluster.h"
@@ -71,9 +71,9 @@
     request.body_digest = Digest(request.body);
     request.idempotency_key = key;
     request.time_left = std::chrono::minutes(5);
-    Attempt<ServiceAnswer> attempt;
+    Result<ServiceAnswer> result;
     Thread caller("caller", [&] {
-      attempt = AttemptOf<ServiceAnswer>([&] { return entry->router.Route(request); });
+      result = ResultOf<ServiceAnswer>([&] { return entry->router.Route(request); });
     });
     WaitUntil("the request did not start", [&] { return target.running() == 1; });
     const int connections = relay.connections();
@@ -82,8 +82,8 @@
     WaitUntil("the agent did not open a second connection",
               [&] { return relay.connections() > connections; });
     caller.Join();
-    ASSERT_TRUE(attempt.value) << attempt.error->what();
-    EXPECT_EQ(attempt.value->body, AnswerTo(request.body));
+    ASSERT_TRUE(result.value) << result.error->what();
+    EXPECT_EQ(result.value->body, AnswerTo(request.body));
   }
   EXPECT_EQ(history.Violations(), std::vector<std::string>{});
 }
--- a/tests/stand_ins/request_cluster.cc
+++ b/tests/stand_ins/request_cluster.cc
@@ -175,7 +175,7 @@
     event.answered = true;
   } catch (const Error& error) {
     event.outcome = error.outcome();
-    event.error = std::string(AnswerFor(error.kind()).name) + ": " + error.what();
+    event.error = std::string(ErrorInfoFor(error.kind()).name) + ": " + error.what();
   }
   history_.Add(event);
   return event;
