--- a/servers/planner/planner_simulation.h
+++ b/servers/planner/planner_simulation.h
@@ -30,7 +30,7 @@
   PlannerSimulation(uint64_t seed, const InjectedFaults& injected);
   ~PlannerSimulation();
 
-  // Submit and Cancel bring the log up first.
+  // Submit and Cancel first end any outage of the log.
   std::string Submit(const JobSpec& spec);
   void Cancel(const std::string& job);
   // Advances the simulation by `time`, with or without random faults.
@@ -51,7 +51,8 @@
   // Pauses the entry that makes the next call for `time` before it sends the call.
   void PauseNextCall(Duration time) { pause_next_call_ = time; }
   void SetZoneIn(bool in);
-  // The number of attempts of the job that were released on at least one worker.
+  // The number of attempts of the job whose tasks were released (allowed to run) on at least one
+  // worker.
   size_t AttemptsReleased(const std::string& job) const;
   bool Runs(const std::string& job) const;
 
--- a/servers/requests/target_sender.cc
+++ b/servers/requests/target_sender.cc
@@ -15,8 +15,8 @@
 constexpr Duration kSilenceWatchInterval = std::chrono::milliseconds(250);
 constexpr Duration kMinQuestionInterval = std::chrono::milliseconds(5);
 constexpr Duration kMaxQuestionInterval = std::chrono::milliseconds(100);
-// A question gets at least this long even when the deadline is closer, as its answer tells the
-// caller whether the request ran.
+// The minimum time-out of a question about an attempt's outcome, even when the deadline is closer,
+// as the answer tells the caller whether the request ran.
 constexpr Duration kMinQuestionTimeout = std::chrono::milliseconds(200);
 constexpr Duration kMaxQuestionTimeout = std::chrono::seconds(1);
 constexpr Duration kMinRetryAfter = std::chrono::milliseconds(100);
@@ -49,7 +49,7 @@
 }
 
 // Returns the attempt's answer, or throws the Error that matches its state.
-ServiceAnswer TakeResolved(SeenAnswer seen) {
+ServiceAnswer AnswerOrThrow(SeenAnswer seen) {
   if (seen.state == SeenState::kNeverWillRun) {
     throw Error(ErrorKind::kConnectionLost, Outcome::kNotRun,
                 "the request did not reach the target and will not run");
@@ -170,7 +170,8 @@
   } catch (const Error& error) {
     if (error.outcome() != Outcome::kUnknown) throw;
     unknown_->Add();
-    // The error of the delivery says more about the cause than that of the question.
+    // The error of the delivery says more about the cause than the error of the question to the
+    // agent.
     throw *delivery_error;
   }
 }
@@ -186,7 +187,7 @@
                   "the target's agent has restarted since the request was sent");
     }
     std::optional<SeenAnswer> seen = QueryAgent(state, question, sent, now, deadline);
-    if (seen && seen->state != SeenState::kRunning) return TakeResolved(std::move(*seen));
+    if (seen && seen->state != SeenState::kRunning) return AnswerOrThrow(std::move(*seen));
     const Time asked = DefaultClock().Now();
     if (seen) last_reached = asked;
     RequireTimeLeft(deadline, asked, Outcome::kUnknown);
