--- a/main/commands/pool_commands.cc
+++ b/main/commands/pool_commands.cc
@@ -47,12 +47,12 @@
   entry_options.node = settings.name;
   entry_options.zone = settings.availability_zone;
   entry_options.vm = settings.vm;
-  entry_options.front.node = settings.name;
+  entry_options.job_api.node = settings.name;
   entry_options.callers = HttpAt(settings.callers);
   entry_options.readiness = HttpAt(settings.readiness);
   entry_options.planner.planner = pool::PlannerOptionsFor(settings.bounds);
   entry_options.planner.planner.disabled_mechanisms = settings.mechanisms_off;
-  pool::ApplyBounds(settings.bounds, &entry_options.front);
+  pool::ApplyBounds(settings.bounds, &entry_options.job_api);
   for (const std::string& unmet : pool::UnattainableBounds(settings.bounds)) {
     LogEvent(LogLevel::kWarning, "bound_unmet", {{"reason", unmet}});
   }
--- a/servers/pool/job_intake.cc
+++ b/servers/pool/job_intake.cc
@@ -36,7 +36,7 @@
 void JobIntake::Cancel(const std::string& id, int64_t wall_ms, PoolPlanner* planner, OnDone done,
                        Time now, Replies* replies) {
   const CancelResult result = planner->Cancel(id, wall_ms);
-  if (!result.known) {
+  if (!result.job_exists) {
     // While the store is unresponsive, a successor may have accepted the job unknown to this
     // planner.
     const Error unknown(ErrorKind::kNotFound, Outcome::kNotRun, "no such job");
--- a/servers/pool/pool_entry.cc
+++ b/servers/pool/pool_entry.cc
@@ -26,7 +26,7 @@
       members_(log, options.members_wait),
       router_(options.node, options.zone, &members_, connector),
       service_(options.planner, log, &operators_, metrics),
-      front_(options.front, &work_, &operators_, &service_, &router_, metrics) {
+      front_(options.job_api, &work_, &operators_, &service_, &router_, metrics) {
   callers_ = std::make_unique<HttpServer>(options.callers, [this](const HttpRequest& request) {
     return endpoint_->Handle(request, &front_, LeaseClock().Now());
   });
--- a/servers/pool/pool_entry.h
+++ b/servers/pool/pool_entry.h
@@ -23,7 +23,7 @@
   HttpServerOptions readiness;
   PlannerServiceOptions planner;
   ElectorOptions elector;
-  JobApiOptions front;
+  JobApiOptions job_api;
   // How long a poll of the members topic waits for a change.
   Duration members_wait = std::chrono::seconds(4);
   // How long a leaving entry continues to accept callers, so that the balancer notices first: it
--- a/servers/pool/pool_planner.h
+++ b/servers/pool/pool_planner.h
@@ -87,7 +87,7 @@
 };
 
 struct CancelResult {
-  bool known = false;
+  bool job_exists = false;
   // The cancellation takes effect once the record of this ticket is durable; 0 if the job had
   // already ended.
   Ticket ticket = 0;
