--- a/servers/pool/advice_cache_test.cc
+++ b/servers/pool/advice_cache_test.cc
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-#include "tests/stand_ins/pool_bed.h"
+#include "tests/stand_ins/pool_simulation.h"
 
 namespace turmericshift::pool {
 namespace {
@@ -87,7 +87,7 @@
 }
 
 OperatorState AdvisedOperators() {
-  OperatorState operators = BedOperators(8);
+  OperatorState operators = SampleOperatorState(8);
   for (Queue& queue : operators.config.queues) queue.terms.advised = true;
   return operators;
 }
@@ -95,40 +95,41 @@
 // Only workers of one rack may run the queue's steps, and only the service knows which. Without its
 // advice each start is refused and the job never ends.
 TEST(PoolPlannerAdvice, StartsOnlyOnAllowedWorkers) {
-  PoolBed bed(BedRacks(3), AdvisedOperators());
-  bed.advises = [](const std::string& /*job*/, const std::string& node) {
+  PoolSimulation simulation(SampleRacks(3), AdvisedOperators());
+  simulation.advises = [](const std::string& /*job*/, const std::string& node) {
     return node.rfind("w1", 0) == 0;
   };
-  StepSpec gang = BedStep(3, 4, seconds(1));
+  StepSpec gang = SampleStep(3, 4, seconds(1));
   gang.gang = true;
-  bed.Submit(BedJob("gang", "batch", "one", gang));
-  bed.Submit(BedJob("singles", "bulk", "two", BedStep(8, 2, milliseconds(1500))));
-  ASSERT_TRUE(bed.RunUntil("gang", JobState::kCompleted, seconds(6)));
-  ASSERT_TRUE(bed.RunUntil("singles", JobState::kCompleted, seconds(12)));
-  for (const BedRun& run : bed.runs()) EXPECT_EQ(run.node.substr(0, 2), "w1") << run.node;
-  EXPECT_EQ(bed.tickets_refused(), 0);
-  EXPECT_LE(bed.questions(), 8);
-  EXPECT_EQ(bed.violations(), std::vector<std::string>());
+  simulation.Submit(SampleJob("gang", "batch", "one", gang));
+  simulation.Submit(SampleJob("singles", "bulk", "two", SampleStep(8, 2, milliseconds(1500))));
+  ASSERT_TRUE(simulation.RunUntil("gang", JobState::kCompleted, seconds(6)));
+  ASSERT_TRUE(simulation.RunUntil("singles", JobState::kCompleted, seconds(12)));
+  for (const SimulatedRun& run : simulation.runs())
+    EXPECT_EQ(run.node.substr(0, 2), "w1") << run.node;
+  EXPECT_EQ(simulation.rejected_tickets(), 0);
+  EXPECT_LE(simulation.advice_requests(), 8);
+  EXPECT_EQ(simulation.violations(), std::vector<std::string>());
 }
 
 // The pool is full of preemptible work when an urgent job within its guarantee arrives that only
 // one worker may run. The planner has to learn which worker before it preempts a task, and still
 // start the job in time.
 TEST(PoolPlannerAdvice, ReclaimsAGuaranteeOnTheAllowedWorker) {
-  PoolBed bed(BedRacks(1), AdvisedOperators());
-  bed.Submit(BedJob("bulk", "bulk", "two", BedStep(3, 8, seconds(30))));
-  bed.RunFor(seconds(3));
-  ASSERT_EQ(bed.RunsOf("bulk").size(), 3U);
-  bed.advises = [](const std::string& job, const std::string& node) {
+  PoolSimulation simulation(SampleRacks(1), AdvisedOperators());
+  simulation.Submit(SampleJob("bulk", "bulk", "two", SampleStep(3, 8, seconds(30))));
+  simulation.RunFor(seconds(3));
+  ASSERT_EQ(simulation.RunsOf("bulk").size(), 3U);
+  simulation.advises = [](const std::string& job, const std::string& node) {
     return job != "urgent" || node == "w0-1";
   };
-  const Time submitted = bed.now();
-  bed.Submit(BedJob("urgent", "urgent", "one", BedStep(1, 8, seconds(1))));
-  bed.RunFor(milliseconds(2900));
-  const std::vector<BedRun> runs = bed.RunsOf("urgent");
+  const Time submitted = simulation.now();
+  simulation.Submit(SampleJob("urgent", "urgent", "one", SampleStep(1, 8, seconds(1))));
+  simulation.RunFor(milliseconds(2900));
+  const std::vector<SimulatedRun> runs = simulation.RunsOf("urgent");
   ASSERT_EQ(runs.size(), 1U);
   EXPECT_EQ(runs[0].node, "w0-1");
-  EXPECT_LT(runs[0].begun - submitted, milliseconds(2900));
+  EXPECT_LT(runs[0].started - submitted, milliseconds(2900));
 }
 
 }  // namespace
--- a/servers/pool/job_table_test.cc
+++ b/servers/pool/job_table_test.cc
@@ -3,20 +3,20 @@
 #include <gtest/gtest.h>
 
 #include "core/error.h"
-#include "tests/stand_ins/pool_bed.h"
+#include "tests/stand_ins/pool_simulation.h"
 
 namespace turmericshift::pool {
 namespace {
 
 JobSpec FullJob() {
-  StepSpec step = BedStep(4, 2, std::chrono::milliseconds(700));
+  StepSpec step = SampleStep(4, 2, std::chrono::milliseconds(700));
   step.gang = true;
   step.one_rack = true;
   step.checkpoints = true;
   step.label = "big";
   step.data_rack = "r1";
   step.max_per_worker = 2;
-  JobSpec spec = BedJob("0123456789abcdef", "batch", "one", step);
+  JobSpec spec = SampleJob("0123456789abcdef", "batch", "one", step);
   spec.payload = "text with \"quotes\" and \n";
   spec.terms = {"plans", 1, 3, 2.5, std::chrono::seconds(1)};
   spec.schedule = {3, 1'700'000'000'000, 2000};
--- a/servers/pool/pool_planner_test.cc
+++ b/servers/pool/pool_planner_test.cc
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-#include "tests/stand_ins/pool_bed.h"
+#include "tests/stand_ins/pool_simulation.h"
 
 namespace turmericshift::pool {
 namespace {
@@ -20,9 +20,9 @@
   return step;
 }
 
-std::set<std::string> RacksOf(const PoolBed& bed, const std::string& job) {
+std::set<std::string> RacksOf(const PoolSimulation& simulation, const std::string& job) {
   std::set<std::string> racks;
-  for (const BedRun& run : bed.RunsOf(job)) racks.insert(run.node.substr(0, 2));
+  for (const SimulatedRun& run : simulation.RunsOf(job)) racks.insert(run.node.substr(0, 2));
   return racks;
 }
 
@@ -46,7 +46,7 @@
 // The stored records of job "j", which is running: one task of `estimate`.
 JobTable TableOfRunningJob(Duration estimate) {
   JobTable table;
-  table.Apply({"j/j", EncodeSpec(BedJob("j", "batch", "one", BedStep(1, 1, estimate))), 1});
+  table.Apply({"j/j", EncodeSpec(SampleJob("j", "batch", "one", SampleStep(1, 1, estimate))), 1});
   JobProgress progress;
   progress.state = JobState::kRunning;
   table.Apply({"p/j", EncodeProgress(progress), 2});
@@ -54,76 +54,76 @@
 }
 
 TEST(PoolPlanner, RunsStepsInTheirOrder) {
-  PoolBed bed(BedRacks(2), BedOperators(0));
-  JobSpec job = BedJob("j", "batch", "one", BedStep(3, 1, seconds(1)));
-  StepSpec second = BedStep(2, 1, seconds(1));
+  PoolSimulation simulation(SampleRacks(2), SampleOperatorState(0));
+  JobSpec job = SampleJob("j", "batch", "one", SampleStep(3, 1, seconds(1)));
+  StepSpec second = SampleStep(2, 1, seconds(1));
   second.after = {0};
   job.steps.push_back(second);
-  bed.Submit(job);
-  ASSERT_TRUE(bed.RunUntil("j", JobState::kCompleted, seconds(10)));
+  simulation.Submit(job);
+  ASSERT_TRUE(simulation.RunUntil("j", JobState::kCompleted, seconds(10)));
   Time first_over{};
-  for (const BedRun& run : bed.RunsOf("j")) {
+  for (const SimulatedRun& run : simulation.RunsOf("j")) {
     if (run.run.task.step == 0) first_over = std::max(first_over, run.ended);
   }
-  for (const BedRun& run : bed.RunsOf("j")) {
+  for (const SimulatedRun& run : simulation.RunsOf("j")) {
     if (run.run.task.step == 0) continue;
-    EXPECT_GE(run.begun, first_over);
+    EXPECT_GE(run.started, first_over);
   }
-  EXPECT_EQ(bed.violations(), std::vector<std::string>());
+  EXPECT_EQ(simulation.violations(), std::vector<std::string>());
 }
 
 TEST(PoolPlanner, PlacesAGangInOneRack) {
-  PoolBed bed(BedRacks(2), BedOperators(0));
-  bed.Submit(BedJob("small", "batch", "one", BedStep(1, 4, seconds(20))));
-  bed.RunFor(seconds(1));
-  StepSpec step = Gang(BedStep(2, 8, seconds(2)));
+  PoolSimulation simulation(SampleRacks(2), SampleOperatorState(0));
+  simulation.Submit(SampleJob("small", "batch", "one", SampleStep(1, 4, seconds(20))));
+  simulation.RunFor(seconds(1));
+  StepSpec step = Gang(SampleStep(2, 8, seconds(2)));
   step.one_rack = true;
-  bed.Submit(BedJob("gang", "batch", "one", step));
-  ASSERT_TRUE(bed.RunUntil("gang", JobState::kCompleted, seconds(10)));
-  EXPECT_EQ(RacksOf(bed, "gang").size(), 1U);
+  simulation.Submit(SampleJob("gang", "batch", "one", step));
+  ASSERT_TRUE(simulation.RunUntil("gang", JobState::kCompleted, seconds(10)));
+  EXPECT_EQ(RacksOf(simulation, "gang").size(), 1U);
 }
 
 // A scheduled job must not start early, before its input data exists.
 TEST(PoolPlanner, StartsNoOccurrenceBeforeItIsDue) {
-  PoolBed bed(BedRacks(1), BedOperators(0));
-  JobSpec job = BedJob("timed", "batch", "one", BedStep(1, 1, milliseconds(500)));
+  PoolSimulation simulation(SampleRacks(1), SampleOperatorState(0));
+  JobSpec job = SampleJob("timed", "batch", "one", SampleStep(1, 1, milliseconds(500)));
   job.schedule = {3, 1'700'003'605'000, 2000};
-  bed.Submit(job);
-  ASSERT_TRUE(bed.RunUntil("timed", JobState::kCompleted, seconds(20)));
-  std::vector<Time> begun;
-  for (const BedRun& run : bed.RunsOf("timed")) begun.push_back(run.begun);
-  ASSERT_EQ(begun.size(), 3U);
-  EXPECT_GE(begun[0].time_since_epoch(), seconds(3605));
-  EXPECT_GE(begun[1] - begun[0], milliseconds(1900));
+  simulation.Submit(job);
+  ASSERT_TRUE(simulation.RunUntil("timed", JobState::kCompleted, seconds(20)));
+  std::vector<Time> started;
+  for (const SimulatedRun& run : simulation.RunsOf("timed")) started.push_back(run.started);
+  ASSERT_EQ(started.size(), 3U);
+  EXPECT_GE(started[0].time_since_epoch(), seconds(3605));
+  EXPECT_GE(started[1] - started[0], milliseconds(1900));
 }
 
 // The active planner dies while a gang and single tasks run. Its successor reads the jobs from the
 // store and the runs from the agents; no run may be lost and none may be started twice.
 TEST(PoolPlanner, KeepsRunsWhenThePlannerIsReplaced) {
-  PoolBed bed(BedRacks(2), BedOperators(0));
-  bed.Submit(BedJob("gang", "batch", "one", Gang(BedStep(3, 2, seconds(4)))));
-  bed.Submit(BedJob("singles", "bulk", "two", BedStep(6, 1, seconds(4))));
-  bed.RunFor(seconds(1));
-  bed.ReplacePlanner();
-  ASSERT_TRUE(bed.RunUntil("gang", JobState::kCompleted, seconds(6)));
-  ASSERT_TRUE(bed.RunUntil("singles", JobState::kCompleted, seconds(6)));
-  EXPECT_EQ(bed.RunsOf("gang").size(), 3U);
-  EXPECT_EQ(bed.RunsOf("singles").size(), 6U);
-  EXPECT_EQ(bed.violations(), std::vector<std::string>());
+  PoolSimulation simulation(SampleRacks(2), SampleOperatorState(0));
+  simulation.Submit(SampleJob("gang", "batch", "one", Gang(SampleStep(3, 2, seconds(4)))));
+  simulation.Submit(SampleJob("singles", "bulk", "two", SampleStep(6, 1, seconds(4))));
+  simulation.RunFor(seconds(1));
+  simulation.ReplacePlanner();
+  ASSERT_TRUE(simulation.RunUntil("gang", JobState::kCompleted, seconds(6)));
+  ASSERT_TRUE(simulation.RunUntil("singles", JobState::kCompleted, seconds(6)));
+  EXPECT_EQ(simulation.RunsOf("gang").size(), 3U);
+  EXPECT_EQ(simulation.RunsOf("singles").size(), 6U);
+  EXPECT_EQ(simulation.violations(), std::vector<std::string>());
 }
 
 // The planner dies while a worker and its agent are partitioned. The worker runs on under its
 // lease, which the successor does not know; starting the task elsewhere immediately would run it
 // twice.
 TEST(PoolPlanner, WaitsForLeasesGrantedByItsPredecessor) {
-  PoolBed bed(BedRacks(1), BedOperators(0));
-  bed.Submit(BedJob("j", "batch", "one", BedStep(3, 8, seconds(8))));
-  bed.RunFor(seconds(1));
-  bed.CutOff("w0-1");
-  bed.ReplacePlanner();
-  ASSERT_TRUE(bed.RunUntil("j", JobState::kCompleted, seconds(60)));
-  EXPECT_EQ(bed.violations(), std::vector<std::string>());
-  EXPECT_GE(bed.RunsOf("j").size(), 4U);
+  PoolSimulation simulation(SampleRacks(1), SampleOperatorState(0));
+  simulation.Submit(SampleJob("j", "batch", "one", SampleStep(3, 8, seconds(8))));
+  simulation.RunFor(seconds(1));
+  simulation.Isolate("w0-1");
+  simulation.ReplacePlanner();
+  ASSERT_TRUE(simulation.RunUntil("j", JobState::kCompleted, seconds(60)));
+  EXPECT_EQ(simulation.violations(), std::vector<std::string>());
+  EXPECT_GE(simulation.RunsOf("j").size(), 4U);
 }
 
 // An agent disappears while the planner changes. Work that may be running there waits; how long
@@ -136,7 +136,7 @@
   const auto placed_after = [&](Duration waited) {
     const Time then = now + waited;
     planner.ConfirmLeadership(then);
-    planner.SetOperatorState(std::make_shared<OperatorState>(BedOperators(0)), then);
+    planner.SetOperatorState(std::make_shared<OperatorState>(SampleOperatorState(0)), then);
     planner.ApplyReport(Report("first", waited.count() + 1), 0, then);
     planner.Plan(0, then);
     return !planner.workers().at("n").live.empty();
@@ -150,67 +150,67 @@
 // An agent is gone while the planner changes, and a job waits of which nothing has begun. The job
 // need not wait for that agent's leases to expire: if any of it had begun, the store would show it.
 TEST(PoolPlanner, StartsAnInheritedQueuedJobImmediately) {
-  PoolBed bed(BedRacks(1), BedOperators(0));
-  bed.Submit(BedJob("runs", "batch", "one", BedStep(3, 8, seconds(3))));
-  bed.RunFor(milliseconds(500));
-  bed.Submit(BedJob("waits", "batch", "one", BedStep(1, 8, seconds(1))));
-  bed.RunFor(milliseconds(500));
-  bed.CutOff("w0-2");
-  bed.ReplacePlanner();
-  ASSERT_TRUE(bed.RunUntil("waits", JobState::kCompleted, seconds(6)));
-  EXPECT_EQ(bed.violations(), std::vector<std::string>());
+  PoolSimulation simulation(SampleRacks(1), SampleOperatorState(0));
+  simulation.Submit(SampleJob("runs", "batch", "one", SampleStep(3, 8, seconds(3))));
+  simulation.RunFor(milliseconds(500));
+  simulation.Submit(SampleJob("waits", "batch", "one", SampleStep(1, 8, seconds(1))));
+  simulation.RunFor(milliseconds(500));
+  simulation.Isolate("w0-2");
+  simulation.ReplacePlanner();
+  ASSERT_TRUE(simulation.RunUntil("waits", JobState::kCompleted, seconds(6)));
+  EXPECT_EQ(simulation.violations(), std::vector<std::string>());
 }
 
 // A partitioned worker runs on. Its task may start elsewhere only after the lease on that worker
 // has expired; otherwise the task would run twice at the same time.
 TEST(PoolPlanner, RestartsTasksOfAPartitionedWorkerAfterItsLeaseExpires) {
-  PoolBed bed(BedRacks(1), BedOperators(0));
-  bed.Submit(BedJob("j", "batch", "one", BedStep(1, 8, seconds(8))));
-  bed.RunFor(seconds(1));
-  ASSERT_EQ(bed.RunsOf("j").size(), 1U);
-  const std::string first = bed.RunsOf("j")[0].node;
-  bed.CutOff(first);
-  ASSERT_TRUE(bed.RunUntil("j", JobState::kCompleted, seconds(30)));
-  EXPECT_EQ(bed.violations(), std::vector<std::string>());
-  const std::vector<BedRun> runs = bed.RunsOf("j");
+  PoolSimulation simulation(SampleRacks(1), SampleOperatorState(0));
+  simulation.Submit(SampleJob("j", "batch", "one", SampleStep(1, 8, seconds(8))));
+  simulation.RunFor(seconds(1));
+  ASSERT_EQ(simulation.RunsOf("j").size(), 1U);
+  const std::string first = simulation.RunsOf("j")[0].node;
+  simulation.Isolate(first);
+  ASSERT_TRUE(simulation.RunUntil("j", JobState::kCompleted, seconds(30)));
+  EXPECT_EQ(simulation.violations(), std::vector<std::string>());
+  const std::vector<SimulatedRun> runs = simulation.RunsOf("j");
   ASSERT_EQ(runs.size(), 2U);
-  EXPECT_EQ(runs[0].how, EndKind::kLeaseExpired);
+  EXPECT_EQ(runs[0].end_kind, EndKind::kLeaseExpired);
   EXPECT_NE(runs[1].node, first);
-  EXPECT_LT(runs[1].begun - runs[0].ended, seconds(2));
+  EXPECT_LT(runs[1].started - runs[0].ended, seconds(2));
 }
 
 // A worker dies and restarts. The new incarnation proves that all its runs are over, so nothing
 // waits for a lease.
 TEST(PoolPlanner, RestartsTasksOfARestartedWorkerImmediately) {
-  PoolBed bed(BedRacks(1), BedOperators(0));
-  bed.Submit(BedJob("j", "batch", "one", BedStep(1, 8, seconds(3))));
-  bed.RunFor(seconds(1));
-  bed.RestartWorker(bed.RunsOf("j")[0].node);
-  bed.RunFor(seconds(1));
-  EXPECT_EQ(bed.RunsOf("j").size(), 2U);
-  ASSERT_TRUE(bed.RunUntil("j", JobState::kCompleted, seconds(8)));
-  EXPECT_EQ(bed.violations(), std::vector<std::string>());
+  PoolSimulation simulation(SampleRacks(1), SampleOperatorState(0));
+  simulation.Submit(SampleJob("j", "batch", "one", SampleStep(1, 8, seconds(3))));
+  simulation.RunFor(seconds(1));
+  simulation.RestartWorker(simulation.RunsOf("j")[0].node);
+  simulation.RunFor(seconds(1));
+  EXPECT_EQ(simulation.RunsOf("j").size(), 2U);
+  ASSERT_TRUE(simulation.RunUntil("j", JobState::kCompleted, seconds(8)));
+  EXPECT_EQ(simulation.violations(), std::vector<std::string>());
 }
 
 // An agent's process is replaced while its worker runs on. The new process knows only what the
 // worker lists, and no run may be lost.
 TEST(PoolPlanner, KeepsRunsWhenAnAgentIsReplaced) {
-  PoolBed bed(BedRacks(1), BedOperators(0));
-  bed.Submit(BedJob("j", "batch", "one", BedStep(3, 4, seconds(4))));
-  bed.RunFor(seconds(1));
-  for (const BedRun& run : bed.RunsOf("j")) bed.RestartAgent(run.node);
-  ASSERT_TRUE(bed.RunUntil("j", JobState::kCompleted, seconds(8)));
-  EXPECT_EQ(bed.RunsOf("j").size(), 3U);
-  EXPECT_EQ(bed.violations(), std::vector<std::string>());
+  PoolSimulation simulation(SampleRacks(1), SampleOperatorState(0));
+  simulation.Submit(SampleJob("j", "batch", "one", SampleStep(3, 4, seconds(4))));
+  simulation.RunFor(seconds(1));
+  for (const SimulatedRun& run : simulation.RunsOf("j")) simulation.RestartAgent(run.node);
+  ASSERT_TRUE(simulation.RunUntil("j", JobState::kCompleted, seconds(8)));
+  EXPECT_EQ(simulation.RunsOf("j").size(), 3U);
+  EXPECT_EQ(simulation.violations(), std::vector<std::string>());
 }
 
 // A planner with one worker, to which one task has just been assigned.
 struct OneWorker {
   OneWorker() : planner(PlannerOptions(), 1, JobTable(), {}, now) {
     planner.ConfirmLeadership(now);
-    planner.SetOperatorState(std::make_shared<OperatorState>(BedOperators(0)), now);
+    planner.SetOperatorState(std::make_shared<OperatorState>(SampleOperatorState(0)), now);
     planner.ApplyReport(Report("first", 1), 0, now);
-    planner.Submit(BedJob("j", "batch", "one", BedStep(1, 1, seconds(2))));
+    planner.Submit(SampleJob("j", "batch", "one", SampleStep(1, 1, seconds(2))));
     planner.outbox().Take();
     planner.outbox().MarkDurable();
     planner.Plan(0, now);
@@ -308,26 +308,28 @@
 }
 
 TEST(PoolPlanner, FailsAJobAfterMaxAttempts) {
-  PoolBed bed(BedRacks(1), BedOperators(0));
-  bed.fails = [](const RunId& /*run*/, const std::string& /*node*/) { return true; };
-  bed.Submit(BedJob("j", "batch", "one", BedStep(1, 1, milliseconds(300))));
-  ASSERT_TRUE(bed.RunUntil("j", JobState::kFailed, seconds(10)));
-  EXPECT_EQ(bed.RunsOf("j").size(), 3U);
+  PoolSimulation simulation(SampleRacks(1), SampleOperatorState(0));
+  simulation.fails = [](const RunId& /*run*/, const std::string& /*node*/) { return true; };
+  simulation.Submit(SampleJob("j", "batch", "one", SampleStep(1, 1, milliseconds(300))));
+  ASSERT_TRUE(simulation.RunUntil("j", JobState::kFailed, seconds(10)));
+  EXPECT_EQ(simulation.RunsOf("j").size(), 3U);
 }
 
 // Planners die one after the other, and the agents report to each of them ends that a previous
 // planner has counted already. A failure counted twice would fail a job that has attempts left.
 TEST(PoolPlanner, CountsAFailureOnceAcrossPlanners) {
-  PoolBed bed(BedRacks(1), BedOperators(0));
+  PoolSimulation simulation(SampleRacks(1), SampleOperatorState(0));
   int failures = 0;
-  bed.fails = [&](const RunId& /*run*/, const std::string& /*node*/) { return ++failures <= 2; };
-  bed.Submit(BedJob("j", "batch", "one", BedStep(1, 1, milliseconds(300))));
+  simulation.fails = [&](const RunId& /*run*/, const std::string& /*node*/) {
+    return ++failures <= 2;
+  };
+  simulation.Submit(SampleJob("j", "batch", "one", SampleStep(1, 1, milliseconds(300))));
   for (int round = 0; round < 20; ++round) {
-    bed.RunFor(milliseconds(70));
-    bed.ReplacePlanner();
+    simulation.RunFor(milliseconds(70));
+    simulation.ReplacePlanner();
   }
-  ASSERT_TRUE(bed.RunUntil("j", JobState::kCompleted, seconds(40)));
-  EXPECT_EQ(bed.violations(), std::vector<std::string>());
+  ASSERT_TRUE(simulation.RunUntil("j", JobState::kCompleted, seconds(40)));
+  EXPECT_EQ(simulation.violations(), std::vector<std::string>());
 }
 
 // A task fails on two workers while the store is unavailable, and the planner dies before either
@@ -337,7 +339,7 @@
   const JobTable table = TableOfRunningJob(seconds(1));
   const Time now = Time(std::chrono::hours(1));
   PoolPlanner planner(PlannerOptions(), 1, table, {"n", "m"}, now);
-  planner.SetOperatorState(std::make_shared<OperatorState>(BedOperators(0)), now);
+  planner.SetOperatorState(std::make_shared<OperatorState>(SampleOperatorState(0)), now);
   const auto fails = [&](const std::string& node, int64_t sequence, int64_t run) {
     AgentReport report = Report("first", sequence);
     report.node = node;
@@ -356,134 +358,137 @@
 // The store is unavailable for nine seconds. Runs go on, nothing is started that could not be
 // recorded, and no job is reported as done before its record is durable.
 TEST(PoolPlanner, KeepsRunsWhileTheStoreIsUnavailable) {
-  PoolBed bed(BedRacks(1), BedOperators(0));
-  bed.Submit(BedJob("runs", "batch", "one", BedStep(3, 4, seconds(12))));
-  bed.RunFor(seconds(1));
-  bed.SetStoreDown(true);
-  bed.Submit(BedJob("late", "urgent", "one", BedStep(1, 1, seconds(1))));
-  bed.RunFor(seconds(9));
-  EXPECT_TRUE(bed.RunsOf("late").empty());
-  bed.SetStoreDown(false);
-  ASSERT_TRUE(bed.RunUntil("runs", JobState::kCompleted, seconds(6)));
-  ASSERT_TRUE(bed.RunUntil("late", JobState::kCompleted, seconds(6)));
-  EXPECT_EQ(bed.RunsOf("runs").size(), 3U);
+  PoolSimulation simulation(SampleRacks(1), SampleOperatorState(0));
+  simulation.Submit(SampleJob("runs", "batch", "one", SampleStep(3, 4, seconds(12))));
+  simulation.RunFor(seconds(1));
+  simulation.SetStoreDown(true);
+  simulation.Submit(SampleJob("late", "urgent", "one", SampleStep(1, 1, seconds(1))));
+  simulation.RunFor(seconds(9));
+  EXPECT_TRUE(simulation.RunsOf("late").empty());
+  simulation.SetStoreDown(false);
+  ASSERT_TRUE(simulation.RunUntil("runs", JobState::kCompleted, seconds(6)));
+  ASSERT_TRUE(simulation.RunUntil("late", JobState::kCompleted, seconds(6)));
+  EXPECT_EQ(simulation.RunsOf("runs").size(), 3U);
 }
 
 TEST(PoolPlanner, StopsTheRunsOfACancelledJob) {
-  PoolBed bed(BedRacks(1), BedOperators(0));
-  bed.Submit(BedJob("j", "batch", "one", BedStep(3, 4, seconds(20))));
-  bed.RunFor(seconds(1));
-  ASSERT_TRUE(bed.Cancel("j"));
-  bed.RunFor(seconds(1));
-  EXPECT_EQ(bed.StateOf("j"), JobState::kCancelled);
-  for (const BedRun& run : bed.RunsOf("j")) {
-    EXPECT_TRUE(run.over);
-    EXPECT_EQ(run.how, EndKind::kStopped);
+  PoolSimulation simulation(SampleRacks(1), SampleOperatorState(0));
+  simulation.Submit(SampleJob("j", "batch", "one", SampleStep(3, 4, seconds(20))));
+  simulation.RunFor(seconds(1));
+  ASSERT_TRUE(simulation.Cancel("j"));
+  simulation.RunFor(seconds(1));
+  EXPECT_EQ(simulation.StateOf("j"), JobState::kCancelled);
+  for (const SimulatedRun& run : simulation.RunsOf("j")) {
+    EXPECT_TRUE(run.finished);
+    EXPECT_EQ(run.end_kind, EndKind::kStopped);
   }
 }
 
 // A worker is draining. Tasks started there now would be cut off when it leaves.
 TEST(PoolPlanner, PlacesNothingOnADrainingWorker) {
-  PoolBed bed(BedRacks(1), BedOperators(0));
-  bed.RunFor(milliseconds(500));
-  bed.Drain("w0-0");
-  bed.RunFor(milliseconds(200));
-  bed.Submit(BedJob("j", "batch", "one", BedStep(8, 2, seconds(1))));
-  ASSERT_TRUE(bed.RunUntil("j", JobState::kCompleted, seconds(10)));
-  for (const BedRun& run : bed.RunsOf("j")) EXPECT_NE(run.node, "w0-0");
+  PoolSimulation simulation(SampleRacks(1), SampleOperatorState(0));
+  simulation.RunFor(milliseconds(500));
+  simulation.Drain("w0-0");
+  simulation.RunFor(milliseconds(200));
+  simulation.Submit(SampleJob("j", "batch", "one", SampleStep(8, 2, seconds(1))));
+  ASSERT_TRUE(simulation.RunUntil("j", JobState::kCompleted, seconds(10)));
+  for (const SimulatedRun& run : simulation.RunsOf("j")) EXPECT_NE(run.node, "w0-0");
 }
 
 // Operators take a zone out of service. Work started there afterwards is lost when the zone's power
 // goes.
 TEST(PoolPlanner, PlacesNothingInAZoneThatIsOut) {
-  OperatorState operators = BedOperators(0);
-  PoolBed bed(BedRacks(3), operators);
+  OperatorState operators = SampleOperatorState(0);
+  PoolSimulation simulation(SampleRacks(3), operators);
   operators.zones_out = {"b"};
-  bed.SetOperators(operators);
-  bed.RunFor(milliseconds(100));
-  bed.Submit(BedJob("j", "batch", "one", BedStep(30, 2, seconds(1))));
-  ASSERT_TRUE(bed.RunUntil("j", JobState::kCompleted, seconds(10)));
-  for (const BedRun& run : bed.RunsOf("j")) EXPECT_NE(run.node.substr(0, 2), "w1");
+  simulation.SetOperators(operators);
+  simulation.RunFor(milliseconds(100));
+  simulation.Submit(SampleJob("j", "batch", "one", SampleStep(30, 2, seconds(1))));
+  ASSERT_TRUE(simulation.RunUntil("j", JobState::kCompleted, seconds(10)));
+  for (const SimulatedRun& run : simulation.RunsOf("j")) EXPECT_NE(run.node.substr(0, 2), "w1");
 }
 
 // The pool is full of another workspace's long tasks when an urgent gang within its own workspace's
 // guarantee arrives. The gang has to begin within the operators' bound, at the least loss of work.
 TEST(PoolPlanner, ReclaimsGuaranteedRoomWithinTheBoundAtTheLeastLoss) {
-  PoolBed bed(BedRacks(2), BedOperators(16));
-  StepSpec saved = BedStep(3, 8, seconds(30));
+  PoolSimulation simulation(SampleRacks(2), SampleOperatorState(16));
+  StepSpec saved = SampleStep(3, 8, seconds(30));
   saved.checkpoints = true;
-  bed.Submit(BedJob("saved", "bulk", "two", saved));
-  bed.Submit(BedJob("unsaved", "bulk", "two", BedStep(3, 8, seconds(30))));
-  bed.RunFor(seconds(5));
-  StepSpec gang = Gang(BedStep(2, 8, seconds(2)));
+  simulation.Submit(SampleJob("saved", "bulk", "two", saved));
+  simulation.Submit(SampleJob("unsaved", "bulk", "two", SampleStep(3, 8, seconds(30))));
+  simulation.RunFor(seconds(5));
+  StepSpec gang = Gang(SampleStep(2, 8, seconds(2)));
   gang.one_rack = true;
-  const Time submitted = bed.now();
-  bed.Submit(BedJob("urgent", "urgent", "one", gang));
-  bed.RunFor(kReclaimBound);
-  const std::vector<BedRun> runs = bed.RunsOf("urgent");
+  const Time submitted = simulation.now();
+  simulation.Submit(SampleJob("urgent", "urgent", "one", gang));
+  simulation.RunFor(kReclaimBound);
+  const std::vector<SimulatedRun> runs = simulation.RunsOf("urgent");
   ASSERT_EQ(runs.size(), 2U);
-  for (const BedRun& run : runs) EXPECT_LT(run.begun - submitted, kReclaimBound);
-  for (const BedRun& run : bed.RunsOf("unsaved")) EXPECT_FALSE(run.over);
+  for (const SimulatedRun& run : runs) EXPECT_LT(run.started - submitted, kReclaimBound);
+  for (const SimulatedRun& run : simulation.RunsOf("unsaved")) EXPECT_FALSE(run.finished);
 }
 
 // An urgent gang beyond its workspace's guarantee meets a full pool. Preempting work worth many
 // times the gang's own would be a net loss, so the gang waits.
 TEST(PoolPlanner, PreemptsNothingForBorrowedRoomAtANetLoss) {
-  PoolBed bed(BedRacks(1), BedOperators(0));
-  bed.Submit(BedJob("long", "bulk", "two", BedStep(3, 8, seconds(30))));
-  bed.RunFor(seconds(25));
-  bed.Submit(BedJob("urgent", "urgent", "one", Gang(BedStep(2, 8, seconds(2)))));
-  bed.RunFor(seconds(3));
-  for (const BedRun& run : bed.RunsOf("long")) EXPECT_FALSE(run.over);
-  ASSERT_TRUE(bed.RunUntil("urgent", JobState::kCompleted, seconds(10)));
+  PoolSimulation simulation(SampleRacks(1), SampleOperatorState(0));
+  simulation.Submit(SampleJob("long", "bulk", "two", SampleStep(3, 8, seconds(30))));
+  simulation.RunFor(seconds(25));
+  simulation.Submit(SampleJob("urgent", "urgent", "one", Gang(SampleStep(2, 8, seconds(2)))));
+  simulation.RunFor(seconds(3));
+  for (const SimulatedRun& run : simulation.RunsOf("long")) EXPECT_FALSE(run.finished);
+  ASSERT_TRUE(simulation.RunUntil("urgent", JobState::kCompleted, seconds(10)));
 }
 
 // An urgent job of many whole-worker tasks fills the pool: each worker that is freed by a task of
 // the job is used by the next task of the job. If the next task had to wait until the end of the
 // previous task is durable, less urgent work would take the room and be preempted again.
 TEST(PoolPlanner, GivesRoomOfADoneTaskToTheNextTaskOfAnUrgentJob) {
-  PoolBed bed(BedRacks(1), BedOperators(0));
-  bed.Submit(BedJob("urgent", "urgent", "one", BedStep(9, 8, seconds(2))));
-  bed.RunFor(milliseconds(200));
-  bed.Submit(BedJob("less", "batch", "two", BedStep(6, 8, seconds(2))));
-  ASSERT_TRUE(bed.RunUntil("urgent", JobState::kCompleted, seconds(20)));
+  PoolSimulation simulation(SampleRacks(1), SampleOperatorState(0));
+  simulation.Submit(SampleJob("urgent", "urgent", "one", SampleStep(9, 8, seconds(2))));
+  simulation.RunFor(milliseconds(200));
+  simulation.Submit(SampleJob("less", "batch", "two", SampleStep(6, 8, seconds(2))));
+  ASSERT_TRUE(simulation.RunUntil("urgent", JobState::kCompleted, seconds(20)));
   Time last_begun{};
-  for (const BedRun& run : bed.RunsOf("urgent")) last_begun = std::max(last_begun, run.begun);
-  for (const BedRun& run : bed.RunsOf("less")) EXPECT_GT(run.begun, last_begun);
+  for (const SimulatedRun& run : simulation.RunsOf("urgent"))
+    last_begun = std::max(last_begun, run.started);
+  for (const SimulatedRun& run : simulation.RunsOf("less")) EXPECT_GT(run.started, last_begun);
 }
 
 // Two of three workers fail all tasks, and the third is full for a moment. A job that has failed on
 // both faulty workers has one attempt left. If that attempt went to a faulty worker as well, the
 // job would fail without a fault of its own.
 TEST(PoolPlanner, ReservesTheLastAttemptForAHealthyWorker) {
-  PoolBed bed(BedRacks(1), BedOperators(0));
-  bed.fails = [](const RunId& run, const std::string& node) {
+  PoolSimulation simulation(SampleRacks(1), SampleOperatorState(0));
+  simulation.fails = [](const RunId& run, const std::string& node) {
     return run.task.job == "sound" && node != "w0-2";
   };
-  bed.true_time = [](const TaskId& task) {
+  simulation.actual_duration = [](const TaskId& task) {
     if (task.job == "sound") return milliseconds(300);
     return task.index == 2 ? milliseconds(3000) : milliseconds(1500);
   };
-  bed.RunFor(milliseconds(100));
-  bed.Submit(BedJob("fills", "batch", "two", BedStep(3, 8, milliseconds(1500))));
-  bed.RunFor(milliseconds(100));
-  bed.Submit(BedJob("sound", "batch", "one", BedStep(1, 1, milliseconds(300))));
-  EXPECT_TRUE(bed.RunUntil("sound", JobState::kCompleted, seconds(15)));
+  simulation.RunFor(milliseconds(100));
+  simulation.Submit(SampleJob("fills", "batch", "two", SampleStep(3, 8, milliseconds(1500))));
+  simulation.RunFor(milliseconds(100));
+  simulation.Submit(SampleJob("sound", "batch", "one", SampleStep(1, 1, milliseconds(300))));
+  EXPECT_TRUE(simulation.RunUntil("sound", JobState::kCompleted, seconds(15)));
 }
 
 // A worker fails every task and therefore looks idle. It must not consume the attempts of all new
 // jobs.
 TEST(PoolPlanner, ExcludesAWorkerThatFailsEverything) {
-  PoolBed bed(BedRacks(1), BedOperators(0));
-  bed.fails = [](const RunId& /*run*/, const std::string& node) { return node == "w0-0"; };
+  PoolSimulation simulation(SampleRacks(1), SampleOperatorState(0));
+  simulation.fails = [](const RunId& /*run*/, const std::string& node) { return node == "w0-0"; };
   for (int job = 0; job < 12; ++job) {
-    bed.Submit(BedJob("j" + std::to_string(job), "batch", "one", BedStep(2, 1, milliseconds(400))));
-    bed.RunFor(milliseconds(300));
+    simulation.Submit(
+        SampleJob("j" + std::to_string(job), "batch", "one", SampleStep(2, 1, milliseconds(400))));
+    simulation.RunFor(milliseconds(300));
   }
   int failed = 0;
-  for (const BedRun& run : bed.runs()) failed += run.over && run.how == EndKind::kFailed;
+  for (const SimulatedRun& run : simulation.runs())
+    failed += run.finished && run.end_kind == EndKind::kFailed;
   for (int job = 0; job < 12; ++job) {
-    EXPECT_TRUE(bed.RunUntil("j" + std::to_string(job), JobState::kCompleted, seconds(10)));
+    EXPECT_TRUE(simulation.RunUntil("j" + std::to_string(job), JobState::kCompleted, seconds(10)));
   }
   EXPECT_LE(failed, 12);
 }
--- a/servers/pool/pool_random_test.cc
+++ b/servers/pool/pool_random_test.cc
@@ -5,7 +5,7 @@
 
 #include <random>
 
-#include "tests/stand_ins/pool_bed.h"
+#include "tests/stand_ins/pool_simulation.h"
 
 namespace turmericshift::pool {
 namespace {
@@ -33,31 +33,33 @@
 class History {
  public:
   explicit History(unsigned seed)
-      : random_(seed), bed_(BedRacks(2), BedOperators(8), RandomBounds(seed)) {
-    for (const BedWorker& worker : BedRacks(2)) nodes_.push_back(worker.node);
-    bed_.true_time = [](const TaskId& task) {
+      : random_(seed), simulation_(SampleRacks(2), SampleOperatorState(8), RandomBounds(seed)) {
+    for (const SimulatedWorker& worker : SampleRacks(2)) nodes_.push_back(worker.node);
+    simulation_.actual_duration = [](const TaskId& task) {
       return milliseconds(300 + 700 * ((task.index * 7 + task.step * 3) % 5));
     };
-    bed_.fails = [this](const RunId& /*run*/, const std::string& /*node*/) { return Chance(20); };
+    simulation_.fails = [this](const RunId& /*run*/, const std::string& /*node*/) {
+      return Chance(20);
+    };
   }
 
   void Run() {
     for (int step = 0; step < 120; ++step) {
       if (Chance(3)) Submit();
       if (Chance(6)) InjectFault();
-      bed_.RunFor(milliseconds(Below(400)));
+      simulation_.RunFor(milliseconds(Below(400)));
     }
-    for (const std::string& node : nodes_) bed_.Heal(node);
-    bed_.SetStoreDown(false);
+    for (const std::string& node : nodes_) simulation_.Heal(node);
+    simulation_.SetStoreDown(false);
     // Ended jobs are retained for 130 s, so all of them are still known.
-    bed_.RunFor(seconds(90));
+    simulation_.RunFor(seconds(90));
   }
 
   void Check(unsigned seed) {
-    EXPECT_EQ(bed_.violations(), std::vector<std::string>()) << "seed " << seed;
+    EXPECT_EQ(simulation_.violations(), std::vector<std::string>()) << "seed " << seed;
     for (const std::string& id : jobs_) {
-      EXPECT_TRUE(IsOver(bed_.StateOf(id)))
-          << "seed " << seed << ": " << id << " is " << JobStateName(bed_.StateOf(id));
+      EXPECT_TRUE(IsOver(simulation_.StateOf(id)))
+          << "seed " << seed << ": " << id << " is " << JobStateName(simulation_.StateOf(id));
     }
   }
 
@@ -67,49 +69,49 @@
 
   void Submit() {
     const std::string id = "j" + std::to_string(jobs_.size());
-    StepSpec step = BedStep(1 + Below(4), 1 + Below(8), milliseconds(1000));
+    StepSpec step = SampleStep(1 + Below(4), 1 + Below(8), milliseconds(1000));
     step.gang = Chance(2);
     step.one_rack = step.gang && Chance(2);
     step.checkpoints = Chance(2);
     // Six workers can hold a gang of at most six whole-worker tasks.
     if (step.gang) step.tasks = 1 + Below(3);
     const char* queues[] = {"urgent", "batch", "bulk"};
-    JobSpec job = BedJob(id, queues[Below(3)], Chance(2) ? "one" : "two", step);
+    JobSpec job = SampleJob(id, queues[Below(3)], Chance(2) ? "one" : "two", step);
     if (Chance(3)) {
-      StepSpec second = BedStep(1 + Below(3), 1, milliseconds(500));
+      StepSpec second = SampleStep(1 + Below(3), 1, milliseconds(500));
       second.after = {0};
       job.steps.push_back(second);
     }
     jobs_.push_back(id);
-    bed_.Submit(job);
+    simulation_.Submit(job);
     // Makes the submission durable; a job that never becomes durable was never acknowledged to its
     // caller.
-    bed_.SetStoreDown(false);
-    bed_.RunFor(milliseconds(20));
+    simulation_.SetStoreDown(false);
+    simulation_.RunFor(milliseconds(20));
   }
 
   void InjectFault() {
     const std::string& node = nodes_[static_cast<size_t>(Below(static_cast<int>(nodes_.size())))];
     switch (Below(8)) {
       case 0:
-        return bed_.ReplacePlanner();
+        return simulation_.ReplacePlanner();
       case 1:
       case 2:
-        return bed_.CutOff(node);
+        return simulation_.Isolate(node);
       case 3:
       case 4:
-        return bed_.Heal(node);
+        return simulation_.Heal(node);
       case 5:
-        return bed_.RestartWorker(node);
+        return simulation_.RestartWorker(node);
       case 6:
-        return bed_.RestartAgent(node);
+        return simulation_.RestartAgent(node);
       default:
-        return bed_.SetStoreDown(Chance(2));
+        return simulation_.SetStoreDown(Chance(2));
     }
   }
 
   std::mt19937 random_;
-  PoolBed bed_;
+  PoolSimulation simulation_;
   std::vector<std::string> nodes_;
   std::vector<std::string> jobs_;
 };
--- a/tests/stand_ins/pool_bed.cc
+++ b/tests/stand_ins/pool_simulation.cc
@@ -1,9 +1,8 @@
-#include "tests/stand_ins/pool_bed.h"
-
 #include <algorithm>
 #include <utility>
 
 #include "core/error.h"
+#include "tests/stand_ins/pool_simulation.h"
 
 namespace turmericshift::pool {
 namespace {
@@ -24,17 +23,17 @@
 
 }  // namespace
 
-struct PoolBed::Worker {
+struct PoolSimulation::Worker {
   struct Live {
     RunId run;
     std::string checkpoint;
-    Time begun{};
+    Time started{};
     Duration worked{};
     Time alone_since{};
     std::optional<Time> stop_at;
   };
 
-  BedWorker spec;
+  SimulatedWorker spec;
   std::unique_ptr<AgentState> agent;
   int64_t start_time_ms = 0;
   int64_t sequence = 0;
@@ -50,17 +49,17 @@
   std::optional<Time> poll_sent;
   // Something has come about that the planner should hear of at once.
   bool news = false;
-  Duration planner_late{};
+  Duration planner_lag{};
 };
 
-PoolBed::PoolBed(const std::vector<BedWorker>& workers, const OperatorState& operators,
-                 const PoolBounds& bounds)
+PoolSimulation::PoolSimulation(const std::vector<SimulatedWorker>& workers,
+                               const OperatorState& operators, const PoolBounds& bounds)
     : bounds_(bounds),
       options_(PlannerOptionsFor(bounds)),
       operators_(operators),
       now_(Time(std::chrono::hours(1))) {
   std::set<std::string> nodes;
-  for (const BedWorker& spec : workers) {
+  for (const SimulatedWorker& spec : workers) {
     auto worker = std::make_unique<Worker>();
     worker->spec = spec;
     worker->start_time_ms = 1;
@@ -68,33 +67,37 @@
     RestartAgent(spec.node);
     nodes.insert(spec.node);
   }
-  planner_ = std::make_unique<PoolPlanner>(options_, epoch_, book_, nodes, now_);
+  planner_ = std::make_unique<PoolPlanner>(options_, epoch_, job_table_, nodes, now_);
   planner_->ConfirmLeadership(now_);
 }
 
-PoolBed::~PoolBed() = default;
+PoolSimulation::~PoolSimulation() = default;
 
-PoolBed::Worker& PoolBed::worker(const std::string& node) { return *workers_.at(node); }
+PoolSimulation::Worker& PoolSimulation::worker(const std::string& node) {
+  return *workers_.at(node);
+}
 
-int64_t PoolBed::wall_ms() const {
+int64_t PoolSimulation::wall_ms() const {
   return kWallStartMs + duration_cast<std::chrono::milliseconds>(now_.time_since_epoch()).count();
 }
 
-void PoolBed::Submit(const JobSpec& spec) {
+void PoolSimulation::Submit(const JobSpec& spec) {
   JobSpec accepted = spec;
   accepted.accepted_ms = wall_ms();
   specs_[spec.id] = accepted;
   planner_->Submit(accepted);
 }
 
-bool PoolBed::Cancel(const std::string& id) { return planner_->Cancel(id, wall_ms()).job_exists; }
+bool PoolSimulation::Cancel(const std::string& id) {
+  return planner_->Cancel(id, wall_ms()).job_exists;
+}
 
-void PoolBed::RunFor(Duration time) {
+void PoolSimulation::RunFor(Duration time) {
   const Time end = now_ + time;
   while (now_ < end) Tick();
 }
 
-bool PoolBed::RunUntil(const std::string& id, JobState state, Duration limit) {
+bool PoolSimulation::RunUntil(const std::string& id, JobState state, Duration limit) {
   const Time end = now_ + limit;
   while (now_ < end) {
     if (StateOf(id) == state) return true;
@@ -103,27 +106,27 @@
   return StateOf(id) == state;
 }
 
-JobState PoolBed::StateOf(const std::string& id) const {
-  const StoredJob* entry = book_.Find(id);
+JobState PoolSimulation::StateOf(const std::string& id) const {
+  const StoredJob* entry = job_table_.Find(id);
   return entry == nullptr ? JobState::kQueued : entry->progress.state;
 }
 
-std::vector<BedRun> PoolBed::RunsOf(const std::string& job) const {
-  std::vector<BedRun> found;
-  for (const BedRun& run : runs_) {
+std::vector<SimulatedRun> PoolSimulation::RunsOf(const std::string& job) const {
+  std::vector<SimulatedRun> found;
+  for (const SimulatedRun& run : runs_) {
     if (run.run.task.job == job) found.push_back(run);
   }
   return found;
 }
 
-void PoolBed::ReplacePlanner() {
+void PoolSimulation::ReplacePlanner() {
   std::set<std::string> nodes;
   for (const auto& row : workers_) nodes.insert(row.first);
-  planner_ = std::make_unique<PoolPlanner>(options_, ++epoch_, book_, nodes, now_);
+  planner_ = std::make_unique<PoolPlanner>(options_, ++epoch_, job_table_, nodes, now_);
   planner_->ConfirmLeadership(now_);
 }
 
-void PoolBed::RestartWorker(const std::string& node) {
+void PoolSimulation::RestartWorker(const std::string& node) {
   Worker& one = worker(node);
   const std::map<RunId, Worker::Live> lost = one.live;
   for (const auto& row : lost) EndRun(&one, row.first, EndKind::kLeaseExpired);
@@ -139,33 +142,33 @@
 
 // Ends that nobody took in before the worker died or its lease ran out count as never seen: their
 // tasks are rightly run again.
-void PoolBed::ForgetUnreportedEnds(const Worker& worker) {
+void PoolSimulation::ForgetUnreportedEnds(const Worker& worker) {
   for (const auto& row : worker.ended) {
     if (row.second.kind == EndKind::kDone) done_.erase(row.second.run.task);
   }
 }
 
-void PoolBed::RestartAgent(const std::string& node) {
+void PoolSimulation::RestartAgent(const std::string& node) {
   Worker& one = worker(node);
   one.agent = std::make_unique<AgentState>(node, one.spec.zone, std::to_string(++incarnations_));
   one.agent->SetMember(true);
 }
 
-void PoolBed::Drain(const std::string& node) { worker(node).draining = true; }
+void PoolSimulation::Drain(const std::string& node) { worker(node).draining = true; }
 
-void PoolBed::SetStuck(const std::string& node, bool stuck) { worker(node).stuck = stuck; }
+void PoolSimulation::SetStuck(const std::string& node, bool stuck) { worker(node).stuck = stuck; }
 
-void PoolBed::SetOperators(const OperatorState& operators) { operators_ = operators; }
+void PoolSimulation::SetOperators(const OperatorState& operators) { operators_ = operators; }
 
-const StepSpec* PoolBed::StepOf(const TaskId& task) const {
+const StepSpec* PoolSimulation::StepOf(const TaskId& task) const {
   return &specs_.at(task.job).steps.at(static_cast<size_t>(task.step));
 }
 
-Duration PoolBed::TimeOf(const TaskId& task) const {
-  return true_time ? true_time(task) : StepOf(task)->estimate;
+Duration PoolSimulation::TimeOf(const TaskId& task) const {
+  return actual_duration ? actual_duration(task) : StepOf(task)->estimate;
 }
 
-void PoolBed::Tick() {
+void PoolSimulation::Tick() {
   now_ += kTick;
   ++ticks_;
   TickStore();
@@ -181,7 +184,7 @@
   TickAdvice();
 }
 
-void PoolBed::TickAdvice() {
+void PoolSimulation::TickAdvice() {
   if (question_ && now_ - asked_ >= kAdviceTakes) {
     AdviceResponse answer;
     answer.valid_for = kTicketValid;
@@ -199,10 +202,10 @@
   if (question_) return;
   question_ = planner_->advice().Next(now_);
   asked_ = now_;
-  if (question_) ++questions_;
+  if (question_) ++advice_requests_;
 }
 
-bool PoolBed::TicketHolds(const Worker& worker, const StartCall& call) const {
+bool PoolSimulation::TicketHolds(const Worker& worker, const StartCall& call) const {
   const auto spec = specs_.find(call.run.task.job);
   if (spec == specs_.end()) return true;
   const Queue* queue = operators_.config.FindQueue(spec->second.queue);
@@ -213,17 +216,17 @@
   return wall_ms() < std::stoll(call.ticket.substr(wanted.size()));
 }
 
-void PoolBed::TickStore() {
+void PoolSimulation::TickStore() {
   if (store_down_ || planner_held_up_) return;
   planner_->ConfirmLeadership(now_);
   for (KeyedRecord& record : planner_->outbox().Take()) {
     record.offset = offset_++;
-    book_.Apply(record);
+    job_table_.Apply(record);
   }
   planner_->outbox().MarkDurable();
 }
 
-bool PoolBed::GangComplete(const RunId& run) const {
+bool PoolSimulation::GangComplete(const RunId& run) const {
   int present = 0;
   for (const auto& row : workers_) {
     for (const auto& live : row.second->live) {
@@ -235,64 +238,65 @@
   return present >= StepOf(run.task)->tasks;
 }
 
-void PoolBed::TickWorker(Worker* worker) {
+void PoolSimulation::TickWorker(Worker* worker) {
   if (wall_ms() >= worker->lease_until) ForgetUnreportedEnds(*worker);
-  std::vector<std::pair<RunId, EndKind>> over;
+  std::vector<std::pair<RunId, EndKind>> finished;
   for (auto& [run, live] : worker->live) {
     const StepSpec& step = *StepOf(run.task);
     if (wall_ms() >= worker->lease_until) {
-      over.push_back({run, EndKind::kLeaseExpired});
+      finished.push_back({run, EndKind::kLeaseExpired});
     } else if (live.stop_at && now_ >= *live.stop_at) {
       if (step.checkpoints) live.checkpoint = std::to_string(live.worked.count());
-      over.push_back({run, EndKind::kStopped});
+      finished.push_back({run, EndKind::kStopped});
     } else if (step.gang && !GangComplete(run)) {
-      if (now_ - live.alone_since > bounds_.gang_wait) over.push_back({run, EndKind::kPartialGang});
+      if (now_ - live.alone_since > bounds_.gang_wait)
+        finished.push_back({run, EndKind::kPartialGang});
     } else {
       if (!worker->stuck) live.worked += kTick;
       live.alone_since = now_;
       if (live.worked < TimeOf(run.task)) continue;
       const bool failed = fails && fails(run, worker->spec.node);
-      over.push_back({run, failed ? EndKind::kFailed : EndKind::kDone});
+      finished.push_back({run, failed ? EndKind::kFailed : EndKind::kDone});
     }
   }
-  for (const auto& [run, how] : over) EndRun(worker, run, how);
+  for (const auto& [run, end_kind] : finished) EndRun(worker, run, end_kind);
 }
 
-void PoolBed::EndRun(Worker* worker, const RunId& run, EndKind how) {
+void PoolSimulation::EndRun(Worker* worker, const RunId& run, EndKind end_kind) {
   const auto live = worker->live.find(run);
-  EndedTask end = {++worker->ends, run, how, live->second.checkpoint};
+  EndedTask end = {++worker->ends, run, end_kind, live->second.checkpoint};
   worker->ended[end.number] = end;
   worker->newest_over[run.task] = run.number;
   worker->live.erase(live);
-  if (how == EndKind::kDone) done_.insert(run.task);
-  for (BedRun& seen : runs_) {
-    if (seen.over || seen.run != run || seen.node != worker->spec.node) continue;
-    seen.over = true;
+  if (end_kind == EndKind::kDone) done_.insert(run.task);
+  for (SimulatedRun& seen : runs_) {
+    if (seen.finished || seen.run != run || seen.node != worker->spec.node) continue;
+    seen.finished = true;
     seen.ended = now_;
-    seen.how = how;
+    seen.end_kind = end_kind;
   }
 }
 
-void PoolBed::BreakGangs() {
-  for (const BedRun& over : std::vector<BedRun>(runs_)) {
-    if (!over.over || over.ended != now_ || !StepOf(over.run.task)->gang) continue;
+void PoolSimulation::BreakGangs() {
+  for (const SimulatedRun& finished : std::vector<SimulatedRun>(runs_)) {
+    if (!finished.finished || finished.ended != now_ || !StepOf(finished.run.task)->gang) continue;
     for (auto& row : workers_) {
       std::vector<RunId> others;
       for (const auto& live : row.second->live) {
         const RunId& other = live.first;
-        if (other.number == over.run.number && other.task.job == over.run.task.job) {
+        if (other.number == finished.run.number && other.task.job == finished.run.task.job) {
           others.push_back(other);
         }
       }
       for (const RunId& other : others) {
         EndRun(row.second.get(), other,
-               over.how == EndKind::kDone ? EndKind::kDone : EndKind::kGangBroken);
+               finished.end_kind == EndKind::kDone ? EndKind::kDone : EndKind::kGangBroken);
       }
     }
   }
 }
 
-void PoolBed::StartRun(Worker* worker, const StartOrder& order, Time until) {
+void PoolSimulation::StartRun(Worker* worker, const StartOrder& order, Time until) {
   std::string why;
   worker->news = true;
   const std::optional<StartCall> call = worker->agent->PrepareStart(order, until, &why, now_);
@@ -309,7 +313,7 @@
     answer = OrderAnswer::kExpired;
   } else if (!TicketHolds(*worker, *call)) {
     answer = OrderAnswer::kTicketRejected;
-    ++tickets_refused_;
+    ++rejected_tickets_;
   } else if (!free.Holds(StepOf(order.run.task)->need)) {
     answer = OrderAnswer::kNoRoom;
   }
@@ -329,14 +333,14 @@
   Worker::Live live;
   live.run = order.run;
   live.checkpoint = order.checkpoint;
-  live.begun = now_;
+  live.started = now_;
   live.alone_since = now_;
   if (!order.checkpoint.empty()) live.worked = Duration(std::stoll(order.checkpoint));
   worker->live[order.run] = live;
   runs_.push_back({order.run, worker->spec.node, now_, {}, EndKind::kDone, false});
 }
 
-void PoolBed::Announce(Worker* worker) {
+void PoolSimulation::Announce(Worker* worker) {
   WorkerAnnouncement announcement;
   announcement.sequence = ++worker->sequence;
   announcement.facts.id = worker->spec.node + "/" + std::to_string(worker->start_time_ms);
@@ -349,7 +353,7 @@
   worker->agent->HandleAnnouncement(announcement);
 }
 
-void PoolBed::HandleOrders(Worker* worker, const AgentOrders& orders, Time sent) {
+void PoolSimulation::HandleOrders(Worker* worker, const AgentOrders& orders, Time sent) {
   AgentState& agent = *worker->agent;
   const AgentOrders todo = agent.HandleOrders(orders, sent, now_);
   for (const RunId& stop : todo.stops) {
@@ -364,18 +368,18 @@
   }
 }
 
-void PoolBed::SendReport(Worker* worker) {
+void PoolSimulation::SendReport(Worker* worker) {
   if (worker->news) {
     worker->news = false;
     mailbox_.push_back({worker->spec.node, worker->agent->Report(Duration::zero(), now_), now_});
   }
-  const Duration patience = kPollPatience + std::min(2 * worker->planner_late, kLatePatience);
+  const Duration patience = kPollPatience + std::min(2 * worker->planner_lag, kLatePatience);
   if (worker->poll_sent && now_ - *worker->poll_sent < patience) return;
   worker->poll_sent = now_;
   mailbox_.push_back({worker->spec.node, worker->agent->Report(kPollWait, now_), now_});
 }
 
-void PoolBed::ReadReports() {
+void PoolSimulation::ReadReports() {
   for (int left = reports_per_tick_.value_or(0); left > 0 && !mailbox_.empty(); --left) {
     SentReport sent = std::move(mailbox_.front());
     mailbox_.pop_front();
@@ -399,7 +403,7 @@
   }
 }
 
-void PoolBed::Answer(const SentReport& sent) {
+void PoolSimulation::Answer(const SentReport& sent) {
   const AgentOrders orders = planner_->Orders(sent.node, now_);
   Worker& to = worker(sent.node);
   if (sent.report.wait > Duration::zero()) {
@@ -407,12 +411,12 @@
     if (to.poll_sent != sent.sent) return;
     to.poll_sent.reset();
   }
-  to.planner_late = orders.lag;
+  to.planner_lag = orders.lag;
   to.agent->ReportDelivered(sent.report);
   HandleOrders(&to, orders, sent.sent);
 }
 
-void PoolBed::TickAgent(Worker* worker) {
+void PoolSimulation::TickAgent(Worker* worker) {
   AgentState& agent = *worker->agent;
   Announce(worker);
   if (reports_per_tick_) {
@@ -427,7 +431,7 @@
   TickHold(worker);
 }
 
-void PoolBed::TickHold(Worker* worker) {
+void PoolSimulation::TickHold(Worker* worker) {
   AgentState& agent = *worker->agent;
   if (ticks_ % kTicksBetweenHolds != 0 || agent.epoch() == 0) return;
   const HoldCall hold = agent.NextHold(Duration::zero(), now_);
@@ -449,7 +453,7 @@
   worker->news = agent.HandleLists(lists, hold.fence, now_, now_) || worker->news;
 }
 
-StepSpec BedStep(int tasks, int accelerators, Duration estimate) {
+StepSpec SampleStep(int tasks, int accelerators, Duration estimate) {
   StepSpec step;
   step.tasks = tasks;
   step.need = {7000 * accelerators, 8000, accelerators};
@@ -457,8 +461,8 @@
   return step;
 }
 
-JobSpec BedJob(const std::string& id, const std::string& queue, const std::string& workspace,
-               const StepSpec& step) {
+JobSpec SampleJob(const std::string& id, const std::string& queue, const std::string& workspace,
+                  const StepSpec& step) {
   JobSpec spec;
   spec.id = id;
   spec.queue = queue;
@@ -467,7 +471,7 @@
   return spec;
 }
 
-OperatorState BedOperators(int64_t guaranteed) {
+OperatorState SampleOperatorState(int64_t guaranteed) {
   OperatorState state;
   state.config.version = 1;
   int priority = 0;
@@ -483,11 +487,11 @@
   return state;
 }
 
-std::vector<BedWorker> BedRacks(int racks) {
-  std::vector<BedWorker> workers;
+std::vector<SimulatedWorker> SampleRacks(int racks) {
+  std::vector<SimulatedWorker> workers;
   for (int rack = 0; rack < racks; ++rack) {
     for (int number = 0; number < 3; ++number) {
-      BedWorker worker;
+      SimulatedWorker worker;
       worker.node = "w" + std::to_string(rack) + "-" + std::to_string(number);
       worker.rack = "r" + std::to_string(rack);
       worker.zone = std::string(1, static_cast<char>('a' + rack % 3));
--- a/tests/stand_ins/pool_bed.h
+++ b/tests/stand_ins/pool_simulation.h
@@ -17,7 +17,7 @@
 
 namespace turmericshift::pool {
 
-struct BedWorker {
+struct SimulatedWorker {
   std::string node;
   std::string rack;
   std::string zone = "a";
@@ -25,23 +25,23 @@
 };
 
 // One run as a worker saw it.
-struct BedRun {
+struct SimulatedRun {
   RunId run;
   std::string node;
-  Time begun{};
+  Time started{};
   Time ended{};
-  EndKind how = EndKind::kDone;
-  bool over = false;
+  EndKind end_kind = EndKind::kDone;
+  bool finished = false;
 };
 
-class PoolBed {
+class PoolSimulation {
  public:
-  PoolBed(const std::vector<BedWorker>& workers, const OperatorState& operators,
-          const PoolBounds& bounds = {});
-  ~PoolBed();
+  PoolSimulation(const std::vector<SimulatedWorker>& workers, const OperatorState& operators,
+                 const PoolBounds& bounds = {});
+  ~PoolSimulation();
 
   // How long a run of a task takes on a sound worker; the step's estimate unless set.
-  std::function<Duration(const TaskId&)> true_time;
+  std::function<Duration(const TaskId&)> actual_duration;
   // Whether a run ends failed.
   std::function<bool(const RunId&, const std::string& node)> fails;
   // Whom the advice service names for an advised job; everybody unless set.
@@ -54,19 +54,19 @@
   bool RunUntil(const std::string& id, JobState state, Duration limit);
   JobState StateOf(const std::string& id) const;
   // All that the store has kept.
-  const JobTable& book() const { return book_; }
-  const std::vector<BedRun>& runs() const { return runs_; }
-  std::vector<BedRun> RunsOf(const std::string& job) const;
+  const JobTable& job_table() const { return job_table_; }
+  const std::vector<SimulatedRun>& runs() const { return runs_; }
+  std::vector<SimulatedRun> RunsOf(const std::string& job) const;
   Time now() const { return now_; }
   // Questions that the advice service has been asked.
-  int questions() const { return questions_; }
+  int advice_requests() const { return advice_requests_; }
   // Starts that a worker turned away for their ticket.
-  int tickets_refused() const { return tickets_refused_; }
+  int rejected_tickets() const { return rejected_tickets_; }
 
   // The planner is gone at once and another takes over from what the store has kept.
   void ReplacePlanner();
   // No word between the agent and any planner; the worker runs on.
-  void CutOff(const std::string& node) { cut_.insert(node); }
+  void Isolate(const std::string& node) { cut_.insert(node); }
   void Heal(const std::string& node) { cut_.erase(node); }
   // The worker dies with all that it runs and comes back as a new life.
   void RestartWorker(const std::string& node);
@@ -80,8 +80,8 @@
   // ones do; the report that they gave up is read all the same.
   void SetReportsPerTick(int reports) { reports_per_tick_ = reports; }
   // The planner does nothing at all.
-  void SetPlannerHeldUp(bool held_up) { planner_held_up_ = held_up; }
-  Duration planner_late() const { return planner_->lag(); }
+  void SetPlannerPaused(bool held_up) { planner_held_up_ = held_up; }
+  Duration planner_lag() const { return planner_->lag(); }
   // Appends are not answered.
   void SetStoreDown(bool down) { store_down_ = down; }
   void SetOperators(const OperatorState& operators);
@@ -111,7 +111,7 @@
   void Answer(const SentReport& sent);
   void TickHold(Worker* worker);
   void StartRun(Worker* worker, const StartOrder& order, Time until);
-  void EndRun(Worker* worker, const RunId& run, EndKind how);
+  void EndRun(Worker* worker, const RunId& run, EndKind end_kind);
   void BreakGangs();
   void ForgetUnreportedEnds(const Worker& worker);
   bool GangComplete(const RunId& run) const;
@@ -126,7 +126,7 @@
   std::map<std::string, std::unique_ptr<Worker>> workers_;
   std::map<std::string, JobSpec> specs_;
   std::unique_ptr<PoolPlanner> planner_;
-  JobTable book_;
+  JobTable job_table_;
   Offset offset_ = 0;
   int64_t epoch_ = 1;
   Time now_{};
@@ -136,8 +136,8 @@
   // What the advice service is asked now, and since when.
   std::optional<AdviceRequest> question_;
   Time asked_{};
-  int questions_ = 0;
-  int tickets_refused_ = 0;
+  int advice_requests_ = 0;
+  int rejected_tickets_ = 0;
   std::set<std::string> cut_;
   // Without a number every report is taken at once.
   std::optional<int> reports_per_tick_;
@@ -145,20 +145,20 @@
   std::deque<SentReport> mailbox_;
   // Polls that wait for news, and until when.
   std::map<std::string, std::pair<SentReport, Time>> held_;
-  std::vector<BedRun> runs_;
+  std::vector<SimulatedRun> runs_;
   std::set<TaskId> done_;
   std::vector<std::string> violations_;
 };
 
 // A step of equal tasks of an accelerator each and a share of the processors.
-StepSpec BedStep(int tasks, int accelerators, Duration estimate);
+StepSpec SampleStep(int tasks, int accelerators, Duration estimate);
 // A job of one step.
-JobSpec BedJob(const std::string& id, const std::string& queue, const std::string& workspace,
-               const StepSpec& step);
+JobSpec SampleJob(const std::string& id, const std::string& queue, const std::string& workspace,
+                  const StepSpec& step);
 // Queues "urgent" (priority 0), "batch" (1) and "bulk" (2) of service "plans"; workspaces "one" and
 // "two", of which "one" is guaranteed `guaranteed` accelerators.
-OperatorState BedOperators(int64_t guaranteed);
+OperatorState SampleOperatorState(int64_t guaranteed);
 // `racks` racks of three workers in zones a, b and c.
-std::vector<BedWorker> BedRacks(int racks);
+std::vector<SimulatedWorker> SampleRacks(int racks);
 
 }  // namespace turmericshift::pool
