--- a/servers/pool/job_api_test.cc
+++ b/servers/pool/job_api_test.cc
@@ -46,7 +46,7 @@
   std::atomic<int> submissions_{0};
 };
 
-// A planner that has lost the store and been told of its successor.
+// A planner that has lost contact with the store and has been notified by its successor.
 class SupersededGate : public UnresponsiveGate {
  public:
   PlannerRecord Successor() const override { return {2, "e2", "there"}; }
@@ -156,7 +156,7 @@
 TEST(UnresolvedCalls, ExpireAfterAMinute) {
   UnresolvedCalls calls;
   const Time now = Time(std::chrono::hours(1));
-  calls.Note("a", now);
+  calls.Record("a", now);
   EXPECT_TRUE(calls.Contains("a", now + std::chrono::seconds(59)));
   EXPECT_FALSE(calls.Contains("a", now + std::chrono::seconds(61)));
 }
--- a/servers/pool/planner_service.h
+++ b/servers/pool/planner_service.h
@@ -45,9 +45,9 @@
   PlannerService(const PlannerService&) = delete;
   PlannerService& operator=(const PlannerService&) = delete;
 
-  // Becomes the active planner. The claim was written under `sequence`; `book` contains everything
+  // Becomes the active planner. The claim was written under `sequence`; `table` contains everything
   // before the claim. `requested_at` is when the claim was sent.
-  void BecomeActive(int64_t epoch, int64_t sequence, const JobTable& book,
+  void BecomeActive(int64_t epoch, int64_t sequence, const JobTable& table,
                     const std::set<std::string>& agents, Time requested_at);
   // Called when the previous planner is known to have stepped down.
   void PredecessorGone();
@@ -56,9 +56,11 @@
   // Writes the remaining records and releases the leadership in the store, so that a successor need
   // not wait for the silence time-out. Waits up to `limit`.
   void Release(Duration limit);
-  // Waits up to `limit` for a request to the advice service.
-  std::optional<AdviceRequest> NextQuestion(Duration limit);
-  void HandleAdvice(const AdviceRequest& question, const AdviceResponse& answer, Time requested_at);
+  // Returns the next request for the advice service; waits up to `limit` for one to be added, and
+  // returns empty if none is.
+  std::optional<AdviceRequest> NextAdviceRequest(Duration limit);
+  void HandleAdvice(const AdviceRequest& request, const AdviceResponse& response,
+                    Time requested_at);
   void AdviceFailed(Time now);
   // Sets the newest planner read from the store, and whether this entry would claim the leadership
   // if it were vacant.
