--- a/main/benches/capacity_bench.cc
+++ b/main/benches/capacity_bench.cc
@@ -66,8 +66,8 @@
   return figure;
 }
 
-AgentBeat FullHeartbeat() {
-  AgentBeat heartbeat;
+AgentHeartbeat FullHeartbeat() {
+  AgentHeartbeat heartbeat;
   for (int task = 0; task < kTasksPerWorker; ++task) {
     TaskReport report;
     report.id = {"team-100/nightly-plan-" + std::to_string(task), 1, task};
@@ -112,21 +112,23 @@
   }
 
   static void AddHeartbeats(const BenchOptions& options, std::vector<BenchFigure>* figures) {
-    const AgentBeat empty;
-    const AgentBeat full = FullHeartbeat();
-    figures->push_back(ExactFigure("agent_beat_idle", WireBytes<wire::AgentBeat>(empty), "B"));
-    figures->push_back(ExactFigure("agent_beat_26_tasks", WireBytes<wire::AgentBeat>(full), "B"));
+    const AgentHeartbeat empty;
+    const AgentHeartbeat full = FullHeartbeat();
+    figures->push_back(ExactFigure("agent_beat_idle", WireBytes<wire::AgentHeartbeat>(empty), "B"));
     figures->push_back(
-        ExactFigure("entry_beat_unchanged", WireBytes<wire::EntryBeat>(EntryBeat()), "B"));
+        ExactFigure("agent_beat_26_tasks", WireBytes<wire::AgentHeartbeat>(full), "B"));
+    figures->push_back(ExactFigure("entry_beat_unchanged",
+                                   WireBytes<wire::HeartbeatReply>(HeartbeatReply()), "B"));
     std::vector<double> encode;
     std::vector<double> handle_reply;
     for (int repeat = 0; repeat < options.repeats; ++repeat) {
       constexpr int kEncodes = 10000;
       const Time begun = DefaultClock().Now();
-      for (int heartbeat = 0; heartbeat < kEncodes; ++heartbeat) WireBytes<wire::AgentBeat>(full);
+      for (int heartbeat = 0; heartbeat < kEncodes; ++heartbeat)
+        WireBytes<wire::AgentHeartbeat>(full);
       encode.push_back(MicrosecondsFor(begun, kEncodes));
       StartGuard guard("zone-0");
-      EntryBeat answer;
+      HeartbeatReply answer;
       answer.freshness.age = Duration::zero();
       const Time handling_start = DefaultClock().Now();
       for (int i = 0; i < kHeartbeats; ++i) guard.HandleHeartbeatReply(answer, handling_start);
--- a/main/benches/config_propagation.cc
+++ b/main/benches/config_propagation.cc
@@ -84,7 +84,7 @@
     heartbeats.pop();
     std::this_thread::sleep_until(heartbeat.due);
     const Time sent = DefaultClock().Now();
-    AgentBeat message;
+    AgentHeartbeat message;
     message.config_version = heartbeat.agent->guard.config_version();
     heartbeat.agent->guard.HandleHeartbeatReply(
         heartbeat.agent->ports[heartbeat.port]->Heartbeat(message, kHeartbeatInterval), sent);
--- a/modules/stand_ins/direct_connector.cc
+++ b/modules/stand_ins/direct_connector.cc
@@ -30,7 +30,7 @@
     return Required()->Serve(request);
   }
   void Cancel(const std::string& id) override { Call(&AgentPort::Cancel, id); }
-  SeenAnswer Resolve(const SeenQuestion& question, Duration timeout) override {
+  RequestStatusReply Resolve(const RequestStatusQuery& question, Duration timeout) override {
     const std::shared_lock<std::shared_mutex> lock(mutex_);
     return Required()->Resolve(question, timeout);
   }
@@ -77,7 +77,7 @@
       : link_(std::move(link)), port_(std::move(port)), agent_(std::move(agent)) {}
   ~Port() override { agent_->Cut(); }
 
-  EntryBeat Heartbeat(const AgentBeat& beat, Duration timeout) override {
+  HeartbeatReply Heartbeat(const AgentHeartbeat& beat, Duration timeout) override {
     const std::shared_lock<std::shared_mutex> lock(link_->mutex);
     if (link_->gate == nullptr) throw Error(ErrorKind::kConnectionLost, "the entry was detached");
     return port_->Heartbeat(beat, timeout);
--- a/rpc/convert.cc
+++ b/rpc/convert.cc
@@ -181,7 +181,7 @@
     tasks[index].setTask(from.tasks[index].task);
     tasks[index].setAccelerators(from.tasks[index].accelerators);
   }
-  to.setHoldNanos(from.hold.count());
+  to.setHoldNanos(from.hold_timeout.count());
   to.setCheckpoints(from.checkpoints);
   to.setGuaranteed(from.guaranteed);
 }
@@ -196,7 +196,7 @@
   for (const auto task : from.getTasks()) {
     reserve.tasks.push_back({task.getTask(), task.getAccelerators()});
   }
-  reserve.hold = Duration(from.getHoldNanos());
+  reserve.hold_timeout = Duration(from.getHoldNanos());
   reserve.checkpoints = from.getCheckpoints();
   reserve.guaranteed = from.getGuaranteed();
   return reserve;
@@ -221,7 +221,7 @@
   to.setAttempt(from.attempt);
   to.setLeaseNanos(from.lease.count());
   to.setCheckpoint(from.checkpoint);
-  to.setBeatSentAt(from.beat_sent_at);
+  to.setBeatSentAt(from.heartbeat_sent_at);
 }
 
 GangAction Read(wire::GangAction::Reader from) {
--- a/servers/agent/agent_server.cc
+++ b/servers/agent/agent_server.cc
@@ -137,9 +137,9 @@
   cancelled_.insert(request_id);
 }
 
-SeenAnswer AgentServer::Resolve(const SeenQuestion& question, Duration /*timeout*/) {
+RequestStatusReply AgentServer::Resolve(const RequestStatusQuery& question, Duration /*timeout*/) {
   if (!question.incarnation.empty() && question.incarnation != options_.hello.incarnation) {
-    return {SeenState::kUnknown, {}};
+    return {RequestRunState::kUnknown, {}};
   }
   return ledger_.Resolve(question, DefaultClock().Now());
 }
@@ -235,11 +235,11 @@
   do {
     changes = task_changes_.load();
     const Time sent = DefaultClock().Now();
-    AgentBeat heartbeat = MakeHeartbeat();
+    AgentHeartbeat heartbeat = MakeHeartbeat();
     heartbeat.members_digest = plan_.members_digest();
     if (heartbeats++ % kHeartbeatsPerEntryReport == 0)
-      heartbeat.heard = guard_.entry_statements(sent);
-    EntryBeat reply = port->Heartbeat(heartbeat, options_.heartbeat_timeout);
+      heartbeat.observed = guard_.entry_statements(sent);
+    HeartbeatReply reply = port->Heartbeat(heartbeat, options_.heartbeat_timeout);
     guard_.HandleHeartbeatReply(reply, sent);
     ApplyLimits();
     plan_.UpdateEntries(reply.members, reply.planner_address);
@@ -249,8 +249,8 @@
   } while (!PauseUntilChange(options_.heartbeat, changes) && plan_.ShouldKeep(address));
 }
 
-AgentBeat AgentServer::MakeHeartbeat() const {
-  AgentBeat heartbeat;
+AgentHeartbeat AgentServer::MakeHeartbeat() const {
+  AgentHeartbeat heartbeat;
   heartbeat.load = limiter_.load();
   heartbeat.config_version = guard_.config_version();
   heartbeat.leaving = leaving_.load();
--- a/servers/agent/agent_server.h
+++ b/servers/agent/agent_server.h
@@ -48,7 +48,7 @@
 
   ServiceAnswer Serve(const ServiceRequest& request) override;
   void Cancel(const std::string& request_id) override;
-  SeenAnswer Resolve(const SeenQuestion& question, Duration timeout) override;
+  RequestStatusReply Resolve(const RequestStatusQuery& question, Duration timeout) override;
   void Reserve(const GangReserve& reserve, Duration timeout) override;
   void Start(const GangStart& start, Duration timeout) override;
   void Release(const GangAction& action, Duration timeout) override;
@@ -75,7 +75,7 @@
   bool Pause(Duration duration);
   // Like Pause, but also returns early when a task's phase has changed.
   bool PauseUntilChange(Duration duration, int64_t changes);
-  AgentBeat MakeHeartbeat() const;
+  AgentHeartbeat MakeHeartbeat() const;
   GangHost& RequireWorker();
   // The steps of Serve: Admit registers the request with the ledger and records its result, Run
   // performs it at the target.
--- a/servers/agent/gang_host.cc
+++ b/servers/agent/gang_host.cc
@@ -22,7 +22,8 @@
                    const std::string& name)
     : capacity_(capacity), worker_(worker), guard_(guard), name_(name) {}
 
-void GangHost::HandleHeartbeatReply(const std::string& entry, const EntryBeat& reply, Time sent) {
+void GangHost::HandleHeartbeatReply(const std::string& entry, const HeartbeatReply& reply,
+                                    Time sent) {
   const std::lock_guard<std::mutex> lock(mutex_);
   planner_.HandleHeartbeatReply(entry, reply, sent);
 }
@@ -45,7 +46,7 @@
   RequireResources(reserve);
   Part part;
   part.reserve = reserve;
-  part.expires_at = now + reserve.hold;
+  part.expires_at = now + reserve.hold_timeout;
   parts_[{reserve.job, reserve.attempt}] = part;
 }
 
@@ -59,14 +60,14 @@
   // The phase is set before the calls to the worker, so that a stop after a failed call also
   // reaches the tasks that the worker has already started.
   part.phase = Phase::kHeld;
-  part.expires_at = now + part.reserve.hold;
+  part.expires_at = now + part.reserve.hold_timeout;
   for (const TaskPlacement& task : part.reserve.tasks) {
     TaskStart task_start;
     task_start.id = {start.job, start.attempt, task.task};
     task_start.shape = part.reserve.shape;
     task_start.accelerators = task.accelerators;
     task_start.held = true;
-    task_start.lease = part.reserve.hold;
+    task_start.lease = part.reserve.hold_timeout;
     task_start.checkpoint = start.checkpoint;
     task_start.payload = start.payload;
     task_start.epoch = start.epoch;
@@ -110,7 +111,7 @@
   if (part.phase != Phase::kRunning) throw Error(ErrorKind::kConflict, "the tasks are not running");
   // A delayed renewal may arrive after the planner has treated the lease as expired.
   if (now >= part.expires_at) throw Error(ErrorKind::kConflict, "the lease has expired");
-  const Time from = action.beat_sent_at < 0 ? now : Time(Duration(action.beat_sent_at));
+  const Time from = action.heartbeat_sent_at < 0 ? now : Time(Duration(action.heartbeat_sent_at));
   const Time expires_at = std::min(now, from) + action.lease;
   if (expires_at <= part.expires_at) return;
   part.expires_at = expires_at;
@@ -185,7 +186,7 @@
   return changed;
 }
 
-void GangHost::FillHeartbeat(AgentBeat* heartbeat, Time now) const {
+void GangHost::FillHeartbeat(AgentHeartbeat* heartbeat, Time now) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   heartbeat->planner_epoch = worker_state_known_ ? reports_epoch_ : kNoSequence;
   heartbeat->planner_silence = planner_.silence(now);
--- a/servers/agent/gang_host.h
+++ b/servers/agent/gang_host.h
@@ -24,7 +24,7 @@
   GangHost(const TaskShape& capacity, WorkerService* worker, const StartGuard* guard,
            const std::string& name = "");
 
-  void HandleHeartbeatReply(const std::string& entry, const EntryBeat& reply, Time sent);
+  void HandleHeartbeatReply(const std::string& entry, const HeartbeatReply& reply, Time sent);
 
   // The gang operations of AgentPort.
   void Reserve(const GangReserve& reserve, Time now);
@@ -40,7 +40,7 @@
   bool Expire(Time now);
 
   // Fills in the tasks and planner epoch of a heartbeat.
-  void FillHeartbeat(AgentBeat* heartbeat, Time now) const;
+  void FillHeartbeat(AgentHeartbeat* heartbeat, Time now) const;
   Sequence epoch() const;
   // Whether nothing is reserved, held or running.
   bool idle() const;
--- a/servers/agent/gang_host_test.cc
+++ b/servers/agent/gang_host_test.cc
@@ -56,7 +56,7 @@
   }
 
   void DeliverDocument() {
-    EntryBeat reply;
+    HeartbeatReply reply;
     reply.config_version = 1;
     reply.config_text = kDocument;
     reply.freshness.age = Duration::zero();
@@ -71,7 +71,7 @@
   }
 
   void DeliverReply(Sequence epoch, const std::string& entry = kEntry, bool failing = false) {
-    EntryBeat reply;
+    HeartbeatReply reply;
     reply.planner_epoch = epoch;
     reply.planner_active = true;
     reply.jobs_freshness = {failing ? Duration(seconds(60)) : Duration::zero(), failing};
@@ -87,7 +87,7 @@
     reserve.attempt = attempt;
     reserve.shape = {1, int64_t{1} << 30, 1};
     reserve.tasks = {{0, accelerators}};
-    reserve.hold = seconds(5);
+    reserve.hold_timeout = seconds(5);
     reserve.checkpoints = true;
     return reserve;
   }
@@ -158,7 +158,7 @@
 TEST_F(GangHostTest, DelayedRenewalDoesNotExtendLease) {
   Run(1);
   GangAction renewal = Action(kOldEpoch, 1);
-  renewal.beat_sent_at = clock_.Now().time_since_epoch().count();
+  renewal.heartbeat_sent_at = clock_.Now().time_since_epoch().count();
   AdvanceTime(seconds(8));
   DeliverReply(kOldEpoch);
   host_->Renew(renewal, clock_.Now());
@@ -199,7 +199,7 @@
   Run(1);
   AdvanceTime(seconds(3));
   StartAgent();
-  AgentBeat heartbeat;
+  AgentHeartbeat heartbeat;
   host_->FillHeartbeat(&heartbeat, clock_.Now());
   ASSERT_EQ(heartbeat.tasks.size(), 1U);
   EXPECT_EQ(heartbeat.planner_epoch, kOldEpoch);
--- a/servers/agent/planner_tracker.cc
+++ b/servers/agent/planner_tracker.cc
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-void PlannerTracker::HandleHeartbeatReply(const std::string& entry, const EntryBeat& reply,
+void PlannerTracker::HandleHeartbeatReply(const std::string& entry, const HeartbeatReply& reply,
                                           Time sent) {
   epoch_ = std::max(epoch_, reply.planner_epoch);
   if (reply.planner_active && reply.planner_epoch == epoch_) planner_last_seen_ = sent;
--- a/servers/agent/planner_tracker.h
+++ b/servers/agent/planner_tracker.h
@@ -16,7 +16,7 @@
 class PlannerTracker {
  public:
   // Handles the reply of the entry at address `entry` to a heartbeat sent at `sent`.
-  void HandleHeartbeatReply(const std::string& entry, const EntryBeat& reply, Time sent);
+  void HandleHeartbeatReply(const std::string& entry, const HeartbeatReply& reply, Time sent);
   // Records a call from the planner with `epoch`.
   void RecordCall(Sequence epoch, Time now);
   // Records the epoch under which a task found on the worker was started.
--- a/servers/agent/request_ledger.cc
+++ b/servers/agent/request_ledger.cc
@@ -32,14 +32,14 @@
   }
   Row& row = found->second;
   const bool newer = keyed && request.attempt > row.attempt && request.fence > row.fence;
-  if (newer && row.state == SeenState::kNeverWillRun) {
+  if (newer && row.state == RequestRunState::kNeverWillRun) {
     row.attempt = request.attempt;
     row.fence = request.fence;
-    row.state = SeenState::kRunning;
+    row.state = RequestRunState::kRunning;
     row.begun_at = now;
     return;
   }
-  if (request.attempt == row.attempt && row.state == SeenState::kNeverWillRun) {
+  if (request.attempt == row.attempt && row.state == RequestRunState::kNeverWillRun) {
     throw Error(ErrorKind::kFenced, Outcome::kNotRun, "this attempt was reported as never run");
   }
   // A duplicate or delayed message: only the first copy may run. The result of the first copy is
@@ -51,21 +51,21 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   Row* row = Find(request);
   if (row == nullptr) return;
-  row->state = SeenState::kRan;
+  row->state = RequestRunState::kRan;
   StoreAnswer(row, answer);
 }
 
 void RequestLedger::MarkNotRun(const ServiceRequest& request) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  if (Row* row = Find(request)) row->state = SeenState::kNeverWillRun;
+  if (Row* row = Find(request)) row->state = RequestRunState::kNeverWillRun;
 }
 
 void RequestLedger::MarkUnknown(const ServiceRequest& request) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  if (Row* row = Find(request)) row->state = SeenState::kUnknown;
+  if (Row* row = Find(request)) row->state = RequestRunState::kUnknown;
 }
 
-SeenAnswer RequestLedger::Resolve(const SeenQuestion& question, Time now) {
+RequestStatusReply RequestLedger::Resolve(const RequestStatusQuery& question, Time now) {
   const bool keyed = !question.idempotency_key.empty();
   const std::string name =
       RowName(question.workspace, question.idempotency_key, question.request_id);
@@ -76,19 +76,19 @@
         keyed ? question.fence <= fence_floor_
               : now - question.age <= newest_evicted_at_ + kMaxQuestionTransit &&
                     newest_evicted_at_ != Time{};
-    if (may_be_evicted) return {SeenState::kUnknown, {}};
+    if (may_be_evicted) return {RequestRunState::kUnknown, {}};
     Row& row = Add(name, question.fence, question.attempt, keyed, now);
-    row.state = SeenState::kNeverWillRun;
-    return {SeenState::kNeverWillRun, {}};
+    row.state = RequestRunState::kNeverWillRun;
+    return {RequestRunState::kNeverWillRun, {}};
   }
   Row& row = found->second;
   const bool newer = keyed && question.attempt > row.attempt && question.fence > row.fence;
-  if (newer && row.state == SeenState::kNeverWillRun) {
+  if (newer && row.state == RequestRunState::kNeverWillRun) {
     row.attempt = question.attempt;
     row.fence = question.fence;
   }
   // A newer attempt is claimed only after the older one is known never to run.
-  if (keyed && question.attempt < row.attempt) return {SeenState::kNeverWillRun, {}};
+  if (keyed && question.attempt < row.attempt) return {RequestRunState::kNeverWillRun, {}};
   return {row.state, row.answer};
 }
 
@@ -120,7 +120,7 @@
   for (auto name = order_.begin(); name != order_.end(); ++name) {
     const auto found = rows_.find(*name);
     Row& row = found->second;
-    if (row.state == SeenState::kRunning) continue;
+    if (row.state == RequestRunState::kRunning) continue;
     if (row.keyed) fence_floor_ = std::max(fence_floor_, row.fence);
     if (!row.keyed) newest_evicted_at_ = std::max(newest_evicted_at_, row.begun_at);
     EvictAnswer(&row);
--- a/servers/agent/request_ledger.h
+++ b/servers/agent/request_ledger.h
@@ -42,13 +42,13 @@
 
   // Returns the state of an attempt. An attempt that was never received is marked as never to run,
   // unless its row may have been evicted; the state is then kUnknown.
-  SeenAnswer Resolve(const SeenQuestion& question, Time now);
+  RequestStatusReply Resolve(const RequestStatusQuery& question, Time now);
 
   size_t rows() const;
 
  private:
   struct Row {
-    SeenState state = SeenState::kRunning;
+    RequestRunState state = RequestRunState::kRunning;
     bool keyed = false;
     int attempt = 0;
     Sequence fence = kNoSequence;
--- a/servers/agent/request_ledger_test.cc
+++ b/servers/agent/request_ledger_test.cc
@@ -17,8 +17,8 @@
   return request;
 }
 
-SeenQuestion QueryFor(const ServiceRequest& request) {
-  SeenQuestion question;
+RequestStatusQuery QueryFor(const ServiceRequest& request) {
+  RequestStatusQuery question;
   question.workspace = request.workspace;
   question.idempotency_key = request.idempotency_key;
   question.attempt = request.attempt;
@@ -43,7 +43,7 @@
 TEST(RequestLedgerTest, QueriedAttemptNeverRuns) {
   RequestLedger ledger;
   const ServiceRequest late = Keyed("order-1", 1, 10);
-  EXPECT_EQ(ledger.Resolve(QueryFor(late), Time{}).state, SeenState::kNeverWillRun);
+  EXPECT_EQ(ledger.Resolve(QueryFor(late), Time{}).state, RequestRunState::kNeverWillRun);
   EXPECT_EQ(OutcomeOfBegin(&ledger, late), Outcome::kNotRun);
   EXPECT_EQ(OutcomeOfBegin(&ledger, Keyed("order-1", 2, 20)), Outcome::kRan);
   EXPECT_EQ(OutcomeOfBegin(&ledger, late), Outcome::kUnknown);
@@ -73,7 +73,7 @@
   }
   EXPECT_EQ(ledger.rows(), 4U);
   const ServiceRequest forgotten = Keyed("order-2", 1, 2);
-  EXPECT_EQ(ledger.Resolve(QueryFor(forgotten), Time{}).state, SeenState::kUnknown);
+  EXPECT_EQ(ledger.Resolve(QueryFor(forgotten), Time{}).state, RequestRunState::kUnknown);
   EXPECT_EQ(OutcomeOfBegin(&ledger, forgotten), Outcome::kUnknown);
 }
 
@@ -88,14 +88,15 @@
     ledger.Begin(request, now);
     ledger.Finish(request, ServiceAnswer{});
   }
-  SeenQuestion question;
+  RequestStatusQuery question;
   question.request_id = "a";
   question.age = std::chrono::seconds(30);
-  EXPECT_EQ(ledger.Resolve(question, now + std::chrono::seconds(30)).state, SeenState::kUnknown);
+  EXPECT_EQ(ledger.Resolve(question, now + std::chrono::seconds(30)).state,
+            RequestRunState::kUnknown);
   question.request_id = "never-sent-before";
   question.age = std::chrono::seconds(1);
   EXPECT_EQ(ledger.Resolve(question, now + std::chrono::seconds(30)).state,
-            SeenState::kNeverWillRun);
+            RequestRunState::kNeverWillRun);
 }
 
 }  // namespace
--- a/servers/agent/start_guard.cc
+++ b/servers/agent/start_guard.cc
@@ -23,7 +23,7 @@
 StartGuard::StartGuard(const std::string& zone, const std::string& agent)
     : zone_(zone), agent_(agent) {}
 
-void StartGuard::HandleHeartbeatReply(const EntryBeat& reply, Time sent) {
+void StartGuard::HandleHeartbeatReply(const HeartbeatReply& reply, Time sent) {
   const std::lock_guard<std::mutex> lock(mutex_);
   if (!IsConsistent(reply)) {
     LogEvent(LogLevel::kError, "config_foreign",
@@ -57,7 +57,7 @@
   AdvanceFreshness(sent - reply.freshness.age);
 }
 
-bool StartGuard::IsConsistent(const EntryBeat& reply) const {
+bool StartGuard::IsConsistent(const HeartbeatReply& reply) const {
   if (!environment_name_.empty() && !reply.environment.empty() &&
       reply.environment != environment_name_) {
     return false;
@@ -66,7 +66,7 @@
          reply.config_digest == digest_ || version_ == 0;
 }
 
-void StartGuard::ApplyDocument(const EntryBeat& reply) {
+void StartGuard::ApplyDocument(const HeartbeatReply& reply) {
   const std::string digest = Digest(reply.config_text);
   try {
     if (!reply.config_digest.empty() && reply.config_digest != digest) {
@@ -140,9 +140,9 @@
   return now - newest_reply_sent_at_ <= limit;
 }
 
-std::vector<HeardEntry> StartGuard::entry_statements(Time now) const {
+std::vector<ObservedEntry> StartGuard::entry_statements(Time now) const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  std::vector<HeardEntry> result;
+  std::vector<ObservedEntry> result;
   for (const auto& [process, statement] : statements_) {
     result.push_back({statement.entry, statement.version, now - statement.sent});
   }
--- a/servers/agent/start_guard.h
+++ b/servers/agent/start_guard.h
@@ -21,7 +21,7 @@
   // Handles an entry's reply to a heartbeat sent at `sent`. Adopts the reply's document if its
   // version is newer; the version never decreases. A document that is unreadable, damaged or of
   // another environment is rejected and logged.
-  void HandleHeartbeatReply(const EntryBeat& reply, Time sent);
+  void HandleHeartbeatReply(const HeartbeatReply& reply, Time sent);
 
   // Throws Error(kStale) or Error(kLeaving), with outcome not_run, if no work may start at `now`.
   void RequireStartAllowed(Time now) const;
@@ -33,7 +33,7 @@
   // Whether a reply to a heartbeat that was sent within `limit` has been received.
   bool received_reply_within(Duration limit, Time now) const;
   // The last known version of each entry and the age of its reply, for reporting to other entries.
-  std::vector<HeardEntry> entry_statements(Time now) const;
+  std::vector<ObservedEntry> entry_statements(Time now) const;
 
  private:
   // The last status that an entry reported about itself.
@@ -46,8 +46,8 @@
 
   // Returns false for a reply from another environment, or with another document under the version
   // in force.
-  bool IsConsistent(const EntryBeat& reply) const;
-  void ApplyDocument(const EntryBeat& reply);
+  bool IsConsistent(const HeartbeatReply& reply) const;
+  void ApplyDocument(const HeartbeatReply& reply);
   // Records that all documents accepted before `time` are known here, so that earlier statements of
   // entries no longer matter.
   void AdvanceFreshness(Time time);
--- a/servers/agent/start_guard_test.cc
+++ b/servers/agent/start_guard_test.cc
@@ -24,8 +24,9 @@
 class StartGuardTest : public testing::Test {
  protected:
   // Reply of an entry in `zone` whose newest read is `age` old; `failing` if its reads fail now.
-  EntryBeat MakeReply(const std::string& zone, int64_t version, Duration age, bool failing) const {
-    EntryBeat beat;
+  HeartbeatReply MakeReply(const std::string& zone, int64_t version, Duration age,
+                           bool failing) const {
+    HeartbeatReply beat;
     beat.self = {"entry-" + zone, zone, "10.0.0.1:1"};
     beat.config_version = version;
     if (version > guard_.config_version()) beat.config_text = Document(version == 1 ? "in" : "out");
@@ -151,7 +152,7 @@
   guard_.HandleHeartbeatReply(MakeReply("b", 2, Duration{}, false), now_ + seconds(1));
   EXPECT_FALSE(MayStart(now_ + seconds(1)));
   // The other entry lags and does not know version 2 yet.
-  EntryBeat old = MakeReply("a", 1, Duration{}, false);
+  HeartbeatReply old = MakeReply("a", 1, Duration{}, false);
   old.config_text = Document("in");
   guard_.HandleHeartbeatReply(old, now_ + seconds(2));
   EXPECT_EQ(guard_.config_version(), 2);
@@ -160,14 +161,14 @@
 
 // An agent's settings name an entry of another environment, whose documents must not be adopted.
 TEST_F(StartGuardTest, DocumentsOfAnotherEnvironmentAreRefused) {
-  EntryBeat trial = MakeReply("a", 1, Duration{}, false);
+  HeartbeatReply trial = MakeReply("a", 1, Duration{}, false);
   trial.environment = "trial";
   guard_.HandleHeartbeatReply(trial, now_);
-  EntryBeat production = MakeReply("b", 2, Duration{}, false);
+  HeartbeatReply production = MakeReply("b", 2, Duration{}, false);
   production.environment = "production";
   guard_.HandleHeartbeatReply(production, now_);
   EXPECT_EQ(guard_.config_version(), 1);
-  EntryBeat other = MakeReply("b", 1, Duration{}, false);
+  HeartbeatReply other = MakeReply("b", 1, Duration{}, false);
   other.config_digest = Digest("another document");
   guard_.HandleHeartbeatReply(other, now_ + seconds(4));
   EXPECT_FALSE(MayStart(now_ + seconds(4)));
--- a/servers/entry/agent_directory.cc
+++ b/servers/entry/agent_directory.cc
@@ -16,7 +16,8 @@
   if (replaced) replaced->Drop();
 }
 
-void AgentDirectory::RecordHeartbeat(const AgentHello& hello, const AgentBeat& beat, Time now) {
+void AgentDirectory::RecordHeartbeat(const AgentHello& hello, const AgentHeartbeat& beat,
+                                     Time now) {
   const std::lock_guard<std::mutex> lock(mutex_);
   const auto found = agents_.find(hello.process);
   if (found == agents_.end() || found->second.hello.incarnation != hello.incarnation) return;
--- a/servers/entry/agent_directory.h
+++ b/servers/entry/agent_directory.h
@@ -16,7 +16,7 @@
 struct AgentState {
   AgentHello hello;
   std::shared_ptr<AgentPort> port;
-  AgentBeat beat;
+  AgentHeartbeat beat;
   // When the last heartbeat arrived, or the session was opened.
   Time last_contact_at{};
   // Requests that this entry has sent and that are not yet answered.
@@ -33,7 +33,7 @@
   // connection lost.
   void Open(const AgentHello& hello, std::shared_ptr<AgentPort> port, Time now);
   // Stores a heartbeat. Ignored unless it comes from the agent's registered incarnation.
-  void RecordHeartbeat(const AgentHello& hello, const AgentBeat& beat, Time now);
+  void RecordHeartbeat(const AgentHello& hello, const AgentHeartbeat& beat, Time now);
   // Stores the load that an answer of the agent reported.
   void RecordLoad(const std::string& agent, const TargetLoad& load);
   void AddOutstanding(const std::string& agent, int change);
--- a/servers/entry/config_api_test.cc
+++ b/servers/entry/config_api_test.cc
@@ -58,7 +58,7 @@
   void SendHeartbeat(int64_t version) {
     const AgentHello hello{"worker-1", "i", "a", "r", "", {}};
     if (!port) port = server->OpenAgent(hello, nullptr);
-    AgentBeat beat;
+    AgentHeartbeat beat;
     beat.config_version = version;
     port->Heartbeat(beat, {});
   }
--- a/servers/entry/entry_server.cc
+++ b/servers/entry/entry_server.cc
@@ -33,7 +33,7 @@
  public:
   AgentSession(EntryServer* entry, AgentHello hello) : entry_(entry), hello_(std::move(hello)) {}
 
-  EntryBeat Heartbeat(const AgentBeat& beat, Duration /*timeout*/) override {
+  HeartbeatReply Heartbeat(const AgentHeartbeat& beat, Duration /*timeout*/) override {
     const Time now = DefaultClock().Now();
     entry_->directory_.RecordHeartbeat(hello_, beat, now);
     entry_->peers_.RecordHeartbeat(beat, now);
@@ -232,8 +232,9 @@
   return drained;
 }
 
-EntryBeat EntryServer::MakeHeartbeatReply(const AgentHello& hello, const AgentBeat& beat) const {
-  EntryBeat answer;
+HeartbeatReply EntryServer::MakeHeartbeatReply(const AgentHello& hello,
+                                               const AgentHeartbeat& beat) const {
+  HeartbeatReply answer;
   const Time now = DefaultClock().Now();
   const StreamView view = config_stream_.view();
   if (view.ever_fresh) answer.freshness.age = now - view.fresh_at;
--- a/servers/entry/entry_server.h
+++ b/servers/entry/entry_server.h
@@ -86,7 +86,7 @@
   std::string CallerAddress(const std::string& peer_address) const;
   StreamOptions OptionsFor(Stream stream);
   void WaitForBalancer() const;
-  EntryBeat MakeHeartbeatReply(const AgentHello& hello, const AgentBeat& beat) const;
+  HeartbeatReply MakeHeartbeatReply(const AgentHello& hello, const AgentHeartbeat& beat) const;
   std::vector<EntryMember> KnownEntries(Time now) const;
   // Records this entry as a member if the members stream doesn't list it.
   void JoinIfMissing();
--- a/servers/entry/peer_view.cc
+++ b/servers/entry/peer_view.cc
@@ -11,17 +11,17 @@
 
 }  // namespace
 
-void PeerView::RecordHeartbeat(const AgentBeat& beat, Time now) {
+void PeerView::RecordHeartbeat(const AgentHeartbeat& beat, Time now) {
   const std::lock_guard<std::mutex> lock(mutex_);
   highest_version_ = std::max(highest_version_, beat.config_version);
-  for (const HeardEntry& heard : beat.heard) {
-    const std::string& process = heard.entry.process;
+  for (const ObservedEntry& observed : beat.observed) {
+    const std::string& process = observed.entry.process;
     if (peers_.size() >= kMaxPeers && peers_.count(process) == 0) continue;
     PeerState& peer = peers_[process];
-    const Time seen_at = now - heard.age;
-    if (seen_at >= peer.last_seen) peer.entry = heard.entry;
+    const Time seen_at = now - observed.age;
+    if (seen_at >= peer.last_seen) peer.entry = observed.entry;
     peer.last_seen = std::max(peer.last_seen, seen_at);
-    peer.config_version = std::max(peer.config_version, heard.config_version);
+    peer.config_version = std::max(peer.config_version, observed.config_version);
   }
 }
 
--- a/servers/entry/peer_view.h
+++ b/servers/entry/peer_view.h
@@ -23,7 +23,7 @@
 class PeerView {
  public:
   // Stores the reports about entries in an agent's heartbeat that arrived at `now`.
-  void RecordHeartbeat(const AgentBeat& beat, Time now);
+  void RecordHeartbeat(const AgentHeartbeat& beat, Time now);
 
   // Entries from which some agent received an answer within the last `max_age`, sorted by process
   // name.
--- a/servers/entry/peer_view_test.cc
+++ b/servers/entry/peer_view_test.cc
@@ -7,11 +7,11 @@
 
 using std::chrono::seconds;
 
-AgentBeat HeartbeatAbout(const std::string& process, const std::string& address, Duration age,
-                         int64_t version) {
-  AgentBeat beat;
+AgentHeartbeat HeartbeatAbout(const std::string& process, const std::string& address, Duration age,
+                              int64_t version) {
+  AgentHeartbeat beat;
   beat.config_version = version;
-  beat.heard.push_back({{process, "a", address}, version, age});
+  beat.observed.push_back({{process, "a", address}, version, age});
   return beat;
 }
 
--- a/servers/entry/request_router.cc
+++ b/servers/entry/request_router.cc
@@ -64,7 +64,7 @@
       const AgentState agent = sender_.Choose(request.service, tried, true);
       tried.insert(agent.hello.process);
       ServiceRequest message = request;
-      message.request_id = SendingId(request.request_id, attempt);
+      message.request_id = AttemptRequestId(request.request_id, attempt);
       return sender_.Deliver(agent, message, deadline);
     } catch (const Error& error) {
       if (error.outcome() != Outcome::kNotRun) worst = error.outcome();
--- a/servers/planner/gang_runner.cc
+++ b/servers/planner/gang_runner.cc
@@ -28,14 +28,14 @@
   reserve.attempt = gang.attempt;
   reserve.shape = gang.spec.shape;
   reserve.tasks = TasksAt(worker, gang.tasks);
-  reserve.hold = kGangHoldTimeout;
+  reserve.hold_timeout = kGangHoldTimeout;
   reserve.checkpoints = gang.spec.checkpoints;
   reserve.guaranteed = !gang.borrowed;
   return reserve;
 }
 
-GangAction ActionOf(const GangAttempt& gang, Duration lease, int64_t beat_sent_at = -1) {
-  return {gang.epoch, gang.job, gang.attempt, lease, false, beat_sent_at};
+GangAction ActionOf(const GangAttempt& gang, Duration lease, int64_t heartbeat_sent_at = -1) {
+  return {gang.epoch, gang.job, gang.attempt, lease, false, heartbeat_sent_at};
 }
 
 // Calls that run in parallel and are awaited together.
--- a/servers/planner/gang_runner.h
+++ b/servers/planner/gang_runner.h
@@ -43,7 +43,7 @@
   std::set<std::string> workers() const;
 };
 
-// AgentBeat::sent_at for each worker.
+// AgentHeartbeat::sent_at for each worker.
 using HeartbeatTimes = std::map<std::string, int64_t>;
 
 struct GangStartResult {
--- a/servers/planner/planner_simulation_test.cc
+++ b/servers/planner/planner_simulation_test.cc
@@ -121,7 +121,7 @@
 
   ServiceAnswer Serve(const ServiceRequest&) override { return {}; }
   void Cancel(const std::string&) override {}
-  SeenAnswer Resolve(const SeenQuestion&, Duration) override { return {}; }
+  RequestStatusReply Resolve(const RequestStatusQuery&, Duration) override { return {}; }
   void Reserve(const GangReserve& step, Duration) override { Send(step, &GangHost::Reserve); }
   void Start(const GangStart& step, Duration) override { Send(step, &GangHost::Start); }
   void Release(const GangAction& step, Duration) override { Send(step, &GangHost::Release); }
@@ -362,10 +362,10 @@
   const Time now = clock_.Now();
   const bool paused = now < entry->paused_until;
   if (!entry->up || paused || agent->unreachable_entries.count(entry->name) != 0) return;
-  AgentBeat beat;
+  AgentHeartbeat beat;
   agent->host->FillHeartbeat(&beat, now);
   entry->directory->RecordHeartbeat(HelloOf(agent->name), beat, now);
-  EntryBeat answer;
+  HeartbeatReply answer;
   const PlannerEpoch epoch = entry->jobs->Planner(kZone);
   answer.planner_epoch = epoch.epoch;
   answer.planner_active = epoch.process == entry->name && entry->service->is_leader();
--- a/servers/ports/agent_port.h
+++ b/servers/ports/agent_port.h
@@ -15,7 +15,7 @@
   virtual ServiceAnswer Serve(const ServiceRequest& request) = 0;
   // Best effort: the caller of that request has gone.
   virtual void Cancel(const std::string& request_id) = 0;
-  virtual SeenAnswer Resolve(const SeenQuestion& question, Duration timeout) = 0;
+  virtual RequestStatusReply Resolve(const RequestStatusQuery& question, Duration timeout) = 0;
   // The session is given up: calls in flight fail with outcome unknown instead of waiting for an
   // answer that a silent connection will never carry.
   virtual void Drop() {}
--- a/servers/ports/entry_port.h
+++ b/servers/ports/entry_port.h
@@ -15,7 +15,7 @@
  public:
   virtual ~EntryPort() = default;
   // Throws Error(kConnectionLost) or Error(kDeadlineExceeded) when the session has gone silent.
-  virtual EntryBeat Heartbeat(const AgentBeat& beat, Duration timeout) = 0;
+  virtual HeartbeatReply Heartbeat(const AgentHeartbeat& beat, Duration timeout) = 0;
 };
 
 // The entry's side of opening sessions: gives the port that the agent will call.
--- a/servers/ports/messages.h
+++ b/servers/ports/messages.h
@@ -48,7 +48,7 @@
 
 // The id of one sending of the caller's request: agents refuse for good an id that they refused
 // once, so each sending of a request without a key has its own.
-std::string SendingId(const std::string& request_id, int sending);
+std::string AttemptRequestId(const std::string& request_id, int sending);
 // The id that the caller was told, from a sending's.
 std::string CallerRequestId(const std::string& sending_id);
 
@@ -69,7 +69,7 @@
 };
 
 // Asks an agent what became of one attempt: by its key where it has one, else by its request id.
-struct SeenQuestion {
+struct RequestStatusQuery {
   std::string workspace;
   std::string idempotency_key;
   int attempt = 0;
@@ -81,7 +81,7 @@
   Duration age{};
 };
 
-enum class SeenState {
+enum class RequestRunState {
   // The agent has not seen it and from now on never runs this attempt.
   kNeverWillRun,
   kRunning,
@@ -89,10 +89,10 @@
   // It may have run; nobody can tell.
   kUnknown,
 };
-const char* SeenStateName(SeenState state);
+const char* RequestRunStateName(RequestRunState state);
 
-struct SeenAnswer {
-  SeenState state = SeenState::kUnknown;
+struct RequestStatusReply {
+  RequestRunState state = RequestRunState::kUnknown;
   // Set for kRan; status 0 when the answer is no longer kept.
   ServiceAnswer answer;
 };
@@ -112,7 +112,7 @@
   TaskShape shape;
   std::vector<TaskPlacement> tasks;
   // The reservation lapses by itself unless started within this time.
-  Duration hold = std::chrono::seconds(3);
+  Duration hold_timeout = std::chrono::seconds(3);
   bool checkpoints = false;
   // The workspace's guarantee covers it, so it can't be reclaimed for another.
   bool guaranteed = false;
@@ -135,10 +135,10 @@
   Duration lease = std::chrono::seconds(10);
   // For stop: save the work first.
   bool checkpoint = false;
-  // AgentBeat::sent_at of the agent's beat that moved the planner to this. A renewal counts its
-  // lease from there, so that one which arrives late can't outlive the planner's own reckoning.
+  // AgentHeartbeat::sent_at of the agent's beat that moved the planner to this. A renewal counts
+  // its lease from there, so that one which arrives late can't outlive the planner's own reckoning.
   // Negative: counted from the arrival.
-  int64_t beat_sent_at = -1;
+  int64_t heartbeat_sent_at = -1;
 };
 
 // An entry as others reach it.
@@ -151,14 +151,14 @@
 
 // What an agent last heard from one of its entries; carries word of entries from one to another
 // while the log is down.
-struct HeardEntry {
+struct ObservedEntry {
   EntryMember entry;
   int64_t config_version = 0;
   // Since the heartbeat that the entry answered was sent.
   Duration age{};
 };
 
-struct AgentBeat {
+struct AgentHeartbeat {
   TargetLoad load;
   int64_t config_version = 0;
   bool leaving = false;
@@ -167,12 +167,12 @@
   // that was ever started here under a lower one.
   Sequence planner_epoch = kNoSequence;
   // Sent with some of the heartbeats only, to spare bytes.
-  std::vector<HeardEntry> heard;
+  std::vector<ObservedEntry> observed;
   // DigestMembers of the entries this agent knows, so that an unchanged list is not sent again.
   int64_t members_digest = 0;
   // How long ago the zone's planner was last heard; negative: never.
   Duration planner_silence{-1};
-  // This agent's own clock, for GangAction::beat_sent_at. Means nothing to any other process.
+  // This agent's own clock, for GangAction::heartbeat_sent_at. Means nothing to any other process.
   int64_t sent_at = -1;
   // How old `tasks` is; rises while the worker does not answer.
   Duration report_age{};
@@ -186,7 +186,7 @@
   bool failing = false;
 };
 
-struct EntryBeat {
+struct HeartbeatReply {
   int64_t config_version = 0;
   // The document, only when newer than the agent's.
   std::string config_text;
--- a/servers/requests/target_sender.cc
+++ b/servers/requests/target_sender.cc
@@ -49,12 +49,12 @@
 }
 
 // Returns the attempt's answer, or throws the Error that matches its state.
-ServiceAnswer AnswerOrThrow(SeenAnswer seen) {
-  if (seen.state == SeenState::kNeverWillRun) {
+ServiceAnswer AnswerOrThrow(RequestStatusReply seen) {
+  if (seen.state == RequestRunState::kNeverWillRun) {
     throw Error(ErrorKind::kConnectionLost, Outcome::kNotRun,
                 "the request did not reach the target and will not run");
   }
-  if (seen.state == SeenState::kUnknown) {
+  if (seen.state == RequestRunState::kUnknown) {
     throw Error(ErrorKind::kConnectionLost, Outcome::kUnknown,
                 "the target's agent does not know whether the request ran");
   }
@@ -67,8 +67,8 @@
 
 }  // namespace
 
-SeenQuestion MakeQuestion(const ServiceRequest& request) {
-  SeenQuestion question;
+RequestStatusQuery MakeQuestion(const ServiceRequest& request) {
+  RequestStatusQuery question;
   question.workspace = request.workspace;
   question.idempotency_key = request.idempotency_key;
   question.attempt = request.attempt;
@@ -176,8 +176,9 @@
   }
 }
 
-ServiceAnswer TargetSender::ResolveOutcome(const std::string& agent, const SeenQuestion& question,
-                                           Time sent, Time deadline) {
+ServiceAnswer TargetSender::ResolveOutcome(const std::string& agent,
+                                           const RequestStatusQuery& question, Time sent,
+                                           Time deadline) {
   Time last_reached = DefaultClock().Now();
   for (Duration pause = kMinQuestionInterval;; pause = std::min(pause * 2, kMaxQuestionInterval)) {
     const Time now = DefaultClock().Now();
@@ -186,8 +187,8 @@
       throw Error(ErrorKind::kConnectionLost, Outcome::kUnknown,
                   "the target's agent has restarted since the request was sent");
     }
-    std::optional<SeenAnswer> seen = QueryAgent(state, question, sent, now, deadline);
-    if (seen && seen->state != SeenState::kRunning) return AnswerOrThrow(std::move(*seen));
+    std::optional<RequestStatusReply> seen = QueryAgent(state, question, sent, now, deadline);
+    if (seen && seen->state != RequestRunState::kRunning) return AnswerOrThrow(std::move(*seen));
     const Time asked = DefaultClock().Now();
     if (seen) last_reached = asked;
     RequireTimeLeft(deadline, asked, Outcome::kUnknown);
@@ -199,8 +200,9 @@
   }
 }
 
-std::optional<SeenAnswer> TargetSender::QueryAgent(const AgentState& agent, SeenQuestion question,
-                                                   Time sent, Time now, Time deadline) const {
+std::optional<RequestStatusReply> TargetSender::QueryAgent(const AgentState& agent,
+                                                           RequestStatusQuery question, Time sent,
+                                                           Time now, Time deadline) const {
   if (!agent.port) return std::nullopt;
   question.age = now - sent;
   const Duration timeout =
--- a/servers/requests/target_sender.h
+++ b/servers/requests/target_sender.h
@@ -48,8 +48,8 @@
 
   // Asks `agent` for the outcome of an attempt that was sent at `sent`. Returns its answer, waiting
   // until `deadline` while the attempt runs. Throws Error as Deliver does.
-  ServiceAnswer ResolveOutcome(const std::string& agent, const SeenQuestion& question, Time sent,
-                               Time deadline);
+  ServiceAnswer ResolveOutcome(const std::string& agent, const RequestStatusQuery& question,
+                               Time sent, Time deadline);
 
   // How long a refused caller of `service` should wait, estimated from the load of its targets.
   Duration RetryAfter(const std::string& service) const;
@@ -57,8 +57,8 @@
  private:
   // Asks the agent once for the outcome of an attempt. Returns nullopt if the agent could not be
   // reached.
-  std::optional<SeenAnswer> QueryAgent(const AgentState& agent, SeenQuestion question, Time sent,
-                                       Time now, Time deadline) const;
+  std::optional<RequestStatusReply> QueryAgent(const AgentState& agent, RequestStatusQuery question,
+                                               Time sent, Time now, Time deadline) const;
   // Passes a call's result to the outlier detector and the policy. `error` is null for an answer.
   void RecordResult(const std::string& agent, Duration latency, const Error* error, int status,
                     Time now);
@@ -79,7 +79,7 @@
 };
 
 // The question that asks an agent for the outcome of `request`.
-SeenQuestion MakeQuestion(const ServiceRequest& request);
+RequestStatusQuery MakeQuestion(const ServiceRequest& request);
 
 // Throws Error(kDeadlineExceeded) with `outcome` when `deadline` is not after `now`.
 void RequireTimeLeft(Time deadline, Time now, Outcome outcome);
--- a/tests/stand_ins/faulty_link.cc
+++ b/tests/stand_ins/faulty_link.cc
@@ -78,7 +78,7 @@
   if (link_state_->injected_bug == InjectedBug::kRunsTwice) {
     ServiceRequest again = request;
     again.idempotency_key.clear();
-    again.request_id = SendingId(CallerRequestId(request.request_id), 99);
+    again.request_id = AttemptRequestId(CallerRequestId(request.request_id), 99);
     agent_process_->agent->Serve(again);
   }
   if (link_state_->injected_bug == InjectedBug::kFalseNotRun) {
@@ -108,13 +108,13 @@
   if (!agent_process_->dead.load()) agent_process_->agent->Cancel(request_id);
 }
 
-SeenAnswer FaultyLink::Resolve(const SeenQuestion& question, Duration timeout) {
+RequestStatusReply FaultyLink::Resolve(const RequestStatusQuery& question, Duration timeout) {
   const LinkFaults faults = link_state_->faults();
   if (link_state_->random.Chance(faults.silent)) Hang(timeout);
   if (link_state_->random.Chance(faults.lost)) Hang(kLossDetectionDelay);
   const std::shared_lock<std::shared_mutex> lock(agent_process_->alive);
   if (agent_process_->dead.load()) ThrowConnectionLost();
-  SeenAnswer answer = agent_process_->agent->Resolve(question, timeout);
+  RequestStatusReply answer = agent_process_->agent->Resolve(question, timeout);
   if (link_state_->random.Chance(faults.answer_lost)) ThrowConnectionLost();
   return answer;
 }
--- a/tests/stand_ins/faulty_link.h
+++ b/tests/stand_ins/faulty_link.h
@@ -77,7 +77,7 @@
 
   ServiceAnswer Serve(const ServiceRequest& request) override;
   void Cancel(const std::string& request_id) override;
-  SeenAnswer Resolve(const SeenQuestion& question, Duration timeout) override;
+  RequestStatusReply Resolve(const RequestStatusQuery& question, Duration timeout) override;
   void Drop() override;
   void Reserve(const GangReserve& /*reserve*/, Duration /*timeout*/) override {}
   void Start(const GangStart& /*start*/, Duration /*timeout*/) override {}
--- a/tests/stand_ins/request_cluster.cc
+++ b/tests/stand_ins/request_cluster.cc
@@ -48,7 +48,7 @@
 
 }  // namespace
 
-EntryBeat HeartbeatPort::Heartbeat(const AgentBeat& beat, Duration /*timeout*/) {
+HeartbeatReply HeartbeatPort::Heartbeat(const AgentHeartbeat& beat, Duration /*timeout*/) {
   if (entry_->gone.load()) throw Error(ErrorKind::kConnectionLost, "the entry is gone");
   entry_->directory.RecordHeartbeat(hello_, beat, DefaultClock().Now());
   return {};
--- a/tests/stand_ins/request_cluster.h
+++ b/tests/stand_ins/request_cluster.h
@@ -39,7 +39,7 @@
  public:
   HeartbeatPort(std::shared_ptr<TestEntry> entry, AgentHello hello)
       : entry_(std::move(entry)), hello_(std::move(hello)) {}
-  EntryBeat Heartbeat(const AgentBeat& beat, Duration timeout) override;
+  HeartbeatReply Heartbeat(const AgentHeartbeat& beat, Duration timeout) override;
 
  private:
   const std::shared_ptr<TestEntry> entry_;
