--- a/tests/soak/operator_history.h
+++ b/tests/soak/operator_history.h
@@ -1,4 +1,4 @@
-// What operators were told during a soak, and whether it was true. Shared between threads.
+// Records the outcomes reported to operators during a soak and checks them. Thread-safe.
 #pragma once
 
 #include <map>
@@ -11,31 +11,31 @@
 
 namespace turmericshift::soak {
 
-// How one command ended.
+// The outcome of a command.
 struct CommandEnd {
-  // "zone out a", for people.
-  std::string what;
-  // "" for a command that changes nothing.
+  // The command line for messages, such as "zone out a".
+  std::string command;
+  // Identifier of the change; empty for a command that changes nothing.
   std::string change;
   int status = -1;
-  // That it was told; 0: none.
+  // The version that the command reported; 0 if none.
   int64_t version = 0;
-  Duration took{};
+  Duration duration{};
 };
 
 class OperatorHistory {
  public:
-  // A command was given while at least one entry served until its end.
-  void Ended(const CommandEnd& end);
-  void Violation(const std::string& what);
-  // `history`: what `config history --json` shows once all is over.
-  void CheckWhole(const nlohmann::json& history);
+  // Records a command during which at least one entry served without interruption.
+  void RecordCommand(const CommandEnd& end);
+  void RecordViolation(const std::string& violation);
+  // `history`: the output of `config history --json` after all commands have ended.
+  void CheckAtEnd(const nlohmann::json& history);
   std::vector<std::string> violations() const;
   std::string Summary() const;
 
  private:
   void CheckChange(const CommandEnd& end, const std::map<std::string, int64_t>& versions);
-  void AddViolation(const std::string& what);
+  void AddViolation(const std::string& violation);
 
   mutable std::mutex mutex_;
   std::vector<CommandEnd> ends_;
--- a/tests/soak/soak_main.cc
+++ b/tests/soak/soak_main.cc
@@ -1,5 +1,5 @@
-// The fault soak: a pool of real processes under faults drawn from a seed, with the promises
-// checked from what callers and workers see. Exit code 0 when all were kept, 1 otherwise.
+// The fault soak: runs a pool of real processes under faults drawn from a seed, and checks the
+// guarantees from the view of callers and workers. Exit code 0 if all held, 1 otherwise.
 #include <unistd.h>
 
 #include <algorithm>
@@ -22,49 +22,49 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr int kMostAttempts = 3;
-constexpr Duration kLookEvery = milliseconds(50);
-constexpr size_t kMostShown = 20;
-// For processes to start and a planner to be found.
-constexpr seconds kStartLimit{60};
+constexpr int kMaxAttempts = 3;
+constexpr Duration kPollInterval = milliseconds(50);
+constexpr size_t kMaxViolationsShown = 20;
+// Limit for the processes to start and elect a planner.
+constexpr seconds kStartTimeout{60};
 
 struct SoakOptions {
   SoakSystemOptions system;
   uint64_t seed = 1;
   seconds length{15};
-  // After the last fault every accepted job has to end within this. A change of planner costs 15 s
-  // where agents can't be heard, and jobs wait for each other after it.
-  seconds ending{90};
+  // Every accepted job must end within this time after the last fault. A change of planner takes 15
+  // s if agents are unreachable, and jobs then queue behind each other.
+  seconds completion_timeout{90};
   int callers = 3;
-  // Signals and changes in series beside the other faults.
+  // Adds series of signals and changes to the other faults.
   bool series = false;
-  // SIGHUP as well: it ends a process that has not come to its first statement yet.
-  bool hang_ups = false;
+  // Includes SIGHUP, which ends a process that has not yet reached its first statement.
+  bool sends_sighup = false;
 };
 
 bool WaitFor(Duration limit, const std::function<bool()>& condition) {
   const Time until = LeaseClock().Now() + limit;
   while (!condition()) {
     if (LeaseClock().Now() >= until) return false;
-    std::this_thread::sleep_for(kLookEvery);
+    std::this_thread::sleep_for(kPollInterval);
   }
   return true;
 }
 
 bool Serves(SoakSystem* system) {
-  pool::JobSpec nobodys;
-  nobodys.id = "unknown";
-  nobodys.queue = "batch";
+  pool::JobSpec unknown_job;
+  unknown_job.id = "unknown";
+  unknown_job.queue = "batch";
   pool::JobState state = pool::JobState::kQueued;
   for (const auto& entry : system->entries()) {
     const platform::CallOutcome outcome =
-        platform::Caller(entry->callers->port()).StateOf(nobodys, seconds(1), &state);
+        platform::Caller(entry->callers->port()).StateOf(unknown_job, seconds(1), &state);
     if (outcome != platform::CallOutcome::kUnknownJob) return false;
   }
   return true;
 }
 
-// A loopback address that no other soak on this machine has now.
+// A loopback address that no other running soak on this host uses.
 std::string OwnAddress() {
   constexpr pid_t kOctet = 100;
   const pid_t pid = getpid();
@@ -73,32 +73,32 @@
 }
 
 int Soak(const SoakOptions& options) {
-  SoakHistory history(kMostAttempts);
+  SoakHistory history(kMaxAttempts);
   {
     SoakSystem system(options.system, &history);
-    if (!WaitFor(kStartLimit, [&] { return Serves(&system); })) {
-      history.Violation("the entries do not come to serve");
+    if (!WaitFor(kStartTimeout, [&] { return Serves(&system); })) {
+      history.RecordViolation("the entries did not start to serve in time");
     } else {
       SoakCallers callers(options.seed, options.callers, &system, &history);
       std::vector<Fault> faults = DrawFaults(options.seed, options.length);
       if (options.series) {
         std::vector<Fault> series = DrawSeries(options.seed, options.length);
-        if (!options.hang_ups) {
+        if (!options.sends_sighup) {
           std::erase_if(series,
-                        [](const Fault& fault) { return fault.kind == FaultKind::kHangUpEntry; });
+                        [](const Fault& fault) { return fault.kind == FaultKind::kReloadEntry; });
         }
         faults.insert(faults.end(), series.begin(), series.end());
       }
       FaultPlayer(&system, &history).Play(faults);
       system.Heal();
       callers.StopSubmitting();
-      WaitFor(options.ending, [&] { return history.Pending().empty(); });
+      WaitFor(options.completion_timeout, [&] { return history.Pending().empty(); });
     }
-    history.CheckWhole();
+    history.CheckAtEnd();
   }
   const std::vector<std::string> violations = history.violations();
   std::cout << "seed " << options.seed << ": " << history.Summary() << "\n";
-  const size_t shown = std::min(violations.size(), kMostShown);
+  const size_t shown = std::min(violations.size(), kMaxViolationsShown);
   for (size_t i = 0; i < shown; ++i) std::cout << "  VIOLATION " << violations[i] << "\n";
   if (violations.size() > shown) {
     std::cout << "  and " << violations.size() - shown << " more\n";
@@ -107,16 +107,17 @@
 }
 
 int Main(int argc, char** argv) {
-  cxxopts::Options words("turmericshift_soak", "plays faults on a pool of real processes");
+  cxxopts::Options words("turmericshift_soak", "injects faults into a pool of real processes");
   words.add_options()("binary", "the program under soak", cxxopts::value<std::string>())(
-      "seed", "draws jobs and faults", cxxopts::value<uint64_t>()->default_value("1"))(
-      "seconds", "how long faults come", cxxopts::value<int>()->default_value("15"))(
-      "entries", "processes", cxxopts::value<int>()->default_value("3"))(
-      "workers", "each with an agent's process", cxxopts::value<int>()->default_value("6"))(
-      "callers", "who hand jobs in", cxxopts::value<int>()->default_value("3"))(
-      "series", "signals and changes in series besides")("hang-ups", "SIGHUP among the series")(
-      "operators", "plays operators' commands under faults of entries instead")(
-      "keep", "keeps the folder with settings and logs");
+      "seed", "seed of jobs and faults", cxxopts::value<uint64_t>()->default_value("1"))(
+      "seconds", "duration of the faults", cxxopts::value<int>()->default_value("15"))(
+      "entries", "number of entry processes", cxxopts::value<int>()->default_value("3"))(
+      "workers", "number of workers, each with an agent process",
+      cxxopts::value<int>()->default_value("6"))("callers", "number of callers that submit jobs",
+                                                 cxxopts::value<int>()->default_value("3"))(
+      "series", "adds series of signals and changes")("hang-ups", "includes SIGHUP in the series")(
+      "operators", "runs operators' commands under faults of entries instead")(
+      "keep", "keeps the folder of settings and logs");
   const cxxopts::ParseResult parsed = words.parse(argc, argv);
   SoakOptions options;
   options.system.binary = std::filesystem::absolute(parsed["binary"].as<std::string>());
@@ -124,7 +125,7 @@
   options.system.workers = parsed["workers"].as<int>();
   options.callers = parsed["callers"].as<int>();
   options.seed = parsed["seed"].as<uint64_t>();
-  options.hang_ups = parsed.count("hang-ups") > 0;
+  options.sends_sighup = parsed.count("hang-ups") > 0;
   options.series = parsed.count("series") > 0;
   options.length = seconds(parsed["seconds"].as<int>());
   const std::filesystem::path folder =
--- a/tests/stand_ins/faulty_link.h
+++ b/tests/stand_ins/faulty_link.h
@@ -1,4 +1,4 @@
-// An agent's port with the faults of a network between, and a target that counts what it runs.
+// An agent port with simulated network faults, and a target that records each request it runs.
 #pragma once
 
 #include <atomic>
@@ -16,30 +16,31 @@
 
 namespace turmericshift {
 
-// Chances from 0 to 1.
+// Probabilities from 0 to 1 that a fault hits a message.
 struct LinkFaults {
-  // Never arrives.
+  // The request never arrives.
   double lost = 0;
-  // Arrives after its sender was told that the connection is lost.
+  // The request arrives after its sender was told that the connection is lost.
   double late = 0;
   double duplicated = 0;
   double answer_lost = 0;
-  // Another request's answer comes in its place, or only half of its own.
-  double crossed = 0;
-  double cut = 0;
+  // The answer of another request is returned instead.
+  double swapped = 0;
+  // Only the first half of the answer arrives.
+  double truncated = 0;
   double delayed = 0;
-  // Hangs until the link is dropped or the time is over.
+  // The call hangs until the link is dropped or the call's timeout expires.
   double silent = 0;
 };
 
-// Faults of the path itself, to show that the check finds them.
-enum class PlantedFault { kNone, kRunsTwice, kSwapsAnswers, kLiesNotRun };
+// Bugs of the request path, injected to show that the history check detects them.
+enum class InjectedBug { kNone, kRunsTwice, kSwapsAnswers, kFalseNotRun };
 
-// Seeded dice that several threads share.
-class Dice {
+// Seeded random number generator that several threads share.
+class SharedRandom {
  public:
-  explicit Dice(uint64_t seed) : random_(seed) {}
-  bool Roll(double chance);
+  explicit SharedRandom(uint64_t seed) : random_(seed) {}
+  bool Chance(double chance);
   int Below(int bound);
 
  private:
@@ -47,32 +48,32 @@
   std::mt19937_64 random_;
 };
 
-// An agent process as the network sees it: calls end with a lost connection once it is killed.
-struct AgentBox {
+// An agent process as the network sees it: calls fail with a lost connection once it is killed.
+struct AgentProcess {
   std::shared_mutex alive;
   std::atomic<bool> dead{false};
   AgentPort* agent = nullptr;
 };
 
-// Shared by all links of one run.
-struct LinkWorld {
-  explicit LinkWorld(uint64_t seed) : dice(seed) {}
+// Faults and random generator that all links of one test run share.
+struct LinkState {
+  explicit LinkState(uint64_t seed) : random(seed) {}
   LinkFaults faults() const;
   void SetFaults(const LinkFaults& faults);
 
-  Dice dice;
-  PlantedFault planted = PlantedFault::kNone;
+  SharedRandom random;
+  InjectedBug injected_bug = InjectedBug::kNone;
   mutable std::mutex mutex;
   LinkFaults current;
-  ServiceAnswer another;
-  // Delivers what is late; last, so that it ends first.
-  ThreadPool mail{"late-mail", 16};
+  ServiceAnswer previous_answer;
+  // Delivers late requests. Declared last, so that its threads end before the state they use.
+  ThreadPool late_deliveries{"late-mail", 16};
 };
 
 class FaultyLink : public AgentPort {
  public:
-  FaultyLink(LinkWorld* world, std::shared_ptr<AgentBox> box)
-      : world_(world), box_(std::move(box)) {}
+  FaultyLink(LinkState* link_state, std::shared_ptr<AgentProcess> agent_process)
+      : link_state_(link_state), agent_process_(std::move(agent_process)) {}
 
   ServiceAnswer Serve(const ServiceRequest& request) override;
   void Cancel(const std::string& request_id) override;
@@ -87,43 +88,43 @@
 
  private:
   ServiceAnswer Deliver(const ServiceRequest& request);
-  ServiceAnswer Garble(ServiceAnswer answer, const LinkFaults& faults);
+  ServiceAnswer ApplyAnswerFaults(ServiceAnswer answer, const LinkFaults& faults);
   void DeliverLate(const ServiceRequest& request);
   void Hang(Duration limit);
-  [[noreturn]] static void Lose();
+  [[noreturn]] static void ThrowConnectionLost();
 
-  LinkWorld* const world_;
-  const std::shared_ptr<AgentBox> box_;
+  LinkState* const link_state_;
+  const std::shared_ptr<AgentProcess> agent_process_;
   std::mutex mutex_;
   std::condition_variable changed_;
   bool dropped_ = false;
 };
 
-// Chances from 0 to 1.
-struct TargetChances {
+// Probabilities from 0 to 1 that a request of the target fails this way.
+struct TargetFaults {
   double refused = 0;
   double answer_lost = 0;
 };
 
 class CountingTarget : public TargetService {
  public:
-  CountingTarget(std::string agent, RequestHistory* history, Dice* dice)
-      : agent_(std::move(agent)), history_(history), dice_(dice) {}
+  CountingTarget(std::string agent, RequestHistory* history, SharedRandom* random)
+      : agent_(std::move(agent)), history_(history), random_(random) {}
   ServiceAnswer Perform(const ServiceRequest& request) override;
-  // While held, what runs does not end.
-  void Hold(bool held);
-  void SetChances(const TargetChances& chances);
+  // While the target is blocked, running requests do not end.
+  void SetBlocked(bool blocked);
+  void SetFaults(const TargetFaults& faults);
   int running() const;
 
  private:
   const std::string agent_;
   RequestHistory* const history_;
-  Dice* const dice_;
+  SharedRandom* const random_;
   mutable std::mutex mutex_;
   std::condition_variable changed_;
-  bool held_ = false;
+  bool blocked_ = false;
   int running_ = 0;
-  TargetChances chances_;
+  TargetFaults faults_;
 };
 
 }  // namespace turmericshift
--- a/tests/stand_ins/tcp_relay.cc
+++ b/tests/stand_ins/tcp_relay.cc
@@ -25,15 +25,15 @@
   return address;
 }
 
-// One chunk from one end to the other; false once the sending end has closed.
-bool Pass(int from, int to) {
+// Copies one chunk from one end to the other; false once the sending end has closed.
+bool CopyChunk(int from, int to) {
   std::array<char, kChunkBytes> chunk{};
   const ssize_t size = recv(from, chunk.data(), chunk.size(), 0);
   if (size <= 0) return false;
   return send(to, chunk.data(), static_cast<size_t>(size), MSG_NOSIGNAL) == size;
 }
 
-// Closes with a reset instead of an orderly end.
+// Makes close() send a reset instead of an orderly shutdown.
 void Reset(int fd) {
   const linger at_once = {1, 0};
   setsockopt(fd, SOL_SOCKET, SO_LINGER, &at_once, sizeof(at_once));
@@ -45,7 +45,7 @@
   int near = -1;
   int far = -1;
   std::atomic<bool> silent{false};
-  std::atomic<bool> over{false};
+  std::atomic<bool> closed{false};
   Thread thread;
 };
 
@@ -56,7 +56,7 @@
   const bool bound = bind(listener_, reinterpret_cast<sockaddr*>(&address), size) == 0 &&
                      listen(listener_, SOMAXCONN) == 0 &&
                      getsockname(listener_, reinterpret_cast<sockaddr*>(&address), &size) == 0;
-  if (!bound) throw Error(ErrorKind::kUnavailable, "the relay can't listen");
+  if (!bound) throw Error(ErrorKind::kUnavailable, "the relay cannot bind a loopback port");
   port_ = ntohs(address.sin_port);
   thread_ = Thread("relay", [this] { Accept(); });
 }
@@ -73,7 +73,7 @@
   fault_changed_.store(LeaseClock().Now());
 }
 
-bool TcpRelay::FaultSince(Time since) const {
+bool TcpRelay::HadFaultSince(Time since) const {
   return fault_.load() != RelayFault::kNone || fault_changed_.load() >= since;
 }
 
@@ -82,14 +82,14 @@
   for (const auto& pair : pairs_) pair->silent.store(true);
 }
 
-void TcpRelay::DropOver() {
+void TcpRelay::RemoveClosedPairs() {
   const std::lock_guard<std::mutex> lock(mutex_);
-  std::erase_if(pairs_, [](const auto& pair) { return pair->over.load(); });
+  std::erase_if(pairs_, [](const auto& pair) { return pair->closed.load(); });
 }
 
 void TcpRelay::Accept() {
   while (!stopping_.load()) {
-    DropOver();
+    RemoveClosedPairs();
     pollfd waiting{listener_, POLLIN, 0};
     if (poll(&waiting, 1, kPollMillis) <= 0) continue;
     auto pair = std::make_unique<Pair>();
@@ -107,13 +107,13 @@
     }
     connections_.fetch_add(1);
     Pair* raw = pair.get();
-    pair->thread = Thread("relay-pair", [this, raw] { Carry(raw); });
+    pair->thread = Thread("relay-pair", [this, raw] { Forward(raw); });
     const std::lock_guard<std::mutex> lock(mutex_);
     pairs_.push_back(std::move(pair));
   }
 }
 
-void TcpRelay::Carry(Pair* pair) const {
+void TcpRelay::Forward(Pair* pair) const {
   bool open = true;
   while (open && !stopping_.load()) {
     const RelayFault fault = fault_.load();
@@ -122,20 +122,20 @@
       Reset(pair->far);
       break;
     }
-    // What is not carried is not read either, so that neither end learns anything.
+    // Blocked data is not read either, so that neither end notices the fault.
     const bool silent = pair->silent.load() || fault == RelayFault::kSilent;
-    const bool there = !silent && fault != RelayFault::kCutThere;
-    const bool back = !silent && fault != RelayFault::kCutBack;
+    const bool forward = !silent && fault != RelayFault::kDropForward;
+    const bool backward = !silent && fault != RelayFault::kDropBackward;
     std::array<pollfd, 2> ends{
-        {{there ? pair->near : -1, POLLIN, 0}, {back ? pair->far : -1, POLLIN, 0}}};
+        {{forward ? pair->near : -1, POLLIN, 0}, {backward ? pair->far : -1, POLLIN, 0}}};
     if (poll(ends.data(), ends.size(), kPollMillis) <= 0) continue;
     if (fault == RelayFault::kSlow) usleep(kSlowMicros);
-    if (ends[0].revents != 0) open = Pass(pair->near, pair->far);
-    if (open && ends[1].revents != 0) open = Pass(pair->far, pair->near);
+    if (ends[0].revents != 0) open = CopyChunk(pair->near, pair->far);
+    if (open && ends[1].revents != 0) open = CopyChunk(pair->far, pair->near);
   }
   close(pair->near);
   close(pair->far);
-  pair->over.store(true);
+  pair->closed.store(true);
 }
 
 }  // namespace turmericshift
