--- a/main/benches/capacity_bench.cc
+++ b/main/benches/capacity_bench.cc
@@ -114,18 +114,16 @@
   static void AddHeartbeats(const BenchOptions& options, std::vector<BenchFigure>* figures) {
     const AgentHeartbeat empty;
     const AgentHeartbeat full = FullHeartbeat();
-    figures->push_back(ExactFigure("agent_beat_idle", WireBytes<wire::AgentHeartbeat>(empty), "B"));
+    figures->push_back(ExactFigure("agent_beat_idle", WireBytes<wire::AgentBeat>(empty), "B"));
+    figures->push_back(ExactFigure("agent_beat_26_tasks", WireBytes<wire::AgentBeat>(full), "B"));
     figures->push_back(
-        ExactFigure("agent_beat_26_tasks", WireBytes<wire::AgentHeartbeat>(full), "B"));
-    figures->push_back(ExactFigure("entry_beat_unchanged",
-                                   WireBytes<wire::HeartbeatReply>(HeartbeatReply()), "B"));
+        ExactFigure("entry_beat_unchanged", WireBytes<wire::EntryBeat>(HeartbeatReply()), "B"));
     std::vector<double> encode;
     std::vector<double> handle_reply;
     for (int repeat = 0; repeat < options.repeats; ++repeat) {
       constexpr int kEncodes = 10000;
       const Time begun = DefaultClock().Now();
-      for (int heartbeat = 0; heartbeat < kEncodes; ++heartbeat)
-        WireBytes<wire::AgentHeartbeat>(full);
+      for (int heartbeat = 0; heartbeat < kEncodes; ++heartbeat) WireBytes<wire::AgentBeat>(full);
       encode.push_back(MicrosecondsFor(begun, kEncodes));
       StartGuard guard("zone-0");
       HeartbeatReply answer;
