--- a/servers/agent/agent_server.cc
+++ b/servers/agent/agent_server.cc
@@ -237,8 +237,9 @@
     const Time sent = DefaultClock().Now();
     AgentHeartbeat heartbeat = MakeHeartbeat();
     heartbeat.members_digest = plan_.members_digest();
-    if (heartbeats++ % kHeartbeatsPerEntryReport == 0)
+    if (heartbeats++ % kHeartbeatsPerEntryReport == 0) {
       heartbeat.observed = guard_.entry_statements(sent);
+    }
     HeartbeatReply reply = port->Heartbeat(heartbeat, options_.heartbeat_timeout);
     guard_.HandleHeartbeatReply(reply, sent);
     ApplyLimits();
--- a/servers/agent/gang_host.cc
+++ b/servers/agent/gang_host.cc
@@ -83,10 +83,12 @@
   RequireEpoch(action.epoch, now);
   Part& part = RequirePart(action.job, action.attempt);
   if (part.phase == Phase::kRunning) return;
-  if (part.phase == Phase::kReserved)
+  if (part.phase == Phase::kReserved) {
     throw Error(ErrorKind::kConflict, "the tasks are not started yet");
-  if (part.phase == Phase::kStopping)
+  }
+  if (part.phase == Phase::kStopping) {
     throw Error(ErrorKind::kConflict, "the tasks are being stopped");
+  }
   if (now >= part.expires_at) throw Error(ErrorKind::kConflict, "the hold has expired");
   RequireCurrentPlanner(now);
   guard_->RequireStartAllowed(now);
@@ -137,8 +139,9 @@
     StopTasks(part, false);
   }
   for (const TaskReport& report : worker_->Report()) reports_[report.id] = report;
-  if (AnyTaskReported(part) && !AllTasksEnded(part))
+  if (AnyTaskReported(part) && !AllTasksEnded(part)) {
     throw Error(ErrorKind::kConflict, "the tasks are still stopping");
+  }
 }
 
 void GangHost::Forget(const GangAction& action, Time now) {
@@ -218,8 +221,9 @@
 void GangHost::RequireWorkerState() const {
   // A restarted agent does not know yet which accelerators are in use. Allocating one of them again
   // would run two tasks on it.
-  if (!worker_state_known_)
+  if (!worker_state_known_) {
     throw Error(ErrorKind::kStale, "the tasks on the worker are not known yet");
+  }
 }
 
 void GangHost::RequireEpoch(Sequence epoch, Time now) {
@@ -267,8 +271,9 @@
       (wanted & taken) == 0 && (wanted & ~present) == 0 &&
       used.processors + reserve.shape.processors * tasks <= capacity_.processors &&
       used.memory_bytes + reserve.shape.memory_bytes * tasks <= capacity_.memory_bytes;
-  if (!fits)
+  if (!fits) {
     throw Error(ErrorKind::kConflict, "the requested resources are not free on this worker");
+  }
 }
 
 Duration GangHost::lease() const {
--- a/servers/agent/slot_limiter.cc
+++ b/servers/agent/slot_limiter.cc
@@ -160,8 +160,9 @@
 }
 
 void SlotLimiter::ThrowFor(WaitState state) {
-  if (state == WaitState::kCancelled)
+  if (state == WaitState::kCancelled) {
     throw Error(ErrorKind::kCancelled, "the caller has cancelled the request");
+  }
   if (state == WaitState::kClosed) throw Error(ErrorKind::kLeaving, "the target is leaving");
   throw Error(ErrorKind::kOverloaded, "the target is overloaded and has shed the request");
 }
--- a/servers/agent/start_guard.cc
+++ b/servers/agent/start_guard.cc
@@ -113,8 +113,9 @@
 
 void StartGuard::RequireStartAllowed(Time now) const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  if (!environment_ || !ever_fresh_)
+  if (!environment_ || !ever_fresh_) {
     throw Error(ErrorKind::kStale, "no configuration document was received yet");
+  }
   const bool fresh = now - fresh_at_ <= environment_->bounds.zone_out;
   if (!fresh && !LogIsDown(now)) {
     throw Error(ErrorKind::kStale, "the newest configuration document may not have been received");
--- a/servers/agent/start_guard_test.cc
+++ b/servers/agent/start_guard_test.cc
@@ -71,8 +71,9 @@
 
 // The log is down for all entries, so none can have accepted a document and work may go on.
 TEST_F(StartGuardTest, StartsContinueWhileAllEntriesReportLogDown) {
-  for (const char* zone : {"a", "b"})
+  for (const char* zone : {"a", "b"}) {
     guard_.HandleHeartbeatReply(MakeReply(zone, 1, Duration{}, false), now_);
+  }
   const Time later = now_ + seconds(600);
   guard_.HandleHeartbeatReply(MakeReply("a", 1, seconds(600), true), later);
   EXPECT_FALSE(MayStart(later));
@@ -86,16 +87,19 @@
 // An entry that could read the log died during the outage. The last document that it accepted may
 // have reached no agent. Only a read by another entry shows that there was no such document.
 TEST_F(StartGuardTest, DeadReaderCountsUntilLogIsReadAgain) {
-  for (const char* zone : {"a", "b", "c"})
+  for (const char* zone : {"a", "b", "c"}) {
     guard_.HandleHeartbeatReply(MakeReply(zone, 1, Duration{}, false), now_);
+  }
   const Time later = now_ + seconds(600);
-  for (const char* zone : {"a", "b"})
+  for (const char* zone : {"a", "b"}) {
     guard_.HandleHeartbeatReply(MakeReply(zone, 1, seconds(600), true), later);
+  }
   EXPECT_FALSE(MayStart(later));
   guard_.HandleHeartbeatReply(MakeReply("a", 1, Duration{}, false), later + seconds(1));
   const Time again = later + seconds(100);
-  for (const char* zone : {"a", "b"})
+  for (const char* zone : {"a", "b"}) {
     guard_.HandleHeartbeatReply(MakeReply(zone, 1, seconds(99), true), again);
+  }
   EXPECT_TRUE(MayStart(again));
 }
 
@@ -103,14 +107,16 @@
 // entries, whose last read is newer than its last reply, lose the log. Operators can still take the
 // zone out at the first entry, so no work may start.
 TEST_F(StartGuardTest, SilentReaderCountsAfterOthersRead) {
-  for (const char* zone : {"a", "b", "c"})
+  for (const char* zone : {"a", "b", "c"}) {
     guard_.HandleHeartbeatReply(MakeReply(zone, 1, Duration{}, false), now_);
+  }
   for (const char* zone : {"a", "b"}) {
     guard_.HandleHeartbeatReply(MakeReply(zone, 1, Duration{}, false), now_ + seconds(1));
   }
   const Time later = now_ + seconds(10);
-  for (const char* zone : {"a", "b"})
+  for (const char* zone : {"a", "b"}) {
     guard_.HandleHeartbeatReply(MakeReply(zone, 1, seconds(9), true), later);
+  }
   EXPECT_FALSE(MayStart(later));
 }
 
@@ -118,19 +124,22 @@
 // shortly after. The entry had read nothing at its last reply, but may read the log and accept
 // documents since.
 TEST_F(StartGuardTest, EntryAboutToReadCounts) {
-  for (const char* zone : {"a", "b"})
+  for (const char* zone : {"a", "b"}) {
     guard_.HandleHeartbeatReply(MakeReply(zone, 1, Duration{}, false), now_);
+  }
   guard_.HandleHeartbeatReply(MakeReply("c", 0, Duration(-1), false), now_);
   const Time later = now_ + seconds(10);
-  for (const char* zone : {"a", "b"})
+  for (const char* zone : {"a", "b"}) {
     guard_.HandleHeartbeatReply(MakeReply(zone, 1, seconds(10), true), later);
+  }
   EXPECT_FALSE(MayStart(later));
 }
 
 // An entry that restarted during the outage does not know which documents it accepted before.
 TEST_F(StartGuardTest, RestartedEntryIsNoEvidenceOfLogFailure) {
-  for (const char* zone : {"a", "b"})
+  for (const char* zone : {"a", "b"}) {
     guard_.HandleHeartbeatReply(MakeReply(zone, 1, Duration{}, false), now_);
+  }
   const Time later = now_ + seconds(10);
   guard_.HandleHeartbeatReply(MakeReply("a", 1, seconds(10), true), later);
   guard_.HandleHeartbeatReply(MakeReply("b", 0, Duration(-1), true), later);
--- a/servers/entry/caller_api.cc
+++ b/servers/entry/caller_api.cc
@@ -198,8 +198,9 @@
   const std::string planner_answer = AskPlanner(request, *job);
   if (!planner_answer.empty()) return JsonResponse(planner_answer);
   std::string why = entry_->planners_->WaitReasonFor(*job);
-  if (why.empty())
+  if (why.empty()) {
     why = PlannerUnavailableReason(entry_->replicated_jobs_.Planner(job->zone), job->zone);
+  }
   return JsonResponse(JobJson(*job, entry_->planners_->RunningAttempt(*job), why).dump());
 }
 
--- a/servers/entry/config_api.cc
+++ b/servers/entry/config_api.cc
@@ -90,8 +90,7 @@
 
 HttpResponse ConfigApi::ShowHistory() const {
   nlohmann::json list = nlohmann::json::array();
-  for (const auto& version : entry_->replicated_config_.history())
-    list.push_back(VersionJson(*version));
+  for (const auto& item : entry_->replicated_config_.history()) list.push_back(VersionJson(*item));
   return JsonResponse(list.dump());
 }
 
--- a/servers/pool/advice_cache_test.cc
+++ b/servers/pool/advice_cache_test.cc
@@ -105,8 +105,9 @@
   simulation.Submit(SampleJob("singles", "bulk", "two", SampleStep(8, 2, milliseconds(1500))));
   ASSERT_TRUE(simulation.RunUntil("gang", JobState::kCompleted, seconds(6)));
   ASSERT_TRUE(simulation.RunUntil("singles", JobState::kCompleted, seconds(12)));
-  for (const SimulatedRun& run : simulation.runs())
+  for (const SimulatedRun& run : simulation.runs()) {
     EXPECT_EQ(run.node.substr(0, 2), "w1") << run.node;
+  }
   EXPECT_EQ(simulation.rejected_tickets(), 0);
   EXPECT_LE(simulation.advice_requests(), 8);
   EXPECT_EQ(simulation.violations(), std::vector<std::string>());
--- a/servers/pool/planner_lag_test.cc
+++ b/servers/pool/planner_lag_test.cc
@@ -58,8 +58,7 @@
   const Time end = kNow + seconds(2);
   planner_lag.Update(end);
   const Duration stalled = planner_lag.lag();
-  for (int agent = 0; agent < 15; ++agent)
-    planner_lag.NotePollHeld(Node(agent), end + milliseconds(500));
+  for (int i = 0; i < 15; ++i) planner_lag.NotePollHeld(Node(i), end + milliseconds(500));
   planner_lag.Update(end + milliseconds(400));
   EXPECT_EQ(planner_lag.lag(), stalled - milliseconds(400));
   planner_lag.Update(end + seconds(2));
@@ -77,8 +76,7 @@
   EXPECT_TRUE(planner_lag.MayStartMore(0));
   for (int tenth = 0; tenth < 50; ++tenth) {
     now += milliseconds(100);
-    for (int agent = 0; agent < 20; ++agent)
-      planner_lag.NotePollHeld(Node(agent), now + milliseconds(500));
+    for (int i = 0; i < 20; ++i) planner_lag.NotePollHeld(Node(i), now + milliseconds(500));
     planner_lag.Update(now);
   }
   EXPECT_TRUE(planner_lag.MayStartMore(kMany));
--- a/servers/pool/pool_load_test.cc
+++ b/servers/pool/pool_load_test.cc
@@ -24,10 +24,9 @@
 
 // Time from `since` until the last of the job's tasks was started.
 Duration StartDelay(const PoolSimulation& simulation, const std::string& job, Time since) {
-  Duration after{};
-  for (const SimulatedRun& run : simulation.RunsOf(job))
-    after = std::max(after, run.started - since);
-  return after;
+  Duration wait{};
+  for (const SimulatedRun& run : simulation.RunsOf(job)) wait = std::max(wait, run.started - since);
+  return wait;
 }
 
 bool WasStopped(const PoolSimulation& simulation, const std::string& job) {
@@ -74,8 +73,9 @@
   simulation.Submit(SampleJob("too-long", "bulk", "two", SampleStep(16, 1, seconds(20))));
   ASSERT_TRUE(simulation.RunUntil("gang", JobState::kCompleted, seconds(16)));
   EXPECT_LE(StartDelay(simulation, "short", submitted), milliseconds(200));
-  for (const SimulatedRun& run : simulation.RunsOf("too-long"))
+  for (const SimulatedRun& run : simulation.RunsOf("too-long")) {
     EXPECT_GT(run.started - submitted, seconds(9));
+  }
 }
 
 // A gang wants one rack, and both racks have only one free worker for the next 3 s. Spread over two
@@ -214,8 +214,9 @@
     simulation.RunFor(seconds(2));
   }
   std::map<std::string, std::set<std::string>> kinds;
-  for (const SimulatedRun& run : simulation.runs())
+  for (const SimulatedRun& run : simulation.runs()) {
     kinds[run.node].insert(run.run.task.job.substr(0, 4));
+  }
   int mixed = 0;
   for (const auto& row : kinds) mixed += row.second.size() > 1;
   EXPECT_LE(mixed, 1);
@@ -314,8 +315,9 @@
 
   int EndedSince(Time since, EndKind end_kind) const {
     int ended = 0;
-    for (const SimulatedRun& run : simulation_.runs())
+    for (const SimulatedRun& run : simulation_.runs()) {
       ended += run.finished && run.ended > since && run.end_kind == end_kind;
+    }
     return ended;
   }
 
@@ -383,8 +385,9 @@
   simulation.Submit(SampleJob("gang", "batch", "one", gang));
   ASSERT_TRUE(simulation.RunUntil("gang", JobState::kCompleted, seconds(10)));
   std::set<std::string> racks;
-  for (const SimulatedRun& run : simulation.RunsOf("gang"))
+  for (const SimulatedRun& run : simulation.RunsOf("gang")) {
     racks.insert(run.node.substr(run.node.find('-')));
+  }
   EXPECT_EQ(racks.size(), 1U);
 }
 
--- a/servers/pool/pool_planner_reports.cc
+++ b/servers/pool/pool_planner_reports.cc
@@ -147,8 +147,9 @@
     ++running;
     if (!run.progress.IsStalled(run.estimate, now)) return;
   }
-  if (running > 0 && IsEnabled(Mechanism::kExcludeStalledWorkers))
+  if (running > 0 && IsEnabled(Mechanism::kExcludeStalledWorkers)) {
     health_tracker_.RunsStalled(worker.node, now);
+  }
 }
 
 // A run that the worker lists neither as running nor as ended may still begin: the call sent by the
@@ -255,8 +256,9 @@
       // Skips a run that was given up when its lease expired; another run has been started since.
       if (!replaced) ApplyDone(end, job, wall_ms);
     } else if (end.kind == EndKind::kFailed) {
-      if (IsEnabled(Mechanism::kExcludeFailingWorkers))
+      if (IsEnabled(Mechanism::kExcludeFailingWorkers)) {
         health_tracker_.RunFailed(worker->node, task.job, now);
+      }
       SaveCheckpoint(end.run, end.checkpoint, job);
       ApplyFailure(end, job, wall_ms);
     } else {
--- a/servers/pool/pool_planner_test.cc
+++ b/servers/pool/pool_planner_test.cc
@@ -449,10 +449,9 @@
   simulation.RunFor(milliseconds(200));
   simulation.Submit(SampleJob("less", "batch", "two", SampleStep(6, 8, seconds(2))));
   ASSERT_TRUE(simulation.RunUntil("urgent", JobState::kCompleted, seconds(20)));
-  Time last_begun{};
-  for (const SimulatedRun& run : simulation.RunsOf("urgent"))
-    last_begun = std::max(last_begun, run.started);
-  for (const SimulatedRun& run : simulation.RunsOf("less")) EXPECT_GT(run.started, last_begun);
+  Time last{};
+  for (const SimulatedRun& run : simulation.RunsOf("urgent")) last = std::max(last, run.started);
+  for (const SimulatedRun& run : simulation.RunsOf("less")) EXPECT_GT(run.started, last);
 }
 
 // Two of three workers fail all tasks, and the third is full for a moment. A job that has failed on
@@ -485,8 +484,9 @@
     simulation.RunFor(milliseconds(300));
   }
   int failed = 0;
-  for (const SimulatedRun& run : simulation.runs())
+  for (const SimulatedRun& run : simulation.runs()) {
     failed += run.finished && run.end_kind == EndKind::kFailed;
+  }
   for (int job = 0; job < 12; ++job) {
     EXPECT_TRUE(simulation.RunUntil("j" + std::to_string(job), JobState::kCompleted, seconds(10)));
   }
--- a/servers/requests/idempotent_router.cc
+++ b/servers/requests/idempotent_router.cc
@@ -187,8 +187,9 @@
 }
 
 void IdempotentRouter::RequireKeyRetained(int64_t key_first_used_ms) const {
-  if (key_first_used_ms != 0 && key_first_used_ms <= replicated_requests_->forgotten_until_ms())
+  if (key_first_used_ms != 0 && key_first_used_ms <= replicated_requests_->forgotten_until_ms()) {
     ThrowKeyExpired();
+  }
 }
 
 void IdempotentRouter::RecordOutcome(const RequestClaimed& claim, const ServiceAnswer& answer) {
--- a/servers/state/replicated_config.cc
+++ b/servers/state/replicated_config.cc
@@ -40,8 +40,7 @@
     if (const auto* published = std::get_if<ConfigPublished>(&record)) {
       return ApplyRecord(*published, sequence);
     }
-    if (const auto* change = std::get_if<ZoneChanged>(&record))
-      return ApplyRecord(*change, sequence);
+    if (const auto* event = std::get_if<ZoneChanged>(&record)) return ApplyRecord(*event, sequence);
   } catch (const Error& error) {
     return {false, error.what()};
   }
@@ -57,8 +56,9 @@
     const std::string by = before == nullptr ? "" : " by '" + before->author + "'";
     return {false, "version " + std::to_string(newest_version) + by + " came first"};
   }
-  if (Digest(published.text) != published.digest)
+  if (Digest(published.text) != published.digest) {
     return {false, "the document does not match its digest"};
+  }
   ConfigVersion version;
   version.version = published.version;
   version.author = published.author;
--- a/servers/state/replicated_jobs.cc
+++ b/servers/state/replicated_jobs.cc
@@ -102,8 +102,9 @@
   if (found == jobs_.end()) return {false, "no such job"};
   const std::string why = RejectionReason(found->second, record.epoch);
   if (!why.empty()) return {false, why};
-  if (found->second.starting_attempt != record.attempt)
+  if (found->second.starting_attempt != record.attempt) {
     return {false, "another attempt is starting"};
+  }
   found->second.starting_attempt = 0;
   return {};
 }
--- a/servers/state/replicated_requests.cc
+++ b/servers/state/replicated_requests.cc
@@ -23,8 +23,9 @@
 
 RecordVerdict ReplicatedRequests::Apply(const Record& record, Sequence sequence) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  if (const auto* claim = std::get_if<RequestClaimed>(&record))
+  if (const auto* claim = std::get_if<RequestClaimed>(&record)) {
     return ApplyRecord(*claim, sequence);
+  }
   if (const auto* ended = std::get_if<RequestEnded>(&record)) return ApplyRecord(*ended);
   return {false, "not a request record"};
 }
--- a/servers/state/stream_client.cc
+++ b/servers/state/stream_client.cc
@@ -280,8 +280,9 @@
   }
   for (const LogEntry& entry : batch.entries) {
     if (entry.offset < replica_.next()) continue;
-    if (entry.offset > replica_.next())
+    if (entry.offset > replica_.next()) {
       throw Error(ErrorKind::kTrimmed, "entries are missing before the next offset in the log");
+    }
     ApplyEntry(entry);
   }
 }
--- a/tests/soak/operator_history.cc
+++ b/tests/soak/operator_history.cc
@@ -28,10 +28,12 @@
   ends_.push_back(end);
   longest_ = std::max(longest_, end.duration);
   if (end.duration > kCommandTimeLimit) AddViolation("too long: " + Describe(end));
-  if (end.status != kDone && end.status != kFailed)
+  if (end.status != kDone && end.status != kFailed) {
     AddViolation("outcome not determined: " + Describe(end));
-  if (end.change.empty() && end.status != kDone)
+  }
+  if (end.change.empty() && end.status != kDone) {
     AddViolation("read command failed: " + Describe(end));
+  }
 }
 
 void OperatorHistory::RecordViolation(const std::string& what) {
@@ -45,8 +47,9 @@
   int64_t last = 0;
   for (const nlohmann::json& each : history) {
     const auto version = each.at("version").get<int64_t>();
-    if (last != 0 && version != last + 1)
+    if (last != 0 && version != last + 1) {
       AddViolation("gap in the versions after " + std::to_string(last));
+    }
     last = version;
     const bool first = versions.emplace(each.at("change").get<std::string>(), version).second;
     if (!first) AddViolation("made twice: " + each.dump());
@@ -61,8 +64,9 @@
   const auto found = versions.find(end.change);
   const int64_t made = found == versions.end() ? 0 : found->second;
   // An accepted change reports its version, even if the subsequent wait failed.
-  if (end.version != 0 && made != end.version)
+  if (end.version != 0 && made != end.version) {
     AddViolation("reported as done but not in the history: " + Describe(end));
+  }
   if (end.version == 0 && end.status == kFailed && made != 0) {
     AddViolation("reported as not done but in the history: " + Describe(end));
   }
--- a/tests/soak/operator_soak.cc
+++ b/tests/soak/operator_soak.cc
@@ -251,8 +251,9 @@
   faults.Play(options.length);
   stopping.store(true);
   for (Thread& each : operators) each.Join();
-  if (!faults.WaitUntilAllServe())
+  if (!faults.WaitUntilAllServe()) {
     return history->RecordViolation("the entries did not recover in time");
+  }
   first.Execute({"config", "history"}, "");
   history->CheckAtEnd(ReadJson(first.output()));
 }
--- a/tests/soak/soak_history.cc
+++ b/tests/soak/soak_history.cc
@@ -112,8 +112,9 @@
   const JobSpec& spec = job.job.spec;
   if (state == JobState::kCompleted) {
     for (int step = 0; step < static_cast<int>(spec.steps.size()); ++step) {
-      if (!StepDone(spec, step))
+      if (!StepDone(spec, step)) {
         ViolationLocked(id + " is reported as completed but has unfinished tasks");
+      }
     }
   }
   if (state == JobState::kCancelled && !job.cancel_sent) {
@@ -164,8 +165,9 @@
   const Time now = LeaseClock().Now();
   const TaskId& task = call.run.task;
   const auto found = jobs_.find(task.job);
-  if (found == jobs_.end())
+  if (found == jobs_.end()) {
     return ViolationLocked(TaskName(task) + " starts but its job was never submitted");
+  }
   CheckStart(*incarnation, call, found->second, now);
   ++found->second.starts;
   if (!call.checkpoint.empty()) ++resumed_;
@@ -192,8 +194,9 @@
                     std::to_string(number) + " still runs at " + other->node());
   }
   for (const int earlier : spec.steps[static_cast<size_t>(task.step)].after) {
-    if (!StepDone(spec, earlier))
+    if (!StepDone(spec, earlier)) {
       ViolationLocked(name + " starts before a step that it depends on has completed");
+    }
   }
   CheckTimeLimits(incarnation, task, job, now);
 }
@@ -248,8 +251,9 @@
 void SoakHistory::OnCheckpointSaved(const TaskId& task, const std::string& checkpoint) {
   const std::lock_guard<std::mutex> lock(mutex_);
   const auto job = jobs_.find(task.job);
-  if (job != jobs_.end())
+  if (job != jobs_.end()) {
     checkpoints_[CheckpointOwner(job->second.job.spec, task)].insert(checkpoint);
+  }
 }
 
 int SoakHistory::GangSize(const TaskId& task) const {
--- a/tests/stand_ins/pool_simulation.cc
+++ b/tests/stand_ins/pool_simulation.cc
@@ -248,8 +248,9 @@
       if (step.checkpoints) live.checkpoint = std::to_string(live.worked.count());
       ended_runs.push_back({run, EndKind::kStopped});
     } else if (step.gang && !GangComplete(run)) {
-      if (now_ - live.incomplete_since > bounds_.gang_wait)
+      if (now_ - live.incomplete_since > bounds_.gang_wait) {
         ended_runs.push_back({run, EndKind::kPartialGang});
+      }
     } else {
       if (!worker->stuck) live.worked += kTick;
       live.incomplete_since = now_;
@@ -277,20 +278,19 @@
 }
 
 void PoolSimulation::EndBrokenGangs() {
-  for (const SimulatedRun& ended_run : std::vector<SimulatedRun>(runs_)) {
-    if (!ended_run.finished || ended_run.ended != now_ || !StepOf(ended_run.run.task)->gang)
-      continue;
+  for (const SimulatedRun& run : std::vector<SimulatedRun>(runs_)) {
+    if (!run.finished || run.ended != now_ || !StepOf(run.run.task)->gang) continue;
     for (auto& row : workers_) {
       std::vector<RunId> others;
       for (const auto& live : row.second->live) {
         const RunId& other = live.first;
-        if (other.number == ended_run.run.number && other.task.job == ended_run.run.task.job) {
+        if (other.number == run.run.number && other.task.job == run.run.task.job) {
           others.push_back(other);
         }
       }
       for (const RunId& other : others) {
         EndRun(row.second.get(), other,
-               ended_run.end_kind == EndKind::kDone ? EndKind::kDone : EndKind::kGangBroken);
+               run.end_kind == EndKind::kDone ? EndKind::kDone : EndKind::kGangBroken);
       }
     }
   }
