--- a/tests/stand_ins/pool_simulation.cc
+++ b/tests/stand_ins/pool_simulation.cc
@@ -89,7 +89,9 @@
   planner_->Submit(accepted);
 }
 
-bool PoolSimulation::Cancel(const std::string& id) { return planner_->Cancel(id, wall_ms()).known; }
+bool PoolSimulation::Cancel(const std::string& id) {
+  return planner_->Cancel(id, wall_ms()).job_exists;
+}
 
 void PoolSimulation::RunFor(Duration time) {
   const Time end = now_ + time;
