--- a/core/bench_suite.h
+++ b/core/bench_suite.h
@@ -19,7 +19,7 @@
 struct BenchFigure {
   // In snake_case, unique within the suite.
   std::string name;
-  // For a machine figure, the median of its runs.
+  // For FigureKind::kMachine, the median of the runs.
   double value = 0;
   // Unit printed after the value, such as "s", "us", "MB", "share" or "1/s".
   std::string unit;
@@ -28,7 +28,7 @@
   std::optional<double> baseline;
   // Goal in a readable form, such as "below 1.2 s".
   std::string aim;
-  // Lowest and highest value of the runs, for machine figures only.
+  // Lowest and highest value of the runs, for FigureKind::kMachine only.
   std::optional<double> low;
   std::optional<double> high;
 
@@ -38,7 +38,7 @@
 
 struct BenchOptions {
   uint64_t seed = 1;
-  // Number of times that a machine figure is measured.
+  // Number of runs in which a figure of FigureKind::kMachine is measured.
   int repeats = 5;
 };
 
@@ -54,7 +54,7 @@
 
 using BenchSuiteRegistry = PluginRegistry<BenchSuite>;
 
-// Makes a machine figure (median, lowest and highest value) from the samples of its runs.
+// Makes a figure of FigureKind::kMachine (median, lowest, highest) from the samples of its runs.
 // Throws Error(kInvalidInput) if `samples` is empty.
 BenchFigure MachineFigure(const std::string& name, const std::string& unit,
                           std::vector<double> samples);
--- a/main/benches/bench_gangs.cc
+++ b/main/benches/bench_gangs.cc
@@ -29,7 +29,8 @@
          "]\ntoken_hashes =\nguarantee = 2 worker\naccelerator_cap = 96\n";
 }
 
-// One cluster. Jobs are appended directly to the log, so that the measured time excludes the API.
+// Runs gangs in one cluster. Jobs are appended directly to the log, so that the measured time
+// excludes the API.
 class GangsRun {
  public:
   GangsRun() {
--- a/main/settings/process_settings.h
+++ b/main/settings/process_settings.h
@@ -85,7 +85,7 @@
 struct PoolEntrySettings {
   std::string name;
   std::string availability_zone;
-  // Name under which the adapter's plug-ins are registered.
+  // Registered name of the plug-ins that translate between this system and the users' platform.
   std::string adapter;
   ListenSettings callers;
   ListenSettings readiness;
--- a/modules/placement/cell_policy.cc
+++ b/modules/placement/cell_policy.cc
@@ -49,9 +49,11 @@
   double priority;
 };
 
-// The stages in which guarantees are served. kFree: only free cells. kReclaim: jobs that can't run
-// on lent room, or are urgent, may preempt jobs on lent room. kAnywhere: the other jobs start on
-// lent room or preempt jobs there.
+// The stages in which jobs within the guarantee of their workspace are placed. Guaranteed cells are
+// room that belongs to a workspace; lent room is room outside the cells in use.
+// - kFree: jobs start only in cells of their workspace whose room is free.
+// - kReclaim: jobs that are urgent or can't be stopped may preempt jobs on lent room.
+// - kAnywhere: the other jobs start on free lent room, or else preempt jobs on lent room.
 enum class GuaranteeStage { kFree, kReclaim, kAnywhere };
 
 // One scheduling pass over the waiting jobs.
@@ -217,8 +219,9 @@
     if (!placement) return false;
     if (over_cap) StopOwnLentWorkOverCap(candidate);
     for (const int victim : placement->victims) {
-      // The cells are bound in this pass, so their room stays reserved until some jobs of the
-      // spared workspace end.
+      // The victim belongs to the candidate's own workspace and must not be stopped. The candidate
+      // waits for it to end; PlaceInCells has bound the cells, so no other workspace gets their
+      // room in this pass.
       if (!IsSpared(victim)) continue;
       Wait(job, "other jobs of its workspace use the guaranteed room");
       return true;
--- a/modules/placement/cell_policy.h
+++ b/modules/placement/cell_policy.h
@@ -1,8 +1,8 @@
-// The placement policy based on guaranteed cells. Jobs within the guarantee of their workspace are
-// placed first and may preempt jobs on lent room, that is, room outside the cells that guarantees
-// use at present. Other jobs run on lent room: shortest expected run time first, with aging and
-// with fairness between workspaces. A large gang that has waited long enough gets workers reserved;
-// until these workers are free, smaller jobs backfill them if the jobs are expected to end in time.
+// Placement policy based on guaranteed cells (accelerators, workers or racks that are guaranteed to
+// a workspace). Jobs within their workspace's guarantee are placed first and may preempt jobs on
+// lent room (room outside the cells in use). Other jobs run on lent room: shortest expected run
+// time first, with aging and fairness between workspaces. A large gang that has waited long enough
+// gets workers reserved; until they are free, smaller jobs that should end in time backfill them.
 #pragma once
 
 #include <map>
@@ -28,8 +28,8 @@
   Plan DrainZone(const ZoneView& view, Time now);
 
   RunTimeEstimator estimator_;
-  // When this policy first saw its zone out. Not replicated: a planner that takes over starts
-  // counting anew.
+  // When this policy first found its zone taken out by operators. Not replicated: a planner that
+  // takes over starts counting anew.
   std::optional<Time> out_since_;
   // The names of the workers that are reserved for each waiting large gang, by job id.
   Reservations reservations_;
--- a/rpc/gate_listener.h
+++ b/rpc/gate_listener.h
@@ -1,5 +1,5 @@
-// Accepts agents' connections to an entry, authenticates each peer by the shared key, and passes
-// its port to the EntryGate.
+// Accepts agents' connections to an entry, authenticates each agent by the shared key, and passes
+// an AgentPort, through which the entry calls the agent, to the EntryGate.
 #pragma once
 
 #include <atomic>
--- a/rpc/pool_session.cc
+++ b/rpc/pool_session.cc
@@ -304,7 +304,7 @@
     auto stop = kj::newPromiseAndCrossThreadFulfiller<void>();
     auto receiver = io.lowLevelProvider->wrapListenSocketFd(
         kj::mv(socket), kj::LowLevelAsyncIoProvider::NetworkFilter::getAllAllowed());
-    // No filter: the platform allows only VMs of the system to connect to these ports.
+    // Peer addresses are not filtered: the platform allows only the system's VMs to connect.
     PlannerRelay relay(io.lowLevelProvider.get());
     capnp::TwoPartyServer server(kj::heap<PoolGateService>(gate, &relay));
     Acceptor acceptor(receiver.get(), &server, &io.provider->getTimer(), &accept_failures_);
--- a/rpc/pool_session.h
+++ b/rpc/pool_session.h
@@ -1,4 +1,4 @@
-// Sessions of a pool: the listener of every entry, and the client of agents and entries.
+// Sessions of a pool: the listener of every entry, and the client that agents and entries use.
 #pragma once
 
 #include <kj/async.h>
--- a/servers/agent/gang_host.cc
+++ b/servers/agent/gang_host.cc
@@ -95,8 +95,8 @@
   part.expires_at = now + action.lease;
   for (const TaskPlacement& task : part.reserve.tasks) {
     const TaskId id{action.job, action.attempt, task.task};
-    // Renews the worker's lease before the release, so that a released task never runs longer than
-    // the lease of the gang.
+    // Until now the worker has the hold time-out as the task's lease. The gang's lease replaces it
+    // before the release, so that a released task never outlives the gang's lease.
     worker_->Renew(id, action.lease);
     worker_->Release(id);
   }
--- a/servers/agent/request_ledger.cc
+++ b/servers/agent/request_ledger.cc
@@ -7,7 +7,8 @@
 namespace turmericshift {
 namespace {
 
-// Queries time out after this time, so a query's age is too low by at most this much.
+// Queries time out after this time. A query states the age of its request as of the time when the
+// query is sent, so on arrival the stated age is too low by at most this much.
 constexpr Duration kMaxQuestionTransit = std::chrono::seconds(5);
 
 std::string RowName(const std::string& workspace, const std::string& key,
--- a/servers/agent/start_guard.h
+++ b/servers/agent/start_guard.h
@@ -32,7 +32,7 @@
   std::shared_ptr<const Environment> environment() const;
   // Whether a reply to a heartbeat that was sent within `limit` has been received.
   bool received_reply_within(Duration limit, Time now) const;
-  // The last known version of each entry and the age of its reply, for reporting to other entries.
+  // The last known document version of each entry and the age of its reply, for other entries.
   std::vector<ObservedEntry> entry_statements(Time now) const;
 
  private:
--- a/servers/entry/config_api.cc
+++ b/servers/entry/config_api.cc
@@ -141,8 +141,8 @@
 void ConfigApi::RequireTrialProof(const HttpRequest& request, const std::string& digest) const {
   const EntryOptions& options = entry_->options_;
   if (options.trial.empty()) return;
-  // A rollback: the document was promoted before, and a rollback must not have to wait for the
-  // trial.
+  // A document that was in force here before is a rollback, which must not have to wait until the
+  // trial environment has the document in force again.
   for (const auto& version : entry_->replicated_config_.history()) {
     if (version->digest == digest) return;
   }
--- a/servers/entry/entry_server.cc
+++ b/servers/entry/entry_server.cc
@@ -208,8 +208,9 @@
          job_stream_.view().ever_fresh && request_stream_.view().ever_fresh;
 }
 
-// The load balancer checks only from time to time whether this entry is ready. Until then it sends
-// callers here, whose connections would be refused.
+// The load balancer checks only from time to time whether this entry is ready, and sends callers
+// here until it finds that the entry is not. The callers' connections would be refused if the entry
+// stopped accepting earlier.
 void EntryServer::WaitForBalancer() const { std::this_thread::sleep_for(options_.balancer_notice); }
 
 bool EntryServer::Leave(Duration limit) {
--- a/servers/planner/zone_planner_service.cc
+++ b/servers/planner/zone_planner_service.cc
@@ -22,7 +22,8 @@
 // A worker whose call timed out gets no new work for this long.
 constexpr Duration kWorkerAvoidancePeriod = std::chrono::seconds(5);
 constexpr size_t kMaxMovesWhenOut = 64;
-// Limits the moves so that a zone that comes back in is filled gradually.
+// Limits how many waiting jobs move to other zones while this zone is in service, so that a zone
+// that operators put back into service is filled gradually.
 constexpr size_t kMaxMovesPerInterval = 4;
 constexpr Duration kMoveInterval = std::chrono::seconds(5);
 
--- a/servers/planner/zone_room.cc
+++ b/servers/planner/zone_room.cc
@@ -263,8 +263,8 @@
   if (!FitsIn(shape, cell_shape)) return false;
   const std::vector<uint32_t>& blocks = sizes_.Blocks(level);
   const auto block = std::find_if(blocks.begin(), blocks.end(), [&](uint32_t mask) {
-    // A task without accelerators fits in any block, so the block that is recorded for the task
-    // must be compared explicitly.
+    // A task without accelerators fits in any block, so a block recorded for the task, in
+    // `cell_mask`, must be compared explicitly.
     const bool matches_recorded_block = task->cell_mask == 0 || task->cell_mask == mask;
     return matches_recorded_block && IsSubset(task->accelerators, mask) &&
            (mask & workers_[worker].held) == 0;
--- a/servers/planner/zone_room.h
+++ b/servers/planner/zone_room.h
@@ -1,9 +1,9 @@
-// The room of one zone from the point of view of guarantees. A guaranteed cell is bound to a block
-// of a worker while work of its workspace runs in that block; the rest of the block is then
-// reserved for that workspace. All other room may be lent to work that can be stopped within the
-// reclaim bound. The invariant: all unbound cells can be carved out of the room that is not held,
-// that is, free or lent room. Work that ends never breaks the invariant, so it is enough to check
-// each start.
+// The room of one zone, divided by guarantees. A guaranteed cell is bound while work of its
+// workspace runs in it: a block of a worker is then reserved for that workspace. Room outside bound
+// cells may be lent to work that can be stopped within the reclaim bound, the time in which lent
+// room must be returned. The invariant: all unbound cells can be carved out of the room that is not
+// held, that is, free or lent room. Work that ends never breaks the invariant, so it is enough to
+// check each start.
 #pragma once
 
 #include <map>
@@ -28,7 +28,7 @@
   int64_t memory_left = 0;
 };
 
-// A task on lent room.
+// A task on lent room, which may be preempted when a guarantee needs the room.
 struct LentTask {
   // Index into ZoneView::running.
   int job = 0;
@@ -43,7 +43,7 @@
   int free_processors = 0;
   int64_t free_memory_bytes = 0;
   uint32_t free_accelerators = 0;
-  // Accelerators that belong to bound cells or run work that has no cell and can't be stopped.
+  // Accelerators in bound cells, or of work that keeps its room although it fits in no cell.
   uint32_t held = 0;
   std::vector<BoundCell> cells;
   std::vector<LentTask> lent;
--- a/servers/pool/job_intake_test.cc
+++ b/servers/pool/job_intake_test.cc
@@ -212,8 +212,9 @@
   EXPECT_EQ(fixture.cancelled("j"), Outcomes());
 }
 
-// A third submission after the withdrawal is refused immediately while the store is unresponsive,
-// and accepted once the store has recovered.
+// Two submissions of a job are withdrawn because the store is unresponsive for longer than the
+// stall time-out. A third submission must then be refused immediately, and a fourth must be
+// accepted once the store has recovered.
 TEST(JobIntake, AcceptsAWithdrawnJobAgain) {
   IntakeFixture fixture;
   LoseStore(&fixture);
--- a/servers/pool/pool_agent.cc
+++ b/servers/pool/pool_agent.cc
@@ -9,7 +9,8 @@
 namespace {
 
 constexpr int kOrderThreads = 4;
-// A planner in another zone accepts a connection within milliseconds.
+// Time-out for connecting to the planner; a planner in another zone normally accepts a connection
+// within milliseconds.
 constexpr Duration kConnectTimeout = std::chrono::milliseconds(700);
 // Delay after the worker or the planner could not be reached.
 constexpr Duration kRetryInterval = std::chrono::milliseconds(100);
--- a/servers/pool/pool_load_test.cc
+++ b/servers/pool/pool_load_test.cc
@@ -222,8 +222,8 @@
 }
 
 // Callers' estimates in a queue are between a tenth and twice the true run time. A job whose
-// estimate is a tenth of its run time soon seems hopelessly past due and would be passed over until
-// it really is.
+// estimate is a tenth of its run time soon seems hopelessly past due. Other jobs would be preferred
+// until the job is in fact hopelessly past due.
 TEST(PoolLoad, UsesLearnedRunTimesWhereEstimatesAreWrong) {
   PoolSimulation simulation(SampleRacks(1), SampleOperatorState(0));
   simulation.actual_duration = [](const TaskId&) { return seconds(6); };
--- a/servers/pool/pool_planner.h
+++ b/servers/pool/pool_planner.h
@@ -168,7 +168,7 @@
   struct Job {
     JobSpec spec;
     JobProgress progress;
-    // Nothing of the job is started before this record is durable.
+    // The record that accepts the job; nothing of the job is started before it is durable.
     Ticket accepted_ticket = 0;
     // The record that marks the job as running; no start is ordered before it is durable.
     Ticket running_ticket = 0;
@@ -294,8 +294,8 @@
   const std::vector<RoomRelease>& ReleasesOn(const WorkerState& worker, Time now) const;
   // Subtracts room that is reserved for units ahead of this one.
   void SubtractReservedRoom(const Unit& unit, std::vector<WorkerRoom>* rooms, Time now) const;
-  // Whether the workspace's urgent jobs together need no more than its guarantee, so that the unit
-  // has to begin within the operators' bound.
+  // Whether the unit is urgent and the urgent jobs of its workspace together need no more than the
+  // guarantee, so that the unit has to begin within PoolBounds::reclaim.
   bool NeedsFitGuarantee(const Unit& unit) const;
   // Preempts runs for the unit if its guarantee demands it or the gain exceeds the cost:
   // pool_planner_reclaiming.cc.
--- a/servers/pool/topic_follower.h
+++ b/servers/pool/topic_follower.h
@@ -46,8 +46,8 @@
   void Run();
   // Reads the newest record of each key. Returns the offset to continue from.
   Offset ReadNewest();
-  // Runs one long poll, followed by the delay if it returned records. Returns the offset to
-  // continue from.
+  // Runs one long poll. If the poll returned records, then waits for `read_gap` of the options.
+  // Returns the offset to continue from.
   Offset ReadNext(Offset from);
   void LogStoreLost(const Error& error, Time now);
   void LogStoreRegained(Time now);
--- a/servers/replay/expectation_check.h
+++ b/servers/replay/expectation_check.h
@@ -23,7 +23,7 @@
 HistoryBounds BoundsOf(const Trace& trace, const Bounds& bounds);
 
 // Returns the results in the order of the trace. Throws Error(kInvalidInput), with the line, for an
-// unknown promise, measure or job.
+// unknown promise (history check), measure or job.
 std::vector<ExpectationResult> CheckExpectations(const Trace& trace, const ReplayResult& result);
 
 // Formats an expectation for reports, such as "fragmentation below 0.2".
--- a/servers/replay/replay_measures.cc
+++ b/servers/replay/replay_measures.cc
@@ -7,8 +7,9 @@
 namespace turmericshift {
 namespace {
 
-// Work counts towards a zone change until this long after the last change. Work that the change
-// delayed is caught up by that time or is lost.
+// zone_change_work_share covers the time while a zone is out, and this long after operators last
+// took a zone out or put it back. Work that the change delayed is caught up by that time or is
+// lost.
 constexpr Duration kZoneChangeWindow = std::chrono::minutes(30);
 constexpr double kPercentile = 0.95;
 
--- a/servers/replay/trace.h
+++ b/servers/replay/trace.h
@@ -47,11 +47,11 @@
   TracedJob job;
   // Job id, prefix of job ids, worker, zone, or the text of a document, depending on `kind`.
   std::string subject;
-  // For kCancelWave: the share of the open jobs with the prefix to cancel.
+  // For kCancelWave: which share of the waiting jobs whose ids begin with `subject` is cancelled.
   double share = 1;
 };
 
-// A condition to check at the end: either a promise or measure by name, or facts about one job.
+// A condition at the end: a promise (history check) or a measure by name, or facts about one job.
 struct Expectation {
   int line = 0;
   std::string name;
--- a/servers/state/stream_client.cc
+++ b/servers/state/stream_client.cc
@@ -210,7 +210,7 @@
     const bool not_appended = error.outcome() == Outcome::kNotRun;
     const std::lock_guard<std::mutex> lock(mutex_);
     failures = ++consecutive_append_failures_;
-    // Retried until the writer gives up. Readers ignore duplicates.
+    // Appends the records again until their writers give up. Readers ignore duplicates.
     for (const auto& pending : group) {
       pending->in_flight = false;
       if (!not_appended) pending->maybe_appended = true;
--- a/tests/fuzz/parsers_fuzz.cc
+++ b/tests/fuzz/parsers_fuzz.cc
@@ -19,7 +19,8 @@
 namespace turmericshift {
 namespace {
 
-// The last number selects one of two parsers.
+// Number of cases of ParsePlatform. The last case has two parsers, between which
+// `parser / kPlatformParsers` chooses.
 constexpr uint8_t kPlatformParsers = 8;
 
 // Parses input from the users' platform and from the store.
--- a/tests/request_windows_test.cc
+++ b/tests/request_windows_test.cc
@@ -61,8 +61,8 @@
   RequestCluster cluster_{2, 2, 1};
 };
 
-// An entry records its claim and is paused or dies before it forwards the order. The caller repeats
-// the order at another entry; it must run exactly once, even if the first entry resumes.
+// An entry records its claim and is paused or dies before it forwards the request. The caller
+// repeats the request at another entry; it must run exactly once, even if the first entry resumes.
 TEST_F(RequestWindowsTest, EntryStopsBetweenClaimAndForwarding) {
   const ServiceRequest paused = ClaimOnly(0);
   ExpectAnswered(CallWith(1));
@@ -75,7 +75,7 @@
   ExpectNoViolations();
 }
 
-// The entry dies after it forwarded the order, and the target runs it. A repeat must get its
+// The entry dies after it forwarded the request, and the target runs it. A repeat must get its
 // answer.
 TEST_F(RequestWindowsTest, EntryStopsAfterForwarding) {
   cluster_.agent(0).server->Serve(ClaimOnly(0));
@@ -93,8 +93,8 @@
   ExpectNoViolations();
 }
 
-// The agent dies while its target runs the order. Whether the order was completed is unknown, so
-// the caller is told "unknown" immediately, and a repeat does not run the order again.
+// The agent dies while its target runs the request. Whether the request was completed is unknown,
+// so the caller is told "unknown" immediately, and a repeat does not run the request again.
 TEST_F(RequestWindowsTest, AgentDiesWhileTheTargetRuns) {
   for (size_t agent : {0U, 1U}) cluster_.agent(agent).target->SetBlocked(true);
   AnswerEvent first;
@@ -115,8 +115,8 @@
   ExpectNoViolations();
 }
 
-// The log is down when the order arrives. The order is refused, is not run, and is accepted once
-// the log is available again.
+// The log is down when the request arrives. The request is refused, is not run, and is accepted
+// once the log is available again.
 TEST_F(RequestWindowsTest, LogIsDownBeforeTheClaim) {
   LogFaults down;
   down.appends_fail = true;
@@ -128,7 +128,7 @@
   ExpectNoViolations();
 }
 
-// The claim is written but its writer receives no answer and gives up. The order was not run, so
+// The claim is written but its writer receives no answer and gives up. The request was not run, so
 // the claim in the log must not block the key.
 TEST_F(RequestWindowsTest, ClaimIsWrittenAfterItsWriterGaveUp) {
   LogFaults deaf;
@@ -143,8 +143,8 @@
   ExpectNoViolations();
 }
 
-// The log goes down while the target runs the order. The caller still gets the answer, and so does
-// a repeat at another entry, which queries the agent.
+// The log goes down while the target runs the request. The caller still gets the answer, and so
+// does a repeat at another entry, which queries the agent.
 TEST_F(RequestWindowsTest, LogGoesDownWhileTheTargetRuns) {
   const ServiceRequest message = ClaimOnly(0);
   WaitUntil("entry 1 did not read the claim", [&] {
@@ -160,7 +160,7 @@
   ExpectNoViolations();
 }
 
-// A caller sends an order twice. The second request must wait for the answer of the first.
+// A caller sends a request twice. The second copy must wait for the answer to the first.
 TEST_F(RequestWindowsTest, ARepeatWaitsForTheRunningRequest) {
   for (size_t agent : {0U, 1U}) cluster_.agent(agent).target->SetBlocked(true);
   AnswerEvent first;
@@ -192,7 +192,7 @@
 }
 
 // A caller repeats a key whose outcome is no longer retained: first only its hash is, then nothing.
-// The entry cannot know whether the order was run, so it answers "unknown" and does not run it.
+// The entry cannot know whether the request was run, so it answers "unknown" and does not run it.
 TEST_F(RequestWindowsTest, KeyIsOlderThanTheRetainedKeys) {
   const int64_t first_use = DefaultClock().WallMillis();
   ExpectAnswered(CallWith(0));
--- a/tests/soak/soak_faults.cc
+++ b/tests/soak/soak_faults.cc
@@ -43,7 +43,7 @@
     {FaultKind::kRollAgents, "roll_agents"},
     {FaultKind::kDocuments, "documents"},
 }};
-// The first rows of the table are the faults of DrawFaults.
+// DrawFaults draws from this many first rows of kNames, DrawSeries from the rows after them.
 constexpr size_t kSingleFaults = 22;
 
 constexpr std::array<RelayFault, 5> kRelayFaults = {RelayFault::kSilent, RelayFault::kDropForward,
