--- a/rpc/gate_listener.cc
+++ b/rpc/gate_listener.cc
@@ -68,7 +68,7 @@
     auto results = context.getResults();
     if (!VerifyProof(params.getProof().cStr())) {
       LogEvent(LogLevel::kWarning, "session_refused", {{"reason", "wrong key"}});
-      Write(Error(ErrorKind::kUnauthenticated, "the proof matches none of the shared keys"),
+      Write(Error(ErrorKind::kUnauthenticated, "the proof does not fit any shared key"),
             results.initFailure());
       return kj::READY_NOW;
     }
--- a/rpc/pool_session.cc
+++ b/rpc/pool_session.cc
@@ -45,8 +45,7 @@
   kj::Promise<void> planner(PlannerContext context) override {
     const pool::PlannerRecord known = gate_->KnownPlanner();
     if (known.epoch < context.getParams().getEpoch() || known.address.empty()) {
-      const Error error(ErrorKind::kUnavailable, Outcome::kNotRun,
-                        "this entry does not know a planner of the requested epoch or a newer one");
+      const Error error(ErrorKind::kUnavailable, Outcome::kNotRun, "no such planner is known here");
       Write(error, context.getResults().initFailure());
       return kj::READY_NOW;
     }
@@ -289,7 +288,7 @@
       "pool-sessions", [this, listener, gate] { Serve(listener, gate); }, kLoopStackBytes);
   std::unique_lock<std::mutex> lock(mutex_);
   changed_.wait(lock, [this] { return started_; });
-  if (!stop_) throw Error(ErrorKind::kUnavailable, "session event loop did not start");
+  if (!stop_) throw Error(ErrorKind::kUnavailable, "sessions can't be served");
 }
 
 PoolListener::~PoolListener() {
--- a/servers/pool/agent_state.cc
+++ b/servers/pool/agent_state.cc
@@ -119,7 +119,7 @@
     }
     // The run neither runs nor has ended, and the worker will refuse it from now on.
     if (!Contains(running_, stop->first) && !has_ended(stop->first)) {
-      SetResult(stop->first, StartOutcome::kNotRun, "stopped before the start");
+      SetResult(stop->first, StartOutcome::kNotRun, "stopped before it began");
       starts_[stop->first].phase = StartPhase::kNotRunning;
       report_needed = true;
     }
@@ -250,15 +250,15 @@
                                                   std::string* reason, Time now) const {
   const std::optional<WorkerMillis> lease = LeaseUntil(now);
   if (now >= until) {
-    *reason = "the order has expired";
+    *reason = "the order is too old";
   } else if (facts_.draining) {
-    *reason = "the worker is draining";
+    *reason = "the worker leaves";
   } else if (stops_.count(order.run) > 0) {
-    *reason = "stopped before the start was sent";
+    *reason = "stopped before it was sent";
   } else if (!lease) {
     *reason = "no lease";
   } else if (lists_epoch_ != epoch_) {
-    *reason = "the worker has not answered under this planner's epoch";
+    *reason = "the worker has not been read under this planner";
   } else {
     StartCall call;
     call.worker_id = facts_.id;
--- a/servers/pool/job_intake.cc
+++ b/servers/pool/job_intake.cc
@@ -63,7 +63,7 @@
   for (Waiter& waiter : waiters_) {
     replies->push_back(Failed(std::move(waiter.done),
                               Error(ErrorKind::kConnectionLost, Outcome::kUnknown,
-                                    "the planner stepped down before the record was durable")));
+                                    "the planner's duty ended before the record was kept")));
   }
   waiters_.clear();
 }
--- a/servers/pool/local_planner_client.cc
+++ b/servers/pool/local_planner_client.cc
@@ -14,8 +14,7 @@
   std::future<Result<Value>> future = promise->get_future();
   begin([promise](Result<Value> result) { promise->set_value(std::move(result)); });
   if (future.wait_for(timeout) != std::future_status::ready) {
-    throw Error(ErrorKind::kDeadlineExceeded, Outcome::kUnknown,
-                "the planner did not answer within the time-out");
+    throw Error(ErrorKind::kDeadlineExceeded, Outcome::kUnknown, "the planner has not answered");
   }
   return future.get().Take();
 }
--- a/servers/pool/planner_router.cc
+++ b/servers/pool/planner_router.cc
@@ -75,7 +75,7 @@
                                                                    Duration limit) {
   std::vector<EntryRecord> relays = RelayCandidates(planner, members_->entries(), zone_, node_);
   if (relays.size() > kMaxRelayAttempts) relays.resize(kMaxRelayAttempts);
-  std::string failure = "no entry is known that could relay to the planner";
+  std::string failure = "no entry is known that might reach the planner";
   for (const EntryRecord& relay : relays) {
     // Most planners that time out have failed and are succeeded within two seconds.
     if (members_->planner().epoch > planner.epoch) break;
--- a/servers/pool/planner_service.cc
+++ b/servers/pool/planner_service.cc
@@ -46,12 +46,11 @@
   changed_.notify_all();
   write_ready_.notify_all();
   advice_ready_.notify_all();
-  StepDown("the process is stopping");
+  StepDown("the process stops");
 }
 
 Error PlannerService::NotActiveError() {
-  return {ErrorKind::kConflict, Outcome::kNotRun,
-          "this process is not the active planner of the pool"};
+  return {ErrorKind::kConflict, Outcome::kNotRun, "this process does not plan the pool"};
 }
 
 void PlannerService::BecomeActive(int64_t epoch, int64_t sequence, const JobTable& table,
@@ -235,11 +234,11 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     if (successor.epoch > successor_.epoch) successor_ = successor;
     if (planner_ && successor.epoch > planner_->epoch()) {
-      StepDownLocked("a newer planner has notified this process", &replies);
+      StepDownLocked("a newer planner has said so", &replies);
     }
     if (planner_) {
       const Error refusal(ErrorKind::kConflict, Outcome::kNotRun,
-                          "this process is the active planner under a newer epoch");
+                          "this process plans under a newer epoch");
       replies.push_back(Failed(std::move(done), refusal));
     } else {
       replies.push_back(Succeeded(std::move(done), Done{}));
@@ -256,8 +255,7 @@
     if (would_claim_) {
       replies.push_back(Succeeded(std::move(done), Done{}));
     } else {
-      const Error refusal(ErrorKind::kConflict, Outcome::kNotRun,
-                          "this entry would not claim the leadership now");
+      const Error refusal(ErrorKind::kConflict, Outcome::kNotRun, "this entry claims no duty now");
       replies.push_back(Failed(std::move(done), refusal));
     }
   }
@@ -379,7 +377,7 @@
     replan_needed_ = true;
     if (releasing_ && planner_->outbox().empty()) {
       intake_.Answer(std::nullopt, planner_.get(), requested_at, &replies);
-      StepDownLocked("leadership released", &replies);
+      StepDownLocked("given up", &replies);
     }
   } catch (const Error& error) {
     append_failures_.Add();
--- a/servers/pool/pool_agent.cc
+++ b/servers/pool/pool_agent.cc
@@ -228,8 +228,7 @@
     if (orders.planner_epoch > redirected_planner_.epoch) {
       redirected_planner_ = {orders.planner_epoch, "", orders.planner_address};
     }
-    throw Error(ErrorKind::kConflict, Outcome::kNotRun,
-                "another process is the active planner of the pool");
+    throw Error(ErrorKind::kConflict, Outcome::kNotRun, "the pool is planned elsewhere now");
   }
   AgentOrders new_orders;
   bool new_planner = false;
@@ -275,7 +274,7 @@
     call = state_.PrepareStart(order, until, &reason, now);
     if (call && !registered_.load()) {
       call.reset();
-      reason = "the agent is not registered as a member yet";
+      reason = "the agent is not among the members yet";
     }
     if (!call) {
       state_.StartNotSent(order.run, reason);
