--- a/servers/agent/start_guard.cc
+++ b/servers/agent/start_guard.cc
@@ -11,7 +11,7 @@
 namespace {
 
 // The status of a silent entry is dropped after this time, if the entry reported that it can't read
-// the log or if others have read the log since. Otherwise the loss of one machine would block all
+// the log or if others have read the log since. Otherwise the loss of one VM would block all
 // starts for as long as the log is down.
 constexpr Duration kSilentEntryTimeout = std::chrono::seconds(60);
 // Number of zones whose entries must report that the log is down, as the entries of one zone may
